--- a/packages/jobs/src/lib/leader/workers/LossWaves.ts
+++ b/packages/jobs/src/lib/leader/workers/CorrelatedLosses.ts
@@ -5,20 +5,20 @@
 import type { WorkerView } from './WorkerView'
 
 /** Milliseconds between two losses up to which they count as one event; workers are noticed within a poll of each other. */
-const TOGETHER = 250
+const CORRELATION_WINDOW_MS = 250
 /** Workers of a service that make a wave: two tasks may crash theirs at the same time by chance. */
-const LEAST = 3
+const MIN_CORRELATED_WORKERS = 3
 /**
  * Losses among the workers of a service, as a share of them, within `RECENT` from which a loss says little of what had just begun there: each
  * worker is then lost every 10 s, and many a run loses its own by chance in the poll's wait after its beginning.
  */
-const OFTEN = 0.5
+const HIGH_LOSS_SHARE = 0.5
 /** Milliseconds. */
-const RECENT = 5000
+const HIGH_LOSS_WINDOW_MS = 5000
 /** Losses that are no more than one task does, in a service of few workers. */
-const FEW = 5
+const MAX_LOSSES_OF_ONE_TASK = 5
 /** Milliseconds for which losses are remembered: until a crashed worker is known to be back. */
-const KEPT = 20_000
+const RETENTION_MS = 20_000
 
 interface Loss {
 	readonly worker: string
@@ -31,12 +31,12 @@
  *
  * @internal
  */
-export class LossWaves {
+export class CorrelatedLosses {
 	private losses: Loss[] = []
 
 	/** A worker has fallen silent. */
-	lost({ id, worker, lostAt }: WorkerView): void {
-		this.losses = this.losses.filter(({ at }) => lostAt - at <= KEPT)
+	record({ id, worker, lostAt }: WorkerView): void {
+		this.losses = this.losses.filter(({ at }) => lostAt - at <= RETENTION_MS)
 		this.losses.push({ worker: id, service: worker.service, at: lostAt })
 	}
 
@@ -44,11 +44,11 @@
 	 * @param workers - how many workers there are.
 	 * @returns whether a silent worker fell silent together with others of its service, or where all are lost so often that it says little.
 	 */
-	includes({ worker, lostAt }: WorkerView, workers: number): boolean {
+	isCorrelated({ worker, lostAt }: WorkerView, workers: number): boolean {
 		const ofService = this.losses.filter(({ service }) => service === worker.service)
-		const recent = ofService.filter(({ at }) => Math.abs(at - lostAt) <= RECENT)
-		if (recent.length > Math.max(FEW, workers * OFTEN)) return true
-		const together = ofService.filter(({ at }) => Math.abs(at - lostAt) <= TOGETHER)
-		return new Set(together.map((loss) => loss.worker)).size >= LEAST
+		const recent = ofService.filter(({ at }) => Math.abs(at - lostAt) <= HIGH_LOSS_WINDOW_MS)
+		if (recent.length > Math.max(MAX_LOSSES_OF_ONE_TASK, workers * HIGH_LOSS_SHARE)) return true
+		const together = ofService.filter(({ at }) => Math.abs(at - lostAt) <= CORRELATION_WINDOW_MS)
+		return new Set(together.map((loss) => loss.worker)).size >= MIN_CORRELATED_WORKERS
 	}
 }
--- a/packages/jobs/src/lib/leader/workers/LifeChanges.ts
+++ b/packages/jobs/src/lib/leader/workers/IncarnationChanges.ts
@@ -18,7 +18,7 @@
 import type { WorkerView } from './WorkerView'
 
 /** Milliseconds after which a worker that still has runs of its earlier life is asked again; a stop takes 200 and more. */
-const ASK_AGAIN = 100
+const STOP_RETRY_MS = 100
 
 /** Who is at an address. @internal */
 export const Occupant = {
@@ -32,10 +32,10 @@
 /** One of the answers. @internal */
 export type Occupant = (typeof Occupant)[keyof typeof Occupant]
 
-type Listed = PollResult & { readonly kind: 'done' }
+type ListedRuns = PollResult & { readonly kind: 'done' }
 
 /** A worker of which another life has answered. */
-interface LifeChange {
+interface IncarnationChange {
 	/** The worker as it was known. */
 	readonly known: WorkerView
 	/** Where its present life is asked. */
@@ -43,17 +43,17 @@
 	/** Told once it is over. */
 	readonly listeners: (() => void)[]
 	/** When it is asked again, on the leader's clock; infinite while an answer is awaited. */
-	askAt: number
+	pollAt: number
 }
 
 /** What changes of lives need of the registry of workers. @internal */
-export interface LifeHost {
+export interface IncarnationDelegate {
 	/** Another life has answered in a worker's place: nothing more is ordered there. */
-	changed(known: WorkerView): void
+	onIncarnationChanged(known: WorkerView): void
 	/** A call that was sent at this moment got no answer. */
-	unanswered(known: WorkerView, message: string, sentAt: number): void
+	onUnanswered(known: WorkerView, message: string, sentAt: number): void
 	/** An incarnation of a worker has ended. */
-	over(id: string, reason: WorkerEnd): void
+	onIncarnationEnded(id: string, reason: WorkerEnd): void
 }
 
 /**
@@ -61,16 +61,16 @@
  *
  * @internal
  */
-export class LifeChanges {
+export class IncarnationChanges {
 	/** Changes under way, by the id of the worker that was known. */
-	private readonly changes = new Map<string, LifeChange>()
+	private readonly changes = new Map<string, IncarnationChange>()
 	/** Addresses at which it is being asked who is there. */
-	private readonly asking = new Set<string>()
+	private readonly addressesBeingPolled = new Set<string>()
 
 	constructor(
 		private readonly context: LeaderContext,
 		private readonly fences: FenceTokens,
-		private readonly host: LifeHost
+		private readonly delegate: IncarnationDelegate
 	) {}
 
 	/**
@@ -80,20 +80,20 @@
 	 * @param claimant - the one that reports.
 	 * @param done - told who is there; at once `unclear` while that is being asked already.
 	 */
-	settle(known: WorkerView, claimant: Worker, done: (occupant: Occupant) => void): void {
+	resolveOccupant(known: WorkerView, claimant: Worker, done: (occupant: Occupant) => void): void {
 		const { address, dataCentre } = claimant
 		const change = this.changes.get(known.id)
 		if (change) {
 			change.listeners.push(() => done(Occupant.Other))
 			return
 		}
-		if (this.asking.has(address)) return done(Occupant.Unclear)
-		this.asking.add(address)
+		if (this.addressesBeingPolled.has(address)) return done(Occupant.Unclear)
+		this.addressesBeingPolled.add(address)
 		const target = { id: known.id, address, dataCentre }
 		const order = { fence: known.fence, endsSeen: 0, wait: 0 }
 		this.context.orders.poll(target, order, (result) => {
-			this.asking.delete(address)
-			this.told(known, target, result, done)
+			this.addressesBeingPolled.delete(address)
+			this.onOccupantPolled(known, target, result, done)
 		})
 	}
 
@@ -104,20 +104,24 @@
 	 * @param target - where the other life is.
 	 * @param done - told once the known one is over and no run of it is left there.
 	 */
-	follow(known: WorkerView, target: OrderTarget, done: () => void = () => undefined): void {
+	onOtherIncarnation(
+		known: WorkerView,
+		target: OrderTarget,
+		done: () => void = () => undefined
+	): void {
 		const change = this.changes.get(known.id)
 		if (change) {
 			change.listeners.push(done)
 			return
 		}
-		const begun = { known, target, listeners: [done], askAt: 0 }
-		this.changes.set(known.id, begun)
-		this.host.changed(known)
-		this.ask(begun)
+		const started = { known, target, listeners: [done], pollAt: 0 }
+		this.changes.set(known.id, started)
+		this.delegate.onIncarnationChanged(known)
+		this.pollNewIncarnation(started)
 	}
 
 	/** A worker is over, however that became known. */
-	gone(id: string): void {
+	onWorkerGone(id: string): void {
 		const change = this.changes.get(id)
 		this.changes.delete(id)
 		for (const done of change?.listeners ?? []) done()
@@ -125,10 +129,11 @@
 
 	/** Asks again where runs of an earlier life were left, or nobody answered. */
 	tick(now: number): void {
-		for (const change of this.changes.values()) if (now >= change.askAt) this.ask(change)
+		for (const change of this.changes.values())
+			if (now >= change.pollAt) this.pollNewIncarnation(change)
 	}
 
-	private told(
+	private onOccupantPolled(
 		known: WorkerView,
 		target: OrderTarget,
 		result: PollResult,
@@ -136,11 +141,11 @@
 	): void {
 		switch (result.kind) {
 			case 'other-incarnation':
-				this.host.over(known.id, WorkerEnd.Replaced)
+				this.delegate.onIncarnationEnded(known.id, WorkerEnd.Replaced)
 				return done(Occupant.Other)
 			case 'done':
 				if (!isOtherLife(known.worker.born, result.born)) return done(Occupant.Known)
-				return this.follow(known, target, () => done(Occupant.Other))
+				return this.onOtherIncarnation(known, target, () => done(Occupant.Other))
 			case 'refused':
 				return done(known.worker.born === undefined ? Occupant.Known : Occupant.Unclear)
 			default:
@@ -148,42 +153,42 @@
 		}
 	}
 
-	private ask(change: LifeChange): void {
+	private pollNewIncarnation(change: IncarnationChange): void {
 		const { orders, clock, timing } = this.context
 		const { known, target } = change
 		const fence = this.fences.next()
 		const sentAt = clock.now()
-		change.askAt = Number.POSITIVE_INFINITY
+		change.pollAt = Number.POSITIVE_INFINITY
 		orders.poll(target, { fence, endsSeen: 0, wait: 0 }, (result) => {
 			if (this.changes.get(known.id) !== change) return
-			if (result.kind === 'other-incarnation') return this.end(change)
-			if (result.kind === 'done') return this.listed(change, fence, result)
-			change.askAt = clock.now() + timing.retryPause
-			if (result.kind === 'unknown') this.host.unanswered(known, result.message, sentAt)
+			if (result.kind === 'other-incarnation') return this.finish(change)
+			if (result.kind === 'done') return this.onRunsListed(change, fence, result)
+			change.pollAt = clock.now() + timing.retryPause
+			if (result.kind === 'unknown') this.delegate.onUnanswered(known, result.message, sentAt)
 		})
 	}
 
-	private listed(change: LifeChange, fence: number, result: Listed): void {
+	private onRunsListed(change: IncarnationChange, fence: number, result: ListedRuns): void {
 		this.commitEnds(result)
 		if (result.running.length > 0) this.stopAll(change, fence, result)
-		else this.end(change)
+		else this.finish(change)
 	}
 
-	private end({ known }: LifeChange): void {
-		this.host.over(known.id, WorkerEnd.OtherIncarnation)
-		this.gone(known.id)
+	private finish({ known }: IncarnationChange): void {
+		this.delegate.onIncarnationEnded(known.id, WorkerEnd.OtherIncarnation)
+		this.onWorkerGone(known.id)
 	}
 
 	/** They come before whatever follows from the change in the log, so a run that has ended there is not lost. */
-	private commitEnds({ ended }: Listed): void {
+	private commitEnds({ ended }: ListedRuns): void {
 		if (ended.length === 0) return
 		const runs = endsOf(ended)
 		this.context.proposals.propose({ kind: 'end', runs, at: epochOf(this.context) })
 	}
 
-	private stopAll(change: LifeChange, fence: number, { running }: Listed): void {
+	private stopAll(change: IncarnationChange, fence: number, { running }: ListedRuns): void {
 		const { orders, clock } = this.context
-		change.askAt = clock.now() + ASK_AGAIN
+		change.pollAt = clock.now() + STOP_RETRY_MS
 		for (const { task, attempt } of running) {
 			// Whatever comes of it, the next answer tells whether the run is still there.
 			orders.stop(change.target, { task, attempt, fence }, () => undefined)
--- a/packages/jobs/src/lib/leader/workers/LifeProof.ts
+++ b/packages/jobs/src/lib/leader/workers/LivenessProof.ts
@@ -7,9 +7,9 @@
  * Milliseconds after a list was made for which the worker can't have started again and ended a run besides: tasks take longer than that, and
  * committing what the list told takes 10 to 40.
  */
-const HOLDS = 100
+const VALID_FOR_MS = 100
 
-interface Proof {
+interface AliveReading {
 	/** What the worker's clock showed. */
 	readonly clock: number
 	/** The earliest moment at which it can have shown that, on the leader's clock. */
@@ -21,19 +21,19 @@
  *
  * @internal
  */
-export class LifeProof {
-	private latest: Proof | undefined
+export class LivenessProof {
+	private latest: AliveReading | undefined
 	/** The shortest way to the worker and back that was seen, in milliseconds; a far worker's is long for every list. */
-	private shortestTrip = Number.POSITIVE_INFINITY
+	private shortestRoundTrip = Number.POSITIVE_INFINITY
 
 	/** Until when it was certainly there, on the leader's clock. */
-	get until(): number {
+	get aliveUntil(): number {
 		return this.latest?.at ?? Number.NEGATIVE_INFINITY
 	}
 
 	/** @returns whether no other life can have ended anything by now. */
-	holds(now: number): boolean {
-		return now - this.until <= HOLDS + this.shortestTrip
+	isValid(now: number): boolean {
+		return now - this.aliveUntil <= VALID_FOR_MS + this.shortestRoundTrip
 	}
 
 	/**
@@ -43,8 +43,8 @@
 	 * @param sentAt - when the poll was sent, on the leader's clock.
 	 * @param now - the moment.
 	 */
-	listed(clock: number, sentAt: number, now: number): void {
-		this.shortestTrip = Math.min(this.shortestTrip, now - sentAt)
+	onList(clock: number, sentAt: number, now: number): void {
+		this.shortestRoundTrip = Math.min(this.shortestRoundTrip, now - sentAt)
 		const { latest } = this
 		// The worker's clock may run slow and never fast: at least as much time has passed as it shows.
 		const byClock = latest ? latest.at + (clock - latest.clock) : sentAt
--- a/packages/jobs/src/lib/leader/workers/OutageWatch.ts
+++ b/packages/jobs/src/lib/leader/workers/OutageDetector.ts
@@ -6,14 +6,14 @@
 /** One silent worker of so many is enough; a larger data centre often has one whose answer was lost. */
 const WORKERS_PER_MISS = 16
 /** Milliseconds for which a silent worker counts, and for which a suspicion lasts. */
-const KEPT = 2000
+const SUSPICION_MS = 2000
 /** Milliseconds for which further failures raise no new suspicion, since each one costs a call to each worker. */
-const PAUSE = 300
+const SUSPICION_INTERVAL_MS = 300
 
 interface Outage {
 	/** For each silent worker when it was found so. */
 	readonly silent: Map<string, number>
-	doubtedAt: number
+	suspectedAt: number
 }
 
 /**
@@ -21,7 +21,7 @@
  *
  * @internal
  */
-export class OutageWatch {
+export class OutageDetector {
 	private readonly outages = new Map<string, Outage>()
 
 	/**
@@ -29,18 +29,18 @@
 	 *
 	 * @param workers - how many workers its data centre has.
 	 */
-	missed(dataCentre: string, worker: string, workers: number, now: number): void {
-		const outage = this.outages.get(dataCentre) ?? { silent: new Map(), doubtedAt: -Infinity }
+	onMissedCall(dataCentre: string, worker: string, workers: number, now: number): void {
+		const outage = this.outages.get(dataCentre) ?? { silent: new Map(), suspectedAt: -Infinity }
 		this.outages.set(dataCentre, outage)
 		const { silent } = outage
 		silent.set(worker, now)
-		for (const [other, since] of silent) if (now - since > KEPT) silent.delete(other)
+		for (const [other, since] of silent) if (now - since > SUSPICION_MS) silent.delete(other)
 		const enough = silent.size >= Math.ceil(workers / WORKERS_PER_MISS)
-		if (enough && now - outage.doubtedAt >= PAUSE) outage.doubtedAt = now
+		if (enough && now - outage.suspectedAt >= SUSPICION_INTERVAL_MS) outage.suspectedAt = now
 	}
 
 	/** A worker has answered. */
-	answered(dataCentre: string, worker: string): void {
+	onAnswered(dataCentre: string, worker: string): void {
 		this.outages.get(dataCentre)?.silent.delete(worker)
 	}
 
@@ -49,7 +49,7 @@
 	 * reachable; undefined when there is no reason for suspicion.
 	 */
 	suspectSince(dataCentre: string, now: number): number | undefined {
-		const since = this.outages.get(dataCentre)?.doubtedAt
-		return since !== undefined && now - since <= KEPT ? since : undefined
+		const since = this.outages.get(dataCentre)?.suspectedAt
+		return since !== undefined && now - since <= SUSPICION_MS ? since : undefined
 	}
 }
--- a/packages/jobs/src/lib/leader/workers/WorkerHeartbeats.ts
+++ b/packages/jobs/src/lib/leader/workers/WorkerHeartbeats.ts
@@ -4,7 +4,7 @@
 import type { HeardWorker } from '../callers/calls'
 import { epochOf, type LeaderContext } from '../LeaderContext'
 import { LeaderEvent } from '../LeaderEvent'
-import { Occupant, type LifeChanges } from './LifeChanges'
+import { Occupant, type IncarnationChanges } from './IncarnationChanges'
 import { samePlace, sameWorker } from './sameWorker'
 import { WorkerEnd } from './WorkerEnd'
 import type { WorkerView } from './WorkerView'
@@ -28,7 +28,7 @@
 export class WorkerHeartbeats {
 	constructor(
 		private readonly context: LeaderContext,
-		private readonly lives: LifeChanges,
+		private readonly lives: IncarnationChanges,
 		private readonly host: HeartbeatHost
 	) {}
 
@@ -70,7 +70,7 @@
 	/** A worker reports from where another one is known, or under the name of another life. */
 	private claimed(known: WorkerView, heartbeat: Heartbeat, done: (noted: boolean) => void): void {
 		const { worker } = heartbeat
-		this.lives.settle(known, worker, (occupant) => {
+		this.lives.resolveOccupant(known, worker, (occupant) => {
 			switch (occupant) {
 				case Occupant.Other:
 					return this.accept(heartbeat, done)
--- a/packages/jobs/src/lib/leader/workers/WorkerLosses.ts
+++ b/packages/jobs/src/lib/leader/workers/WorkerLosses.ts
@@ -6,8 +6,8 @@
 import type { CrashEvidence } from '../../state/TaskCrashes'
 import { crashEvidence } from './crashEvidence'
 import type { LeaderContext } from '../LeaderContext'
-import { LossWaves } from './LossWaves'
-import { OutageWatch } from './OutageWatch'
+import { CorrelatedLosses } from './CorrelatedLosses'
+import { OutageDetector } from './OutageDetector'
 import { WorkerReliability } from '../../gangs/WorkerReliability'
 import type { Run } from '../runs/Run'
 import type { WorkerView } from './WorkerView'
@@ -18,8 +18,8 @@
  * @internal
  */
 export class WorkerLosses {
-	private readonly outages = new OutageWatch()
-	private readonly waves = new LossWaves()
+	private readonly outages = new OutageDetector()
+	private readonly correlated = new CorrelatedLosses()
 	readonly reliability = new WorkerReliability()
 
 	/**
@@ -34,7 +34,7 @@
 	/** A worker was found silent, or another life of it answers. */
 	lost(view: WorkerView): void {
 		view.lostAt = this.context.clock.now()
-		this.waves.lost(view)
+		this.correlated.record(view)
 		this.reliability.lost(view.id, view.lostAt)
 	}
 
@@ -42,12 +42,12 @@
 	missed({ id, worker: { dataCentre } }: WorkerView): void {
 		let workers = 0
 		for (const { worker } of this.views.values()) if (worker.dataCentre === dataCentre) workers += 1
-		this.outages.missed(dataCentre, id, workers, this.context.clock.now())
+		this.outages.onMissedCall(dataCentre, id, workers, this.context.clock.now())
 	}
 
 	/** A worker has answered. */
 	answered({ id, worker }: WorkerView): void {
-		this.outages.answered(worker.dataCentre, id)
+		this.outages.onAnswered(worker.dataCentre, id)
 	}
 
 	/** @returns whether a worker's data centre seems out of reach and it has not answered since. */
@@ -69,7 +69,7 @@
 
 	/** @returns what the loss of a worker says of the task of each run there; whether others were lost with it is looked up once. */
 	evidenceOn(view: WorkerView): (run: Run) => CrashEvidence | undefined {
-		const inWave = this.waves.includes(view, this.views.size)
-		return (run) => crashEvidence(run, view, inWave)
+		const isCorrelated = this.correlated.isCorrelated(view, this.views.size)
+		return (run) => crashEvidence(run, view, isCorrelated)
 	}
 }
--- a/packages/jobs/src/lib/leader/workers/WorkerRegistry.ts
+++ b/packages/jobs/src/lib/leader/workers/WorkerRegistry.ts
@@ -10,7 +10,7 @@
 import { LostRuns } from '../runs/LostRuns'
 import { endsOf } from '../runs/endsOf'
 import { FenceTokens } from './FenceTokens'
-import { LifeChanges } from './LifeChanges'
+import { IncarnationChanges } from './IncarnationChanges'
 import { isOtherLife, parseIncarnation } from '../../records/Incarnation'
 import type { JobRecord } from '../../state/JobRecord'
 import { tasksOf } from '../../state/JobTable'
@@ -53,7 +53,7 @@
 	private readonly lostRuns: LostRuns
 	private readonly heartbeats: WorkerHeartbeats
 	private readonly fences: FenceTokens
-	private readonly lives: LifeChanges
+	private readonly lives: IncarnationChanges
 	private readonly silence: SilenceNotes
 
 	constructor(
@@ -72,10 +72,10 @@
 		this.lostRuns = new LostRuns(context, this.suspects, this.losses)
 		this.silence = new SilenceNotes(context)
 		this.fences = new FenceTokens(context.term)
-		this.lives = new LifeChanges(context, this.fences, {
-			changed: (view) => this.lifeChanged(view),
-			unanswered: (view, message, sentAt) => this.unanswered(view, message, sentAt),
-			over: (id, reason) => this.proposeGone(id, reason),
+		this.lives = new IncarnationChanges(context, this.fences, {
+			onIncarnationChanged: (view) => this.lifeChanged(view),
+			onUnanswered: (view, message, sentAt) => this.unanswered(view, message, sentAt),
+			onIncarnationEnded: (id, reason) => this.proposeGone(id, reason),
 		})
 		this.heartbeats = new WorkerHeartbeats(context, this.lives, {
 			find: (id) => this.views.get(id),
@@ -159,7 +159,7 @@
 	gone(id: string): void {
 		const view = this.views.get(id)
 		if (view) this.suspects.clear(view)
-		this.lives.gone(id)
+		this.lives.onWorkerGone(id)
 		this.views.delete(id)
 		this.context.ledger.leave(id)
 		this.context.health.forget(id)
@@ -324,11 +324,12 @@
 		if (this.views.get(view.id) !== view) return
 		switch (result.kind) {
 			case 'done':
-				if (isOtherLife(view.worker.born, result.born)) return this.lives.follow(view, view.worker)
+				if (isOtherLife(view.worker.born, result.born))
+					return this.lives.onOtherIncarnation(view, view.worker)
 				this.answered(view, result.clock)
 				view.listed = true
 				view.listedAt = this.context.clock.now()
-				view.proof.listed(result.clock, sentAt, view.listedAt)
+				view.liveness.onList(result.clock, sentAt, view.listedAt)
 				view.pollDue = 0
 				this.noteAnswer(view, sentAt)
 				this.takeEnds(view, result.ended)
--- a/packages/jobs/src/lib/leader/workers/WorkerView.ts
+++ b/packages/jobs/src/lib/leader/workers/WorkerView.ts
@@ -2,7 +2,7 @@
 import type { Worker } from '../../records/Cell'
 import type { CountedRun } from '../../accounts/AccountUsage'
 import type { Lease } from './Lease'
-import { LifeProof } from './LifeProof'
+import { LivenessProof } from './LivenessProof'
 import type { Run } from '../runs/Run'
 
 /** A run that was given up early: what it takes is not known until the worker has stopped it. @internal */
@@ -37,7 +37,7 @@
 	/** When its latest list came, on the leader's clock. */
 	listedAt = Number.NEGATIVE_INFINITY
 	/** Until when this life was certainly there. */
-	readonly proof = new LifeProof()
+	readonly liveness = new LivenessProof()
 	/** When runs were last given up on it while it was silent, on the leader's clock. */
 	gaveUpAt = Number.NEGATIVE_INFINITY
 	/** When it last answered, on the leader's clock. */
@@ -106,7 +106,7 @@
 	 * just after a list of the life that is meant: the next one can't have ended anything by then.
 	 */
 	endsSeen(now: number): number {
-		const proven = this.worker.born === undefined || this.proof.holds(now)
+		const proven = this.worker.born === undefined || this.liveness.isValid(now)
 		return proven ? this.endsCommitted : 0
 	}
 
--- a/packages/jobs/src/lib/leader/workers/crashEvidence.test.ts
+++ b/packages/jobs/src/lib/leader/workers/crashEvidence.test.ts
@@ -3,7 +3,7 @@
 import { test } from 'node:test'
 import { CrashEvidence } from '../../state/TaskCrashes'
 import { crashEvidence, hidesSurvival } from './crashEvidence'
-import { LossWaves } from './LossWaves'
+import { CorrelatedLosses } from './CorrelatedLosses'
 import { STEP, workerNamed } from '../../testing/samples'
 import { DEFAULT_LEADER_TIMING } from '../LeaderTiming'
 import { Lease } from './Lease'
@@ -39,7 +39,7 @@
 	readonly what: string
 	readonly run?: Partial<typeof RUN> | typeof UNCONFIRMED
 	readonly view?: Partial<typeof VIEW>
-	readonly inWave?: boolean
+	readonly isCorrelated?: boolean
 	readonly expected: CrashEvidence | undefined
 }
 
@@ -67,7 +67,7 @@
 		expected: Weak,
 	},
 	{ what: 'its worker was leaving', view: { draining: true }, expected: Doubtful },
-	{ what: 'other workers fell silent too', inWave: true, expected: Doubtful },
+	{ what: 'other workers fell silent too', isCorrelated: true, expected: Doubtful },
 	{ what: 'it lasts, and had just begun', run: { step: LASTING }, expected: Strong },
 	{
 		what: 'it lasts, and was at work for long',
@@ -76,9 +76,9 @@
 	},
 ]
 
-for (const { what, run, view, inWave = false, expected } of CASES) {
+for (const { what, run, view, isCorrelated: isCorrelated = false, expected } of CASES) {
 	test(`the end of a worker where ${what} says ${expected ?? 'nothing'} of a run`, () => {
-		assert.equal(crashEvidence({ ...RUN, ...run }, { ...VIEW, ...view }, inWave), expected)
+		assert.equal(crashEvidence({ ...RUN, ...run }, { ...VIEW, ...view }, isCorrelated), expected)
 	})
 }
 
@@ -89,11 +89,11 @@
 }
 
 test('three workers of a service that fall silent within a quarter of a second are a wave', () => {
-	const waves = new LossWaves()
+	const waves = new CorrelatedLosses()
 	const views = [viewOf('w1', 1000), viewOf('w2', 1100), viewOf('w3', 1240), viewOf('w4', 2000)]
-	for (const view of views) waves.lost(view)
+	for (const view of views) waves.record(view)
 	assert.deepEqual(
-		views.map((view) => waves.includes(view, 33)),
+		views.map((view) => waves.isCorrelated(view, 33)),
 		[true, true, true, false]
 	)
 })
@@ -115,13 +115,13 @@
 	const workers = 12
 	const lostEvery = (period: number): WorkerView[] =>
 		Array.from({ length: 8 }, (_, loss) => viewOf(`w${loss}`, loss * period))
-	const often = new LossWaves()
+	const often = new CorrelatedLosses()
 	const views = lostEvery(600)
-	for (const view of views) often.lost(view)
-	assert.ok(often.includes(views[7], workers))
-	const seldom = new LossWaves()
+	for (const view of views) often.record(view)
+	assert.ok(often.isCorrelated(views[7], workers))
+	const seldom = new CorrelatedLosses()
 	const others = lostEvery(2000)
-	for (const view of others) seldom.lost(view)
-	assert.ok(!seldom.includes(others[7], workers))
-	assert.ok(!often.includes(views[7], 33))
+	for (const view of others) seldom.record(view)
+	assert.ok(!seldom.isCorrelated(others[7], workers))
+	assert.ok(!often.isCorrelated(views[7], 33))
 })
--- a/packages/jobs/src/lib/leader/workers/crashEvidence.ts
+++ b/packages/jobs/src/lib/leader/workers/crashEvidence.ts
@@ -29,7 +29,7 @@
 /**
  * @param run - a run.
  * @param view - its worker, which has ended or is silent.
- * @param inWave - whether other workers of its service fell silent at the same time.
+ * @param isCorrelated - whether other workers of its service fell silent at the same time.
  * @returns what that says of the run's task; undefined for nothing.
  * @internal
  */
@@ -39,7 +39,7 @@
 		'ordered' | 'busy' | 'isInDoubt' | 'confirmedAt' | 'atWork' | 'restored' | 'seenAtWork' | 'step'
 	>,
 	view: Pick<WorkerView, 'draining' | 'left'>,
-	inWave: boolean
+	isCorrelated: boolean
 ): CrashEvidence | undefined {
 	const { restored, confirmedAt, atWork } = run
 	if (!mayHaveBegun(run)) return undefined
@@ -47,7 +47,7 @@
 	if (run.step.lasting && atWork.least > SETTLED) return undefined
 	if (atWork.hasOutlivedBeginning || run.seenAtWork) return CrashEvidence.Weak
 	const leaves = view.draining || view.left
-	return leaves || restored || inWave ? CrashEvidence.Doubtful : CrashEvidence.Strong
+	return leaves || restored || isCorrelated ? CrashEvidence.Doubtful : CrashEvidence.Strong
 }
 
 /** A worker that refuses an order, or has started again before it came, has begun nothing; an order without an answer may have been obeyed. */
