--- a/packages/jobs/src/lib/leader/workers/SilenceNotes.ts
+++ b/packages/jobs/src/lib/leader/workers/SilentWorkerRecorder.ts
@@ -7,14 +7,14 @@
 import type { WorkerView } from './WorkerView'
 
 /** Milliseconds between two notes, so that the heartbeats after a change of leader are noted in a few commands. */
-const NOTE_EVERY = 200
+const RECORD_INTERVAL_MS = 200
 
 /**
  * Notes of silent workers.
  *
  * @internal
  */
-export class SilenceNotes {
+export class SilentWorkerRecorder {
 	private dueAt = Number.NEGATIVE_INFINITY
 	/** Notes that are on their way to being committed. */
 	private pending = 0
@@ -24,7 +24,7 @@
 	/** Notes what has changed since the last time. */
 	tick(views: Iterable<WorkerView>, now: number): void {
 		if (now < this.dueAt || this.pending > 0) return
-		this.dueAt = now + NOTE_EVERY
+		this.dueAt = now + RECORD_INTERVAL_MS
 		const { state, timing } = this.context
 		const changed: { readonly [silent in 'true' | 'false']: string[] } = { true: [], false: [] }
 		for (const view of views) {
@@ -32,11 +32,11 @@
 			const silent = !view.heard || view.silence(now) > timing.workerQuiet
 			if (known && silent !== (known.silent ?? false)) changed[`${silent}`].push(view.id)
 		}
-		this.note(changed.true, true)
-		this.note(changed.false, false)
+		this.propose(changed.true, true)
+		this.propose(changed.false, false)
 	}
 
-	private note(workers: readonly string[], silent: boolean): void {
+	private propose(workers: readonly string[], silent: boolean): void {
 		if (workers.length === 0) return
 		this.pending += 1
 		this.context.proposals.propose({ kind: 'silent', workers, silent }, () => (this.pending -= 1))
--- a/packages/jobs/src/lib/leader/workers/WorkerRegistry.ts
+++ b/packages/jobs/src/lib/leader/workers/WorkerRegistry.ts
@@ -18,7 +18,7 @@
 import type { AccountUsage } from '../../accounts/AccountUsage'
 import type { HeardWorker } from '../callers/calls'
 import type { ListedEnd, PollResult } from '../ports'
-import { SilenceNotes } from './SilenceNotes'
+import { SilentWorkerRecorder } from './SilentWorkerRecorder'
 import { isCrash, WorkerEnd } from './WorkerEnd'
 import { WorkerLosses } from './WorkerLosses'
 import { WorkerView } from './WorkerView'
@@ -54,7 +54,7 @@
 	private readonly heartbeats: WorkerHeartbeats
 	private readonly fences: FenceTokens
 	private readonly lives: IncarnationChanges
-	private readonly silence: SilenceNotes
+	private readonly silentWorkers: SilentWorkerRecorder
 
 	constructor(
 		private readonly context: LeaderContext,
@@ -70,7 +70,7 @@
 		})
 		this.losses = new WorkerLosses(context, this.views)
 		this.lostRuns = new LostRuns(context, this.suspects, this.losses)
-		this.silence = new SilenceNotes(context)
+		this.silentWorkers = new SilentWorkerRecorder(context)
 		this.fences = new FenceTokens(context.term)
 		this.lives = new IncarnationChanges(context, this.fences, {
 			onIncarnationChanged: (view) => this.lifeChanged(view),
@@ -205,7 +205,7 @@
 
 	/** Polls of workers that are due, and gives up what a silent one can no longer run. */
 	tick(now: number): void {
-		this.silence.tick(this.views.values(), now)
+		this.silentWorkers.tick(this.views.values(), now)
 		this.lives.tick(now)
 		this.polls.begin(this.views.values(), now)
 		for (const view of this.views.values()) {
