--- a/packages/jobs/src/index.ts
+++ b/packages/jobs/src/index.ts
@@ -18,7 +18,7 @@
 export { JobController } from './lib/leader/JobController'
 export * from './lib/leader/ports'
 export { QueueTable } from './lib/leader/callers/QueueTable'
-export { sameWorker } from './lib/leader/workers/sameWorker'
+export { isSameWorker as sameWorker } from './lib/leader/workers/isSameWorker'
 export * from './lib/records/Cell'
 export * from './lib/records/checkJob'
 export * from './lib/records/Incarnation'
--- a/packages/jobs/src/lib/leader/workers/WorkerHeartbeats.ts
+++ b/packages/jobs/src/lib/leader/workers/WorkerHeartbeats.ts
@@ -5,7 +5,7 @@
 import { epochOf, type LeaderContext } from '../LeaderContext'
 import { LeaderEvent } from '../LeaderEvent'
 import { Occupant, type IncarnationChanges } from './IncarnationChanges'
-import { samePlace, sameWorker } from './sameWorker'
+import { isSamePlace, isSameWorker } from './isSameWorker'
 import { WorkerEnd } from './WorkerEnd'
 import type { WorkerView } from './WorkerView'
 
@@ -47,7 +47,7 @@
 		if (worker.born === undefined && named?.born !== undefined) return this.passOver(worker, done)
 		// A life keeps its service and its place; another writer's entry under its name must not take it from them.
 		const same = this.host.find(worker.id)
-		if (same && !samePlace(same.worker, worker)) return this.passOver(worker, done)
+		if (same && !isSamePlace(same.worker, worker)) return this.passOver(worker, done)
 		const told = { ...heartbeat, worker }
 		const others = [workers.at(worker.address)?.worker, named]
 		const earlier = others.find((other) => other !== undefined && other.id !== worker.id)
@@ -92,7 +92,7 @@
 			this.context.log.debug(LeaderEvent.HeartbeatPassedOver, { worker, number, taken })
 			return noted()
 		}
-		if (!view || !sameWorker(view.worker, heartbeat.worker)) {
+		if (!view || !isSameWorker(view.worker, heartbeat.worker)) {
 			this.proposeWorker(heartbeat, noted)
 			return
 		}
--- a/packages/jobs/src/lib/leader/workers/sameWorker.ts
+++ b/packages/jobs/src/lib/leader/workers/isSameWorker.ts
@@ -3,17 +3,17 @@
 import type { Worker } from '../../records/Cell'
 
 /** @returns whether two descriptions are of one incarnation and say the same. @public */
-export function sameWorker(left: Worker, right: Worker): boolean {
+export function isSameWorker(left: Worker, right: Worker): boolean {
 	return (
 		left.born === right.born &&
-		samePlace(left, right) &&
+		isSamePlace(left, right) &&
 		left.labels.join() === right.labels.join() &&
-		sameAmount(left.capacity, right.capacity)
+		isSameAmount(left.capacity, right.capacity)
 	)
 }
 
 /** @returns whether two descriptions name the same service and place, which a worker keeps for its life. @internal */
-export function samePlace(left: Worker, right: Worker): boolean {
+export function isSamePlace(left: Worker, right: Worker): boolean {
 	return (
 		left.address === right.address &&
 		left.service === right.service &&
@@ -22,7 +22,7 @@
 	)
 }
 
-function sameAmount(left: Resources, right: Resources): boolean {
+function isSameAmount(left: Resources, right: Resources): boolean {
 	return (
 		left.cpu === right.cpu &&
 		left.memory === right.memory &&
