--- a/packages/jobs/src/lib/leader/workers/WorkerLosses.ts
+++ b/packages/jobs/src/lib/leader/workers/WorkerLosses.ts
@@ -4,7 +4,7 @@
  */
 import type { CrashFindings } from '../../commands/CellCommand'
 import type { CrashEvidence } from '../../state/TaskCrashes'
-import { crashEvidence } from './crashEvidence'
+import { crashEvidenceOf } from './crashEvidenceOf'
 import type { LeaderContext } from '../LeaderContext'
 import { CorrelatedLosses } from './CorrelatedLosses'
 import { OutageDetector } from './OutageDetector'
@@ -70,6 +70,6 @@
 	/** @returns what the loss of a worker says of the task of each run there; whether others were lost with it is looked up once. */
 	evidenceOn(view: WorkerView): (run: Run) => CrashEvidence | undefined {
 		const isCorrelated = this.correlated.isCorrelated(view, this.views.size)
-		return (run) => crashEvidence(run, view, isCorrelated)
+		return (run) => crashEvidenceOf(run, view, isCorrelated)
 	}
 }
--- a/packages/jobs/src/lib/leader/workers/WorkerPolls.ts
+++ b/packages/jobs/src/lib/leader/workers/WorkerPolls.ts
@@ -1,5 +1,5 @@
 /** Polls of workers: long polls that renew a lease and wait for the next end, and short ones that only ask. */
-import { hidesSurvival } from './crashEvidence'
+import { hasUnconfirmedSurvival } from './crashEvidenceOf'
 import type { LeaderContext } from '../LeaderContext'
 import type { PollResult } from '../ports'
 import { RunPhase } from '../runs/Run'
@@ -64,7 +64,7 @@
 
 	/** Whether the poll that is out would be a late word of something that matters. */
 	private hidesNews(view: WorkerView, now: number): boolean {
-		return hidesAnEnd(view, now) || hidesSurvival(view, now)
+		return hidesAnEnd(view, now) || hasUnconfirmedSurvival(view, now)
 	}
 
 	/** Waits for the next end, and renews the lease. */
--- a/packages/jobs/src/lib/leader/workers/crashEvidence.test.ts
+++ b/packages/jobs/src/lib/leader/workers/crashEvidenceOf.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import { CrashEvidence } from '../../state/TaskCrashes'
-import { crashEvidence, hidesSurvival } from './crashEvidence'
+import { crashEvidenceOf, hasUnconfirmedSurvival } from './crashEvidenceOf'
 import { CorrelatedLosses } from './CorrelatedLosses'
 import { STEP, workerNamed } from '../../testing/samples'
 import { DEFAULT_LEADER_TIMING } from '../LeaderTiming'
@@ -78,7 +78,7 @@
 
 for (const { what, run, view, isCorrelated: isCorrelated = false, expected } of CASES) {
 	test(`the end of a worker where ${what} says ${expected ?? 'nothing'} of a run`, () => {
-		assert.equal(crashEvidence({ ...RUN, ...run }, { ...VIEW, ...view }, isCorrelated), expected)
+		assert.equal(crashEvidenceOf({ ...RUN, ...run }, { ...VIEW, ...view }, isCorrelated), expected)
 	})
 }
 
@@ -102,13 +102,13 @@
 	const view = viewOf('w1')
 	const atWork = atWorkFor(0)
 	view.runs.set('task', { suspected: true, confirmedAt: 1000, atWork } as Run)
-	assert.equal(hidesSurvival(view, 1100), false)
-	assert.equal(hidesSurvival(view, 1300), true)
+	assert.equal(hasUnconfirmedSurvival(view, 1100), false)
+	assert.equal(hasUnconfirmedSurvival(view, 1300), true)
 	// Any other answer may have been made before the worker crashed.
 	view.answeredAt = 1300
-	assert.equal(hidesSurvival(view, 1400), true)
+	assert.equal(hasUnconfirmedSurvival(view, 1400), true)
 	atWork.listed(7300)
-	assert.equal(hidesSurvival(view, 1400), false)
+	assert.equal(hasUnconfirmedSurvival(view, 1400), false)
 })
 
 test('where workers are lost all the time, a loss counts as one of a wave, however few came together', () => {
--- a/packages/jobs/src/lib/leader/workers/crashEvidence.ts
+++ b/packages/jobs/src/lib/leader/workers/crashEvidenceOf.ts
@@ -22,9 +22,9 @@
 import type { WorkerView } from './WorkerView'
 
 /** Milliseconds after its confirmation from which the worker of a suspected task is asked whether it lives on. */
-const ASK_AFTER = 200
+const PROBE_AFTER_MS = 200
 /** Milliseconds at work after which a lasting run has shown that it does not crash its worker; it may see many of them fail. */
-const SETTLED = 5000
+const HARMLESS_AFTER_MS = 5000
 
 /**
  * @param run - a run.
@@ -33,7 +33,7 @@
  * @returns what that says of the run's task; undefined for nothing.
  * @internal
  */
-export function crashEvidence(
+export function crashEvidenceOf(
 	run: Pick<
 		Run,
 		'ordered' | 'busy' | 'isInDoubt' | 'confirmedAt' | 'atWork' | 'restored' | 'seenAtWork' | 'step'
@@ -42,16 +42,16 @@
 	isCorrelated: boolean
 ): CrashEvidence | undefined {
 	const { restored, confirmedAt, atWork } = run
-	if (!mayHaveBegun(run)) return undefined
+	if (!mayHaveStarted(run)) return undefined
 	if (confirmedAt === undefined) return run.seenAtWork ? CrashEvidence.Weak : CrashEvidence.Doubtful
-	if (run.step.lasting && atWork.least > SETTLED) return undefined
+	if (run.step.lasting && atWork.least > HARMLESS_AFTER_MS) return undefined
 	if (atWork.hasOutlivedBeginning || run.seenAtWork) return CrashEvidence.Weak
 	const leaves = view.draining || view.left
 	return leaves || restored || isCorrelated ? CrashEvidence.Doubtful : CrashEvidence.Strong
 }
 
 /** A worker that refuses an order, or has started again before it came, has begun nothing; an order without an answer may have been obeyed. */
-function mayHaveBegun({
+function mayHaveStarted({
 	ordered,
 	busy,
 	isInDoubt,
@@ -67,10 +67,10 @@
  * sooner it is asked, the fewer chance failures count against the task.
  * @internal
  */
-export function hidesSurvival(view: WorkerView, now: number): boolean {
+export function hasUnconfirmedSurvival(view: WorkerView, now: number): boolean {
 	for (const { suspected, confirmedAt, atWork } of view.runs.values()) {
 		if (!suspected || confirmedAt === undefined) continue
-		if (now - confirmedAt > ASK_AFTER && !atWork.hasOutlivedBeginning) return true
+		if (now - confirmedAt > PROBE_AFTER_MS && !atWork.hasOutlivedBeginning) return true
 	}
 	return false
 }
