--- a/packages/jobs/src/lib/leader/runs/LostRuns.ts
+++ b/packages/jobs/src/lib/leader/runs/LostRuns.ts
@@ -41,7 +41,7 @@
 
 	private lose(view: WorkerView, lost: readonly Run[], reason: string): void {
 		if (lost.length === 0) return
-		view.gaveUpAt = this.context.clock.now()
+		view.runsAbandonedAt = this.context.clock.now()
 		const evidenceOf = this.losses.evidenceOn(view)
 		const runs = lost.map((run) => ({
 			task: run.text,
--- a/packages/jobs/src/lib/leader/runs/RunController.ts
+++ b/packages/jobs/src/lib/leader/runs/RunController.ts
@@ -141,7 +141,7 @@
 	}
 
 	private isReachable({ worker }: Run): boolean {
-		return this.workers.find(worker)?.unreachable === false
+		return this.workers.find(worker)?.isUnreachable === false
 	}
 
 	/** Takes up the runs that an earlier leader began. */
@@ -267,7 +267,7 @@
 			if (run.phase === RunPhase.Starting || run.phase === RunPhase.Stopping) this.orders.order(run)
 		}
 		this.gangs.tick(now)
-		for (const view of this.workers.all()) if (view.draining) this.leaving(view, now)
+		for (const view of this.workers.all()) if (view.isDraining) this.leaving(view, now)
 	}
 
 	/** Compares what a worker lists with what it should run. */
@@ -334,7 +334,7 @@
 			log.warn(LeaderEvent.WorkerStalled, { worker: view.id, runs: view.runs.size })
 			meter.count(Measure.StalledWorkers)
 		}
-		if (!stalls.isStalled(view.id, now) || view.draining) return
+		if (!stalls.isStalled(view.id, now) || view.isDraining) return
 		for (const run of stalls.runsToMove(view)) this.move(run)
 	}
 
--- a/packages/jobs/src/lib/leader/runs/RunOrders.ts
+++ b/packages/jobs/src/lib/leader/runs/RunOrders.ts
@@ -65,9 +65,9 @@
 	/** Sends the order of the run's phase. */
 	order(run: Run): void {
 		const view = this.workers.find(run.worker)
-		if (!view || view.unreachable || view.givenUp) return
+		if (!view || view.isUnreachable || view.isEnding) return
 		// Only a list tells what an earlier leader's orders came to.
-		if (!view.listed) return
+		if (!view.isListed) return
 		if (run.phase === RunPhase.Starting) this.orderStart(run, view)
 		else this.orderStop(run, view)
 	}
@@ -79,13 +79,14 @@
 		// What was free when this was decided may be gone: a worker's room can shrink while its run is on its way.
 		if (ledger.find(run.worker)?.isOver) return StartObstacle.Room
 		// So may be that of a worker which an earlier leader chose and this one has not heard yet.
-		return view.silence(clock.now()) >= timing.workerSilent ? StartObstacle.Unheard : undefined
+		return view.heartbeatAge(clock.now()) >= timing.workerSilent ? StartObstacle.Unheard : undefined
 	}
 
 	/** @returns why a member of a gang may not be ordered to start now. */
 	obstacleOf(run: Run): StartObstacle | undefined {
 		const view = this.workers.find(run.worker)
-		if (!view || view.givenUp || view.unreachable || !view.listed) return StartObstacle.Unreachable
+		if (!view || view.isEnding || view.isUnreachable || !view.isListed)
+			return StartObstacle.Unreachable
 		return this.startObstacle(run, view)
 	}
 
@@ -177,7 +178,7 @@
 			else if (run.phase === RunPhase.Stopping) this.orderStopOfBegun(run)
 			this.host.progressed(run)
 			const view = this.workers.find(run.worker)
-			if (view && !view.polling) view.pollDue = 0
+			if (view && !view.isPolling) view.pollDueAt = 0
 		} else if (run.phase === RunPhase.Stopping) {
 			this.host.enter(run, RunPhase.Stopped)
 		}
--- a/packages/jobs/src/lib/leader/runs/SuspectRuns.ts
+++ b/packages/jobs/src/lib/leader/runs/SuspectRuns.ts
@@ -31,20 +31,20 @@
 		if (known && known.attempt >= attempt) return
 		if (known) uncount(known)
 		const counted = this.accounts.countGivenUp(this.context.state.jobs.locate(task))
-		view.suspects.set(task, { attempt, counted, busy: false })
+		view.suspects.set(task, { attempt, counted, isStopping: false })
 	}
 
 	/** Once a stop is acknowledged, neither the run nor a late order to start it can take room. */
 	settle(view: WorkerView): void {
 		const { orders, clock } = this.context
 		const { fence } = view
-		if (view.givenUp) return
+		if (view.isEnding) return
 		for (const [task, suspect] of view.suspects) {
-			if (suspect.busy || suspect.stoppedAt !== undefined) continue
-			suspect.busy = true
+			if (suspect.isStopping || suspect.stoppedAt !== undefined) continue
+			suspect.isStopping = true
 			const sentAt = clock.now()
 			orders.stop(view.worker, { task, attempt: suspect.attempt, fence }, (result) => {
-				suspect.busy = false
+				suspect.isStopping = false
 				if (result.kind === 'unknown') this.unanswered(view, result.message, sentAt)
 				else if (result.kind !== 'not-carried') suspect.stoppedAt = clock.now()
 			})
--- a/packages/jobs/src/lib/leader/workers/WorkerHeartbeats.ts
+++ b/packages/jobs/src/lib/leader/workers/WorkerHeartbeats.ts
@@ -97,7 +97,7 @@
 			return
 		}
 		this.note(view, heartbeat)
-		if (heartbeat.draining && !view.draining) this.proposeDrain(view, heartbeat, noted)
+		if (heartbeat.draining && !view.isDraining) this.proposeDrain(view, heartbeat, noted)
 		else noted()
 	}
 
@@ -106,7 +106,7 @@
 		if (beat.sequence <= view.sequence) return
 		const now = this.context.clock.now()
 		view.sequence = beat.sequence
-		view.heard = true
+		view.hasHeartbeat = true
 		view.heartbeatAt = now - age
 		view.heartbeatClock = beat.clock
 		// A reading that came late would make its lease seem longer than it is; it is better than none.
@@ -131,7 +131,7 @@
 	private proposeDrain(view: WorkerView, heartbeat: Heartbeat, done: () => void): void {
 		const { log, proposals } = this.context
 		// Nothing new goes there from now on, whatever becomes of the command.
-		view.draining = true
+		view.isDraining = true
 		log.info(LeaderEvent.WorkerDraining, { worker: view.id, remaining: heartbeat.remaining })
 		proposals.propose({ kind: 'drain', worker: view.id }, done)
 	}
--- a/packages/jobs/src/lib/leader/workers/WorkerPolls.ts
+++ b/packages/jobs/src/lib/leader/workers/WorkerPolls.ts
@@ -47,16 +47,16 @@
 	begin(views: Iterable<WorkerView>, now: number): void {
 		const unclear: WorkerView[] = []
 		for (const view of views) {
-			if (view.givenUp) continue
+			if (view.isEnding) continue
 			if (this.host.isUnclear(view, now)) unclear.push(view)
 			else if (isDueForPoll(view, now)) this.poll(view, now)
 			else if (isDueForProbe(view, now) && this.hidesNews(view, now)) this.probe(view, now)
 		}
 		const due = unclear.filter((view) => isDueForPoll(view, now) || isDueForProbe(view, now))
 		const most = this.context.orders.firstPolls
-		if (due.length > most) due.sort((left, right) => left.askedAt - right.askedAt)
+		if (due.length > most) due.sort((left, right) => left.lastAskedAt - right.lastAskedAt)
 		for (const view of due.slice(0, most)) {
-			view.askedAt = now
+			view.lastAskedAt = now
 			if (isDueForPoll(view, now)) this.poll(view, now)
 			else this.probe(view, now)
 		}
@@ -70,21 +70,21 @@
 	/** Waits for the next end, and renews the lease. */
 	private poll(view: WorkerView, now: number): void {
 		const { timing } = this.context
-		const leaseUntil = view.unreachable || view.left ? undefined : view.lease.renew(now)
-		view.polling = true
-		view.pollDue = now + timing.retryPause
-		const wait = leaseUntil === undefined || !view.listed ? 0 : this.waitAt(view)
+		const leaseUntil = view.isUnreachable || view.hasLeft ? undefined : view.lease.renew(now)
+		view.isPolling = true
+		view.pollDueAt = now + timing.retryPause
+		const wait = leaseUntil === undefined || !view.isListed ? 0 : this.waitAt(view)
 		this.send(view, leaseUntil, wait, now, () => {
-			view.polling = false
+			view.isPolling = false
 		})
 	}
 
 	/** Asks only whether the worker is there; a silent one's lease is not renewed. */
 	private probe(view: WorkerView, now: number): void {
-		view.probing = true
-		view.probeDue = now + this.context.timing.retryPause
+		view.isProbing = true
+		view.probeDueAt = now + this.context.timing.retryPause
 		this.send(view, undefined, 0, now, () => {
-			view.probing = false
+			view.isProbing = false
 		})
 	}
 
@@ -121,7 +121,7 @@
  * shows only when its wait is over: urgent work has no time for that.
  */
 function hidesAnEnd(view: WorkerView, now: number): boolean {
-	if (!view.polling) return false
+	if (!view.isPolling) return false
 	for (const run of view.runs.values()) {
 		const ends = run.urgent && run.phase === RunPhase.Running
 		if (ends && run.progress.overdue(now) > OVERDUE) return true
@@ -130,7 +130,7 @@
 }
 
 function isDueForPoll(view: WorkerView, now: number): boolean {
-	if (view.runs.size === 0 || view.polling || now < view.pollDue) return false
+	if (view.runs.size === 0 || view.isPolling || now < view.pollDueAt) return false
 	return !isCommittingEnds(view) || now - view.listedAt >= MOST_COMMIT
 }
 
@@ -140,5 +140,5 @@
 }
 
 function isDueForProbe(view: WorkerView, now: number): boolean {
-	return !view.probing && now >= view.probeDue
+	return !view.isProbing && now >= view.probeDueAt
 }
--- a/packages/jobs/src/lib/leader/workers/WorkerRegistry.ts
+++ b/packages/jobs/src/lib/leader/workers/WorkerRegistry.ts
@@ -126,8 +126,8 @@
 	}
 
 	private stateOf(view: WorkerView): 'open' | 'draining' | 'unreachable' | 'closed' {
-		if (view.draining) return 'draining'
-		if (view.unreachable) return 'unreachable'
+		if (view.isDraining) return 'draining'
+		if (view.isUnreachable) return 'unreachable'
 		return this.isOpen(view) ? 'open' : 'closed'
 	}
 
@@ -135,10 +135,10 @@
 	isOpen(view: WorkerView): boolean {
 		const { clock, timing, health } = this.context
 		const now = clock.now()
-		if (view.draining || view.givenUp || view.unreachable || !view.listed) return false
+		if (view.isDraining || view.isEnding || view.isUnreachable || !view.isListed) return false
 		if (view.suspects.size > 0) return false
 		if (this.losses.isSuspect(view, now) || this.stalls.isStalled(view.id, now)) return false
-		return view.silence(now) < timing.workerSilent && health.isOpen(view.id, now)
+		return view.heartbeatAge(now) < timing.workerSilent && health.isOpen(view.id, now)
 	}
 
 	/** A worker has joined, or describes itself anew. */
@@ -146,13 +146,13 @@
 		const known = this.views.has(worker.id)
 		const view = this.add(worker)
 		// No earlier leader knew it, so none has ordered anything there; where its name may have been known, its list is read first.
-		if (!known && worker.born === undefined) view.listed = true
+		if (!known && worker.born === undefined) view.isListed = true
 	}
 
 	/** A worker is leaving. */
 	draining(id: string): void {
 		const view = this.views.get(id)
-		if (view) view.draining = true
+		if (view) view.isDraining = true
 	}
 
 	/** A worker has ended. */
@@ -188,8 +188,8 @@
 	leave(id: string, done: () => void): void {
 		const view = this.leaving(id)
 		if (view) {
-			view.left = true
-			view.draining = true
+			view.hasLeft = true
+			view.isDraining = true
 		}
 		done()
 	}
@@ -200,7 +200,7 @@
 		const view = this.views.get(this.context.state.workers.named(name)?.worker.id ?? '')
 		if (!view || isOtherLife(view.worker.born, born)) return undefined
 		const unclear = view.worker.born !== undefined && born === undefined
-		return unclear && !view.draining ? undefined : view
+		return unclear && !view.isDraining ? undefined : view
 	}
 
 	/** Polls of workers that are due, and gives up what a silent one can no longer run. */
@@ -209,15 +209,15 @@
 		this.lives.tick(now)
 		this.polls.begin(this.views.values(), now)
 		for (const view of this.views.values()) {
-			if (view.unreachable) this.lostRuns.giveUpCopies(view, now)
-			if (!view.unreachable) this.suspects.settle(view)
-			if (view.left && (view.runs.size === 0 || view.lease.isOver(now))) {
+			if (view.isUnreachable) this.lostRuns.giveUpCopies(view, now)
+			if (!view.isUnreachable) this.suspects.settle(view)
+			if (view.hasLeft && (view.runs.size === 0 || view.lease.isOver(now))) {
 				this.proposeGone(view.id, WorkerEnd.Left)
-				view.left = false
+				view.hasLeft = false
 			}
-			if (view.unreachable && view.lease.isOver(now)) this.lostRuns.giveUp(view)
-			const silence = now - view.heartbeatAt
-			if (silence > this.context.timing.workerForgotten && view.runs.size === 0) {
+			if (view.isUnreachable && view.lease.isOver(now)) this.lostRuns.giveUp(view)
+			const heartbeatAge = now - view.heartbeatAt
+			if (heartbeatAge > this.context.timing.workerForgotten && view.runs.size === 0) {
 				this.proposeGone(view.id, WorkerEnd.Forgotten)
 			}
 		}
@@ -226,22 +226,22 @@
 	/** A worker has answered a call; `clock` is its own clock, where it told it. */
 	answered(view: WorkerView, clock: number | undefined): void {
 		const now = this.context.clock.now()
-		if (view.unreachable) this.context.log.info(LeaderEvent.WorkerRegained, { worker: view.id })
-		view.unreachable = false
+		if (view.isUnreachable) this.context.log.info(LeaderEvent.WorkerRegained, { worker: view.id })
+		view.isUnreachable = false
 		view.answeredAt = now
 		this.losses.answered(view)
 		if (clock === undefined) return
 		// A clock that went back is another life's; its list tells.
-		if (view.clockRead && clock < view.clockRead.value - CLOCK_STEP) view.pollDue = 0
+		if (view.clockReading && clock < view.clockReading.value - CLOCK_STEP) view.pollDueAt = 0
 		view.lease.read(clock, now)
-		view.clockRead = { value: clock, at: now }
+		view.clockReading = { value: clock, at: now }
 	}
 
 	/** A call that was sent at this moment got no answer. */
 	unanswered(view: WorkerView, message: string, sentAt: number): void {
 		if (sentAt < view.answeredAt) return
 		const { id, address, dataCentre } = view.worker
-		if (view.unreachable) return
+		if (view.isUnreachable) return
 		const now = this.context.clock.now()
 		this.losses.missed(view)
 		this.context.log.warn(LeaderEvent.WorkerLost, {
@@ -253,9 +253,9 @@
 			heartbeatAge: Math.round(now - view.heartbeatAt),
 			leaseLeft: Math.round(view.lease.endsBy - now),
 		})
-		view.unreachable = true
+		view.isUnreachable = true
 		this.losses.lost(view)
-		view.probeDue = 0
+		view.probeDueAt = 0
 	}
 
 	/**
@@ -279,22 +279,22 @@
 
 	/** Another life answers in a worker's place: what it holds of this one's runs has to end before they may begin elsewhere. */
 	private lifeChanged(view: WorkerView): void {
-		view.givenUp = true
+		view.isEnding = true
 		// Workers that have started again together were not ended by a task.
-		if (!view.unreachable) this.losses.lost(view)
+		if (!view.isUnreachable) this.losses.lost(view)
 		this.context.log.info(LeaderEvent.WorkerRestarted, { worker: view.id, runs: view.runs.size })
 	}
 
 	/** A worker has refused an order since it has seen a higher fence: of a later leader, unless another life has seen one of this leader. */
 	fenced(view: WorkerView): void {
-		if (this.views.get(view.id) === view && !view.givenUp) this.context.deposed()
+		if (this.views.get(view.id) === view && !view.isEnding) this.context.deposed()
 	}
 
 	/** An incarnation of a worker has ended. */
 	proposeGone(id: string, reason: WorkerEnd, done?: () => void): void {
 		const { proposals, log, clock } = this.context
 		const view = this.views.get(id)
-		if (view) view.givenUp = true
+		if (view) view.isEnding = true
 		const silent = view && Math.round(clock.now() - view.answeredAt)
 		const tasks = view && namesOf(view.runs.keys())
 		log.info(LeaderEvent.WorkerGone, { worker: id, reason, runs: view?.runs.size, silent, tasks })
@@ -308,14 +308,15 @@
 	 */
 	private noteAnswer(view: WorkerView, sentAt: number): void {
 		const { state, proposals } = this.context
-		if (view.noting || sentAt < view.gaveUpAt || !state.jobs.isAwaited(view.id)) return
-		view.noting = true
-		proposals.propose({ kind: 'answered', worker: view.id }, () => (view.noting = false))
+		if (view.isRecordingAnswer || sentAt < view.runsAbandonedAt || !state.jobs.isAwaited(view.id))
+			return
+		view.isRecordingAnswer = true
+		proposals.propose({ kind: 'answered', worker: view.id }, () => (view.isRecordingAnswer = false))
 	}
 
 	/** Whether something about it is not known that a short poll tells. */
 	private isUnclear(view: WorkerView, now: number): boolean {
-		const { unreachable, suspects, lease, listed } = view
+		const { isUnreachable: unreachable, suspects, lease, isListed: listed } = view
 		const unknown = !lease.known || !listed || this.context.state.jobs.isAwaited(view.id)
 		return unreachable || suspects.size > 0 || unknown || this.losses.isSuspect(view, now)
 	}
@@ -327,10 +328,10 @@
 				if (isOtherLife(view.worker.born, result.born))
 					return this.lives.onOtherIncarnation(view, view.worker)
 				this.answered(view, result.clock)
-				view.listed = true
+				view.isListed = true
 				view.listedAt = this.context.clock.now()
 				view.liveness.onList(result.clock, sentAt, view.listedAt)
-				view.pollDue = 0
+				view.pollDueAt = 0
 				this.noteAnswer(view, sentAt)
 				this.takeEnds(view, result.ended)
 				this.suspects.drop(view, result.running, sentAt)
@@ -353,8 +354,8 @@
 	/** Asks again at once. Its data centre may be out of reach with the instance that was to carry the poll. */
 	private notCarried(view: WorkerView): void {
 		this.losses.missed(view)
-		view.pollDue = 0
-		view.probeDue = 0
+		view.pollDueAt = 0
+		view.probeDueAt = 0
 	}
 
 	/** Ends are committed before the worker is told that they were seen. */
--- a/packages/jobs/src/lib/leader/workers/crashEvidenceOf.test.ts
+++ b/packages/jobs/src/lib/leader/workers/crashEvidenceOf.test.ts
@@ -32,7 +32,7 @@
 	step: STEP,
 }
 const UNCONFIRMED = { ...RUN, confirmedAt: undefined }
-const VIEW = { draining: false, left: false }
+const VIEW = { isDraining: false, hasLeft: false }
 const LASTING = { ...STEP, lasting: true }
 
 interface Case {
@@ -66,7 +66,7 @@
 		run: { restored: true, seenAtWork: true },
 		expected: Weak,
 	},
-	{ what: 'its worker was leaving', view: { draining: true }, expected: Doubtful },
+	{ what: 'its worker was leaving', view: { isDraining: true }, expected: Doubtful },
 	{ what: 'other workers fell silent too', isCorrelated: true, expected: Doubtful },
 	{ what: 'it lasts, and had just begun', run: { step: LASTING }, expected: Strong },
 	{
--- a/packages/jobs/src/lib/leader/workers/crashEvidenceOf.ts
+++ b/packages/jobs/src/lib/leader/workers/crashEvidenceOf.ts
@@ -38,7 +38,7 @@
 		Run,
 		'ordered' | 'busy' | 'isInDoubt' | 'confirmedAt' | 'atWork' | 'restored' | 'seenAtWork' | 'step'
 	>,
-	view: Pick<WorkerView, 'draining' | 'left'>,
+	view: Pick<WorkerView, 'isDraining' | 'hasLeft'>,
 	isCorrelated: boolean
 ): CrashEvidence | undefined {
 	const { restored, confirmedAt, atWork } = run
@@ -46,7 +46,7 @@
 	if (confirmedAt === undefined) return run.seenAtWork ? CrashEvidence.Weak : CrashEvidence.Doubtful
 	if (run.step.lasting && atWork.least > HARMLESS_AFTER_MS) return undefined
 	if (atWork.hasOutlivedBeginning || run.seenAtWork) return CrashEvidence.Weak
-	const leaves = view.draining || view.left
+	const leaves = view.isDraining || view.hasLeft
 	return leaves || restored || isCorrelated ? CrashEvidence.Doubtful : CrashEvidence.Strong
 }
 
