--- a/packages/jobs/src/lib/leader/JobController.ts
+++ b/packages/jobs/src/lib/leader/JobController.ts
@@ -75,7 +75,7 @@
 		const use = new OrderByUse(context.policy)
 		this.shares = new LeaderShares(context, this.accounts, use)
 		this.workers = new WorkerRegistry(context, this.accounts, {
-			polled: (view, result, sentAt) => {
+			onPolled: (view, result, sentAt) => {
 				this.runs.polled(view, result, sentAt)
 				this.speeds.polled(view, result)
 			},
@@ -115,7 +115,7 @@
 		meter.gauge(Measure.Configuration, state.configuration?.version ?? 0)
 		this.steps.measure()
 		this.shares.measure()
-		this.workers.measure()
+		this.workers.updateGauges()
 		this.speeds.measure()
 	}
 
@@ -141,10 +141,10 @@
 			case 'heartbeat':
 				return this.heartbeat(call.heartbeat, reply)
 			case 'heartbeats':
-				for (const heard of call.heard) this.workers.heard(heard)
+				for (const heard of call.heard) this.workers.onHeartbeatRelayed(heard)
 				return reply({ kind: 'noted' })
 			case 'leave':
-				return this.workers.leave(call.worker, () => reply({ kind: 'noted' }))
+				return this.workers.onWorkerLeaving(call.worker, () => reply({ kind: 'noted' }))
 			case 'advise':
 				return reply({ kind: 'unknown', reason: 'a leader asks others for advice' })
 			default:
@@ -178,12 +178,12 @@
 				this.runs.stopTask(change.task)
 				return this.steps.settled(change.task)
 			case 'worker-joined':
-				return this.workers.joined(change.worker)
+				return this.workers.onWorkerJoined(change.worker)
 			case 'worker-draining':
-				return this.workers.draining(change.worker)
+				return this.workers.onWorkerDraining(change.worker)
 			case 'worker-gone':
 				this.speeds.gone(change.worker)
-				return this.workers.gone(change.worker)
+				return this.workers.onWorkerGone(change.worker)
 			default:
 				return exhaustive(change)
 		}
@@ -238,7 +238,7 @@
 	}
 
 	private takeUp(job: JobRecord): void {
-		this.workers.restoreGivenUp(job)
+		this.workers.restoreAbandonedRuns(job)
 		this.runs.restore(job)
 		if (isActive(job)) this.steps.accept(job)
 	}
@@ -277,7 +277,7 @@
 	}
 
 	private heartbeat(heartbeat: Heartbeat, reply: Reply): void {
-		this.workers.heartbeat(heartbeat, (noted) =>
+		this.workers.handleHeartbeat(heartbeat, (noted) =>
 			reply(
 				noted ? { kind: 'noted' } : { kind: 'unknown', reason: 'another worker is known there' }
 			)
--- a/packages/jobs/src/lib/leader/runs/LostRuns.ts
+++ b/packages/jobs/src/lib/leader/runs/LostRuns.ts
@@ -42,7 +42,7 @@
 	private lose(view: WorkerView, lost: readonly Run[], reason: string): void {
 		if (lost.length === 0) return
 		view.runsAbandonedAt = this.context.clock.now()
-		const evidenceOf = this.losses.evidenceOn(view)
+		const evidenceOf = this.losses.evidenceFrom(view)
 		const runs = lost.map((run) => ({
 			task: run.text,
 			attempt: run.attempt,
--- a/packages/jobs/src/lib/leader/runs/RunController.ts
+++ b/packages/jobs/src/lib/leader/runs/RunController.ts
@@ -276,7 +276,7 @@
 		for (const { task, attempt, checkpoint, percent, measure } of result.running) {
 			const run = this.runs.get(task)
 			if (!run || run.worker !== view.id || run.attempt !== attempt) {
-				this.workers.foundStray(view, task, attempt)
+				this.workers.onStrayRun(view, task, attempt)
 				continue
 			}
 			listed.add(task)
--- a/packages/jobs/src/lib/leader/runs/RunOrders.ts
+++ b/packages/jobs/src/lib/leader/runs/RunOrders.ts
@@ -150,10 +150,10 @@
 		if (!view || !this.host.isCurrent(run)) return
 		switch (result.kind) {
 			case 'done':
-				this.workers.answered(view, result.clock)
+				this.workers.onAnswered(view, result.clock)
 				return this.obeyed(run, asked, result.clock)
 			case 'refused':
-				this.workers.answered(view, result.clock)
+				this.workers.onAnswered(view, result.clock)
 				return this.refused(run, view, asked, result.reason)
 			case 'other-incarnation':
 				return this.workers.proposeGone(run.worker, WorkerEnd.OtherIncarnation)
@@ -162,7 +162,7 @@
 				return this.orderAgain(run)
 			case 'unknown':
 				if (asked === RunPhase.Starting) run.isInDoubt = true
-				this.workers.unanswered(view, result.message, sentAt)
+				this.workers.onUnanswered(view, result.message, sentAt)
 		}
 	}
 
@@ -195,7 +195,7 @@
 		const { text, attempt, worker } = run
 		log.info(LeaderEvent.OrderRefused, { task: text, attempt, worker, reason, order: asked })
 		if (reason === Refusal.Fence) {
-			this.workers.fenced(view)
+			this.workers.onFenced(view)
 			return
 		}
 		run.retryAt = clock.now() + timing.retryPause
--- a/packages/jobs/src/lib/leader/workers/FenceTokens.ts
+++ b/packages/jobs/src/lib/leader/workers/FenceTokens.ts
@@ -5,7 +5,7 @@
  */
 
 /** Tokens of one term; more lives of workers than a term sees. */
-const PER_TERM = 2 ** 20
+const TOKENS_PER_TERM = 2 ** 20
 
 /**
  * The tokens of a leadership.
@@ -13,14 +13,14 @@
  * @internal
  */
 export class FenceTokens {
-	private given = 0
+	private issued = 0
 
 	/** @param term - of the leadership; up to 2^32, so that a token is a whole number without loss. */
 	constructor(private readonly term: number) {}
 
 	/** @returns a token above all that were given before. */
 	next(): number {
-		this.given = Math.min(this.given + 1, PER_TERM - 1)
-		return this.term * PER_TERM + this.given
+		this.issued = Math.min(this.issued + 1, TOKENS_PER_TERM - 1)
+		return this.term * TOKENS_PER_TERM + this.issued
 	}
 }
--- a/packages/jobs/src/lib/leader/workers/Lease.ts
+++ b/packages/jobs/src/lib/leader/workers/Lease.ts
@@ -11,24 +11,24 @@
  */
 export class Lease {
 	private reading: { readonly value: number; readonly at: number } | undefined
-	private granted = Number.NEGATIVE_INFINITY
+	private grantedUntil = Number.NEGATIVE_INFINITY
 
 	/**
 	 * @param timing - the cell's spans.
-	 * @param overBy - when everything that earlier leaders granted is certainly over.
+	 * @param certainlyOverAt - when everything that earlier leaders granted is certainly over.
 	 */
 	constructor(
 		private readonly timing: LeaderTiming,
-		private overBy: number
+		private certainlyOverAt: number
 	) {}
 
 	/** When the lease is certainly over, on the leader's clock. */
-	get endsBy(): number {
-		return this.overBy
+	get endsAt(): number {
+		return this.certainlyOverAt
 	}
 
 	/** Whether the worker's clock has been read. */
-	get known(): boolean {
+	get isClockKnown(): boolean {
 		return this.reading !== undefined
 	}
 
@@ -38,7 +38,7 @@
 	 * @param value - what the worker's clock showed.
 	 * @param now - a moment by which it had shown it.
 	 */
-	read(value: number, now: number): void {
+	recordClock(value: number, now: number): void {
 		const { reading } = this
 		if (reading && value < reading.value) return
 		this.reading = { value, at: now }
@@ -53,15 +53,15 @@
 	renew(now: number): number | undefined {
 		if (!this.reading) return undefined
 		const { value, at } = this.reading
-		const until = Math.floor(value + (now - at) + this.timing.lease)
-		this.granted = Math.max(this.granted, until)
-		const latest = at + (this.granted - value) / (1 - this.timing.clockDrift)
-		this.overBy = Math.max(this.overBy, latest + this.timing.leaseMargin)
-		return until
+		const leaseUntil = Math.floor(value + (now - at) + this.timing.lease)
+		this.grantedUntil = Math.max(this.grantedUntil, leaseUntil)
+		const latest = at + (this.grantedUntil - value) / (1 - this.timing.clockDrift)
+		this.certainlyOverAt = Math.max(this.certainlyOverAt, latest + this.timing.leaseMargin)
+		return leaseUntil
 	}
 
 	/** Whether nothing that was granted can still run. */
 	isOver(now: number): boolean {
-		return now > this.overBy
+		return now > this.certainlyOverAt
 	}
 }
--- a/packages/jobs/src/lib/leader/workers/WorkerHeartbeats.ts
+++ b/packages/jobs/src/lib/leader/workers/WorkerHeartbeats.ts
@@ -10,14 +10,14 @@
 import type { WorkerView } from './WorkerView'
 
 /** What a heartbeat says of the moment. */
-type Beat = Pick<Heartbeat, 'sequence' | 'clock' | 'remaining'>
+type HeartbeatReading = Pick<Heartbeat, 'sequence' | 'clock' | 'remaining'>
 
 /** What heartbeats need of the registry of workers. @internal */
-export interface HeartbeatHost {
+export interface HeartbeatDelegate {
 	/** @returns a worker by its id. */
 	find(id: string): WorkerView | undefined
 	/** An incarnation of a worker has ended; `done` is called once that is lasting. */
-	over(id: string, reason: WorkerEnd, done?: () => void): void
+	onIncarnationEnded(id: string, reason: WorkerEnd, done?: () => void): void
 }
 
 /**
@@ -28,8 +28,8 @@
 export class WorkerHeartbeats {
 	constructor(
 		private readonly context: LeaderContext,
-		private readonly lives: IncarnationChanges,
-		private readonly host: HeartbeatHost
+		private readonly incarnations: IncarnationChanges,
+		private readonly delegate: HeartbeatDelegate
 	) {}
 
 	/**
@@ -38,71 +38,78 @@
 	 * @param heartbeat - the heartbeat.
 	 * @param done - called once what it says is lasting, or with false when that can't be said.
 	 */
-	take(heartbeat: Heartbeat, done: (noted: boolean) => void): void {
+	handle(heartbeat: Heartbeat, done: (isRecorded: boolean) => void): void {
 		const { workers } = this.context.state
 		const named = workers.named(workerNameOf(heartbeat.worker.id))?.worker
-		const worker = identified(heartbeat.worker, named)
+		const worker = withKnownId(heartbeat.worker, named)
 		if (workers.isGone(worker.id)) return done(true)
 		// It does not say which life it is of, so it says nothing of the one that is known.
-		if (worker.born === undefined && named?.born !== undefined) return this.passOver(worker, done)
+		if (worker.born === undefined && named?.born !== undefined) return this.ignore(worker, done)
 		// A life keeps its service and its place; another writer's entry under its name must not take it from them.
-		const same = this.host.find(worker.id)
-		if (same && !isSamePlace(same.worker, worker)) return this.passOver(worker, done)
-		const told = { ...heartbeat, worker }
+		const known = this.delegate.find(worker.id)
+		if (known && !isSamePlace(known.worker, worker)) return this.ignore(worker, done)
+		const identified = { ...heartbeat, worker }
 		const others = [workers.at(worker.address)?.worker, named]
 		const earlier = others.find((other) => other !== undefined && other.id !== worker.id)
-		const known = this.host.find(earlier?.id ?? '')
-		if (known) this.claimed(known, told, done)
-		else this.accept(told, done)
+		const occupant = this.delegate.find(earlier?.id ?? '')
+		if (occupant) this.resolveClaim(occupant, identified, done)
+		else this.accept(identified, done)
 	}
 
-	private passOver({ id: worker, service, address }: Worker, done: (noted: boolean) => void): void {
+	private ignore(
+		{ id: worker, service, address }: Worker,
+		done: (isRecorded: boolean) => void
+	): void {
 		this.context.log.debug(LeaderEvent.EntryPassedOver, { worker, service, address })
 		done(false)
 	}
 
 	/** Another instance has heard a worker. */
-	heard({ worker, sequence, clock, age }: HeardWorker): void {
-		const view = this.host.find(worker)
-		if (view) this.note(view, { sequence, clock }, age)
+	onRelayed({ worker, sequence, clock, age }: HeardWorker): void {
+		const view = this.delegate.find(worker)
+		if (view) this.update(view, { sequence, clock }, age)
 	}
 
 	/** A worker reports from where another one is known, or under the name of another life. */
-	private claimed(known: WorkerView, heartbeat: Heartbeat, done: (noted: boolean) => void): void {
+	private resolveClaim(
+		known: WorkerView,
+		heartbeat: Heartbeat,
+		done: (isRecorded: boolean) => void
+	): void {
 		const { worker } = heartbeat
-		this.lives.resolveOccupant(known, worker, (occupant) => {
+		this.incarnations.resolveOccupant(known, worker, (occupant) => {
 			switch (occupant) {
 				case Occupant.Other:
 					return this.accept(heartbeat, done)
 				case Occupant.Known:
-					return this.host.over(worker.id, WorkerEnd.Late, () => done(true))
+					return this.delegate.onIncarnationEnded(worker.id, WorkerEnd.Late, () => done(true))
 				case Occupant.Unclear:
 					return done(false)
 			}
 		})
 	}
 
-	private accept(heartbeat: Heartbeat, done: (noted: boolean) => void): void {
-		const noted = (): void => done(true)
-		const view = this.host.find(heartbeat.worker.id)
+	private accept(heartbeat: Heartbeat, done: (isRecorded: boolean) => void): void {
+		const onNoted = (): void => done(true)
+		const view = this.delegate.find(heartbeat.worker.id)
 		// It was held back on its way: what it says of the worker's room may be true no more.
 		if (view && heartbeat.sequence <= view.sequence) {
 			const { sequence: number } = heartbeat
 			const { id: worker, sequence: taken } = view
 			this.context.log.debug(LeaderEvent.HeartbeatPassedOver, { worker, number, taken })
-			return noted()
+			return onNoted()
 		}
 		if (!view || !isSameWorker(view.worker, heartbeat.worker)) {
-			this.proposeWorker(heartbeat, noted)
+			this.proposeWorker(heartbeat, onNoted)
 			return
 		}
-		this.note(view, heartbeat)
-		if (heartbeat.draining && !view.isDraining) this.proposeDrain(view, heartbeat, noted)
-		else noted()
+		this.update(view, heartbeat)
+		if (heartbeat.draining && !view.isDraining) this.proposeDrain(view, heartbeat, onNoted)
+		else onNoted()
 	}
 
 	/** @param age - milliseconds since the heartbeat came to an instance. */
-	private note(view: WorkerView, beat: Beat, age = 0): void {
+	private update(view: WorkerView, beat: HeartbeatReading, age = 0): void {
 		if (beat.sequence <= view.sequence) return
 		const now = this.context.clock.now()
 		view.sequence = beat.sequence
@@ -110,8 +117,8 @@
 		view.heartbeatAt = now - age
 		view.heartbeatClock = beat.clock
 		// A reading that came late would make its lease seem longer than it is; it is better than none.
-		const counts = age === 0 || !view.lease.known
-		if (beat.clock !== undefined && counts) view.lease.read(beat.clock, now)
+		const isUsable = age === 0 || !view.lease.isClockKnown
+		if (beat.clock !== undefined && isUsable) view.lease.recordClock(beat.clock, now)
 		if (beat.remaining !== undefined) view.leavesAt = now + beat.remaining
 	}
 
@@ -121,8 +128,8 @@
 		this.context.log.info(LeaderEvent.WorkerJoined, { worker: id, address, dataCentre })
 		const at = epochOf(this.context)
 		this.context.proposals.propose({ kind: 'worker', worker, sequence, at }, () => {
-			const view = this.host.find(id)
-			if (view) this.note(view, heartbeat)
+			const view = this.delegate.find(id)
+			if (view) this.update(view, heartbeat)
 			if (view && heartbeat.draining) this.proposeDrain(view, heartbeat, done)
 			else done()
 		})
@@ -138,8 +145,8 @@
 }
 
 /** Which life a heartbeat is of: a record of before workers said when they started is of the life that says so first. */
-function identified(worker: Worker, named: Worker | undefined): Worker {
+function withKnownId(worker: Worker, named: Worker | undefined): Worker {
 	if (!named) return worker
-	const same = named.born === undefined || named.born === worker.born
-	return same ? { ...worker, id: named.id } : worker
+	const known = named.born === undefined || named.born === worker.born
+	return known ? { ...worker, id: named.id } : worker
 }
--- a/packages/jobs/src/lib/leader/workers/WorkerLosses.ts
+++ b/packages/jobs/src/lib/leader/workers/WorkerLosses.ts
@@ -19,7 +19,7 @@
  */
 export class WorkerLosses {
 	private readonly outages = new OutageDetector()
-	private readonly correlated = new CorrelatedLosses()
+	private readonly correlatedLosses = new CorrelatedLosses()
 	readonly reliability = new WorkerReliability()
 
 	/**
@@ -32,21 +32,21 @@
 	) {}
 
 	/** A worker was found silent, or another life of it answers. */
-	lost(view: WorkerView): void {
+	onLost(view: WorkerView): void {
 		view.lostAt = this.context.clock.now()
-		this.correlated.record(view)
+		this.correlatedLosses.record(view)
 		this.reliability.lost(view.id, view.lostAt)
 	}
 
 	/** A call to a worker did not come back; its data centre may be out of reach. */
-	missed({ id, worker: { dataCentre } }: WorkerView): void {
+	onMissedCall({ id, worker: { dataCentre } }: WorkerView): void {
 		let workers = 0
 		for (const { worker } of this.views.values()) if (worker.dataCentre === dataCentre) workers += 1
 		this.outages.onMissedCall(dataCentre, id, workers, this.context.clock.now())
 	}
 
 	/** A worker has answered. */
-	answered({ id, worker }: WorkerView): void {
+	onAnswered({ id, worker }: WorkerView): void {
 		this.outages.onAnswered(worker.dataCentre, id)
 	}
 
@@ -59,7 +59,7 @@
 	/** @returns what the end of a worker without a word says of what ran there. */
 	findingsOf(view: WorkerView): CrashFindings {
 		const findings: { [task: string]: CrashEvidence } = {}
-		const evidenceOf = this.evidenceOn(view)
+		const evidenceOf = this.evidenceFrom(view)
 		for (const run of view.runs.values()) {
 			const evidence = evidenceOf(run)
 			if (evidence) findings[run.text] = evidence
@@ -68,8 +68,8 @@
 	}
 
 	/** @returns what the loss of a worker says of the task of each run there; whether others were lost with it is looked up once. */
-	evidenceOn(view: WorkerView): (run: Run) => CrashEvidence | undefined {
-		const isCorrelated = this.correlated.isCorrelated(view, this.views.size)
+	evidenceFrom(view: WorkerView): (run: Run) => CrashEvidence | undefined {
+		const isCorrelated = this.correlatedLosses.isCorrelated(view, this.views.size)
 		return (run) => crashEvidenceOf(run, view, isCorrelated)
 	}
 }
--- a/packages/jobs/src/lib/leader/workers/WorkerPolls.ts
+++ b/packages/jobs/src/lib/leader/workers/WorkerPolls.ts
@@ -9,23 +9,23 @@
  * Workers from which polls wait longer. A third of all polls end without news, and with hundreds of workers they are most
  * of what the cell's instances do.
  */
-const MANY_WORKERS = 100
+const LONG_POLL_MIN_WORKERS = 100
 
 /**
  * Milliseconds by which an urgent run is late before its worker is asked beside the poll that waits there: a lost
  * poll hides the run's end for over a second, more than urgent work has in hand, and declared times are off by about as much as this.
  */
-const OVERDUE = 130
+const OVERDUE_MS = 130
 
 /** Milliseconds for which a worker's ends are waited for to be committed before it is polled again. */
-const MOST_COMMIT = 80
+const MAX_COMMIT_WAIT_MS = 80
 
 /** What polls need of the registry of workers. @internal */
-export interface PollHost {
+export interface PollDelegate {
 	/** @returns whether something about a worker is not known that a short poll tells. */
-	isUnclear(view: WorkerView, now: number): boolean
+	needsProbe(view: WorkerView, now: number): boolean
 	/** @param sentAt - when the poll was sent, on the leader's clock. */
-	polled(view: WorkerView, result: PollResult, sentAt: number): void
+	onPolled(view: WorkerView, result: PollResult, sentAt: number): void
 }
 
 /**
@@ -36,7 +36,7 @@
 export class WorkerPolls {
 	constructor(
 		private readonly context: LeaderContext,
-		private readonly host: PollHost
+		private readonly delegate: PollDelegate
 	) {}
 
 	/**
@@ -44,18 +44,19 @@
 	 * longest. All at once, as after a change of leader, they would keep the instance from its heartbeats for longer
 	 * than its lease.
 	 */
-	begin(views: Iterable<WorkerView>, now: number): void {
+	sendDue(views: Iterable<WorkerView>, now: number): void {
 		const unclear: WorkerView[] = []
 		for (const view of views) {
 			if (view.isEnding) continue
-			if (this.host.isUnclear(view, now)) unclear.push(view)
+			if (this.delegate.needsProbe(view, now)) unclear.push(view)
 			else if (isDueForPoll(view, now)) this.poll(view, now)
-			else if (isDueForProbe(view, now) && this.hidesNews(view, now)) this.probe(view, now)
+			else if (isDueForProbe(view, now) && this.needsProbeBesidePoll(view, now))
+				this.probe(view, now)
 		}
 		const due = unclear.filter((view) => isDueForPoll(view, now) || isDueForProbe(view, now))
-		const most = this.context.orders.firstPolls
-		if (due.length > most) due.sort((left, right) => left.lastAskedAt - right.lastAskedAt)
-		for (const view of due.slice(0, most)) {
+		const limit = this.context.orders.firstPolls
+		if (due.length > limit) due.sort((left, right) => left.lastAskedAt - right.lastAskedAt)
+		for (const view of due.slice(0, limit)) {
 			view.lastAskedAt = now
 			if (isDueForPoll(view, now)) this.poll(view, now)
 			else this.probe(view, now)
@@ -63,8 +64,8 @@
 	}
 
 	/** Whether the poll that is out would be a late word of something that matters. */
-	private hidesNews(view: WorkerView, now: number): boolean {
-		return hidesAnEnd(view, now) || hasUnconfirmedSurvival(view, now)
+	private needsProbeBesidePoll(view: WorkerView, now: number): boolean {
+		return hasOverdueRun(view, now) || hasUnconfirmedSurvival(view, now)
 	}
 
 	/** Waits for the next end, and renews the lease. */
@@ -73,7 +74,7 @@
 		const leaseUntil = view.isUnreachable || view.hasLeft ? undefined : view.lease.renew(now)
 		view.isPolling = true
 		view.pollDueAt = now + timing.retryPause
-		const wait = leaseUntil === undefined || !view.isListed ? 0 : this.waitAt(view)
+		const wait = leaseUntil === undefined || !view.isListed ? 0 : this.waitOf(view)
 		this.send(view, leaseUntil, wait, now, () => {
 			view.isPolling = false
 		})
@@ -93,26 +94,28 @@
 		leaseUntil: number | undefined,
 		wait: number,
 		sentAt: number,
-		answered: () => void
+		onAnswered: () => void
 	): void {
 		const { orders } = this.context
 		const order = { fence: view.fence, endsSeen: view.endsSeen(sentAt), leaseUntil, wait }
 		orders.poll(view.worker, order, (result) => {
-			answered()
-			this.host.polled(view, result, sentAt)
+			onAnswered()
+			this.delegate.onPolled(view, result, sentAt)
 		})
 	}
 
-	private waitAt(view: WorkerView): number {
+	private waitOf(view: WorkerView): number {
 		const { timing } = this.context
-		let serves = false
-		let bestEffort = false
+		let hasLatencyTarget = false
+		let hasBestEffort = false
 		for (const { step } of view.runs.values()) {
-			if (step.bestEffort) bestEffort = true
-			if (step.latencyTarget > 0) serves = true
+			if (step.bestEffort) hasBestEffort = true
+			if (step.latencyTarget > 0) hasLatencyTarget = true
 		}
-		if (serves && bestEffort) return timing.tightPollWait
-		return this.context.state.workers.size >= MANY_WORKERS ? timing.longPollWait : timing.pollWait
+		if (hasLatencyTarget && hasBestEffort) return timing.tightPollWait
+		return this.context.state.workers.size >= LONG_POLL_MIN_WORKERS
+			? timing.longPollWait
+			: timing.pollWait
 	}
 }
 
@@ -120,18 +123,18 @@
  * Whether an urgent run should have ended by now and the poll that would tell is still out. Its answer may be lost, which
  * shows only when its wait is over: urgent work has no time for that.
  */
-function hidesAnEnd(view: WorkerView, now: number): boolean {
+function hasOverdueRun(view: WorkerView, now: number): boolean {
 	if (!view.isPolling) return false
 	for (const run of view.runs.values()) {
-		const ends = run.urgent && run.phase === RunPhase.Running
-		if (ends && run.progress.overdue(now) > OVERDUE) return true
+		const isUrgentRunning = run.urgent && run.phase === RunPhase.Running
+		if (isUrgentRunning && run.progress.overdue(now) > OVERDUE_MS) return true
 	}
 	return false
 }
 
 function isDueForPoll(view: WorkerView, now: number): boolean {
 	if (view.runs.size === 0 || view.isPolling || now < view.pollDueAt) return false
-	return !isCommittingEnds(view) || now - view.listedAt >= MOST_COMMIT
+	return !isCommittingEnds(view) || now - view.listedAt >= MAX_COMMIT_WAIT_MS
 }
 
 /** Whether ends that it has listed are on their way to being committed: until they are named as seen, it lists them again at once. */
--- a/packages/jobs/src/lib/leader/workers/WorkerRegistry.ts
+++ b/packages/jobs/src/lib/leader/workers/WorkerRegistry.ts
@@ -24,17 +24,17 @@
 import { WorkerView } from './WorkerView'
 
 /** Names of tasks that one line tells, so that it stays short. */
-const MOST_NAMES = 20
+const MAX_LOGGED_TASKS = 20
 
 /** Milliseconds by which the calendars of two leaders may differ; the platform bounds it by as much. */
-const CALENDAR_ERROR = 5000
+const MAX_WALL_CLOCK_SKEW_MS = 5000
 /** Milliseconds by which answers that overtake each other may make a worker's clock seem to go back. */
-const CLOCK_STEP = 1000
+const MAX_CLOCK_REORDERING_MS = 1000
 
 /** Told of what polls bring. @internal */
 export interface PollListener {
 	/** @param sentAt - when the poll was sent, on the leader's clock. */
-	polled(view: WorkerView, result: PollResult & { kind: 'done' }, sentAt: number): void
+	onPolled(view: WorkerView, result: PollResult & { kind: 'done' }, sentAt: number): void
 }
 
 /**
@@ -53,8 +53,8 @@
 	private readonly lostRuns: LostRuns
 	private readonly heartbeats: WorkerHeartbeats
 	private readonly fences: FenceTokens
-	private readonly lives: IncarnationChanges
-	private readonly silentWorkers: SilentWorkerRecorder
+	private readonly incarnations: IncarnationChanges
+	private readonly silentRecorder: SilentWorkerRecorder
 
 	constructor(
 		private readonly context: LeaderContext,
@@ -62,30 +62,30 @@
 		private readonly listener: PollListener
 	) {
 		this.suspects = new SuspectRuns(context, accounts, (view, message, sentAt) =>
-			this.unanswered(view, message, sentAt)
+			this.onUnanswered(view, message, sentAt)
 		)
 		this.polls = new WorkerPolls(context, {
-			isUnclear: (view, now) => this.isUnclear(view, now),
-			polled: (view, result, sentAt) => this.polled(view, result, sentAt),
+			needsProbe: (view, now) => this.needsProbe(view, now),
+			onPolled: (view, result, sentAt) => this.onPolled(view, result, sentAt),
 		})
 		this.losses = new WorkerLosses(context, this.views)
 		this.lostRuns = new LostRuns(context, this.suspects, this.losses)
-		this.silentWorkers = new SilentWorkerRecorder(context)
+		this.silentRecorder = new SilentWorkerRecorder(context)
 		this.fences = new FenceTokens(context.term)
-		this.lives = new IncarnationChanges(context, this.fences, {
-			onIncarnationChanged: (view) => this.lifeChanged(view),
-			onUnanswered: (view, message, sentAt) => this.unanswered(view, message, sentAt),
+		this.incarnations = new IncarnationChanges(context, this.fences, {
+			onIncarnationChanged: (view) => this.onIncarnationChanged(view),
+			onUnanswered: (view, message, sentAt) => this.onUnanswered(view, message, sentAt),
 			onIncarnationEnded: (id, reason) => this.proposeGone(id, reason),
 		})
-		this.heartbeats = new WorkerHeartbeats(context, this.lives, {
+		this.heartbeats = new WorkerHeartbeats(context, this.incarnations, {
 			find: (id) => this.views.get(id),
-			over: (id, reason, done) => this.proposeGone(id, reason, done),
+			onIncarnationEnded: (id, reason, done) => this.proposeGone(id, reason, done),
 		})
 		for (const { worker, draining, silent, sequence = 0 } of context.state.workers.all()) {
 			const view = this.add(worker)
 			view.sequence = sequence
 			view.heartbeatAt -= silent ? context.timing.workerSilent : context.timing.workerQuiet
-			if (draining) this.draining(worker.id)
+			if (draining) this.onWorkerDraining(worker.id)
 		}
 	}
 
@@ -105,7 +105,7 @@
 	}
 
 	/** Sets the gauges of how many workers are in which state. */
-	measure(): void {
+	updateGauges(): void {
 		const counts = { open: 0, draining: 0, unreachable: 0, closed: 0 }
 		for (const view of this.views.values()) counts[this.stateOf(view)] += 1
 		for (const [state, count] of Object.entries(counts)) {
@@ -117,7 +117,7 @@
 		const { ledger, clock } = this.context
 		const known = this.views.get(worker.id)
 		const view =
-			known ?? new WorkerView(worker, this.firstLease(worker), this.fences.next(), clock.now())
+			known ?? new WorkerView(worker, this.createLease(worker), this.fences.next(), clock.now())
 		view.worker = worker
 		this.views.set(worker.id, view)
 		const { id, rack, capacity, slots } = worker
@@ -142,7 +142,7 @@
 	}
 
 	/** A worker has joined, or describes itself anew. */
-	joined(worker: Worker): void {
+	onWorkerJoined(worker: Worker): void {
 		const known = this.views.has(worker.id)
 		const view = this.add(worker)
 		// No earlier leader knew it, so none has ordered anything there; where its name may have been known, its list is read first.
@@ -150,16 +150,16 @@
 	}
 
 	/** A worker is leaving. */
-	draining(id: string): void {
+	onWorkerDraining(id: string): void {
 		const view = this.views.get(id)
 		if (view) view.isDraining = true
 	}
 
 	/** A worker has ended. */
-	gone(id: string): void {
+	onWorkerGone(id: string): void {
 		const view = this.views.get(id)
 		if (view) this.suspects.clear(view)
-		this.lives.onWorkerGone(id)
+		this.incarnations.onWorkerGone(id)
 		this.views.delete(id)
 		this.context.ledger.leave(id)
 		this.context.health.forget(id)
@@ -172,21 +172,21 @@
 	 * @param heartbeat - the heartbeat.
 	 * @param done - called once what it says is lasting, or with false when that can't be said.
 	 */
-	heartbeat(heartbeat: Heartbeat, done: (noted: boolean) => void): void {
-		this.heartbeats.take(heartbeat, done)
+	handleHeartbeat(heartbeat: Heartbeat, done: (noted: boolean) => void): void {
+		this.heartbeats.handle(heartbeat, done)
 	}
 
 	/** Another instance has heard a worker. */
-	heard(heard: HeardWorker): void {
-		this.heartbeats.heard(heard)
+	onHeartbeatRelayed(heard: HeardWorker): void {
+		this.heartbeats.onRelayed(heard)
 	}
 
 	/**
 	 * A worker says that it ends. It may live on until it hears that this was noted, so what it runs
 	 * counts as ended only once its lease is over.
 	 */
-	leave(id: string, done: () => void): void {
-		const view = this.leaving(id)
+	onWorkerLeaving(id: string, done: () => void): void {
+		const view = this.findLeaving(id)
 		if (view) {
 			view.hasLeft = true
 			view.isDraining = true
@@ -195,7 +195,7 @@
 	}
 
 	/** Which life a worker's word that it ends is of. Where it does not say, it is of one that had said that it leaves. */
-	private leaving(id: string): WorkerView | undefined {
+	private findLeaving(id: string): WorkerView | undefined {
 		const { name, born } = parseIncarnation(id)
 		const view = this.views.get(this.context.state.workers.named(name)?.worker.id ?? '')
 		if (!view || isOtherLife(view.worker.born, born)) return undefined
@@ -205,9 +205,9 @@
 
 	/** Polls of workers that are due, and gives up what a silent one can no longer run. */
 	tick(now: number): void {
-		this.silentWorkers.tick(this.views.values(), now)
-		this.lives.tick(now)
-		this.polls.begin(this.views.values(), now)
+		this.silentRecorder.tick(this.views.values(), now)
+		this.incarnations.tick(now)
+		this.polls.sendDue(this.views.values(), now)
 		for (const view of this.views.values()) {
 			if (view.isUnreachable) this.lostRuns.giveUpCopies(view, now)
 			if (!view.isUnreachable) this.suspects.settle(view)
@@ -224,26 +224,27 @@
 	}
 
 	/** A worker has answered a call; `clock` is its own clock, where it told it. */
-	answered(view: WorkerView, clock: number | undefined): void {
+	onAnswered(view: WorkerView, clock: number | undefined): void {
 		const now = this.context.clock.now()
 		if (view.isUnreachable) this.context.log.info(LeaderEvent.WorkerRegained, { worker: view.id })
 		view.isUnreachable = false
 		view.answeredAt = now
-		this.losses.answered(view)
+		this.losses.onAnswered(view)
 		if (clock === undefined) return
 		// A clock that went back is another life's; its list tells.
-		if (view.clockReading && clock < view.clockReading.value - CLOCK_STEP) view.pollDueAt = 0
-		view.lease.read(clock, now)
+		if (view.clockReading && clock < view.clockReading.value - MAX_CLOCK_REORDERING_MS)
+			view.pollDueAt = 0
+		view.lease.recordClock(clock, now)
 		view.clockReading = { value: clock, at: now }
 	}
 
 	/** A call that was sent at this moment got no answer. */
-	unanswered(view: WorkerView, message: string, sentAt: number): void {
+	onUnanswered(view: WorkerView, message: string, sentAt: number): void {
 		if (sentAt < view.answeredAt) return
 		const { id, address, dataCentre } = view.worker
 		if (view.isUnreachable) return
 		const now = this.context.clock.now()
-		this.losses.missed(view)
+		this.losses.onMissedCall(view)
 		this.context.log.warn(LeaderEvent.WorkerLost, {
 			worker: id,
 			address,
@@ -251,10 +252,10 @@
 			reason: message,
 			runs: view.runs.size,
 			heartbeatAge: Math.round(now - view.heartbeatAt),
-			leaseLeft: Math.round(view.lease.endsBy - now),
+			leaseLeft: Math.round(view.lease.endsAt - now),
 		})
 		view.isUnreachable = true
-		this.losses.lost(view)
+		this.losses.onLost(view)
 		view.probeDueAt = 0
 	}
 
@@ -262,7 +263,7 @@
 	 * Takes up the runs that an earlier leader gave up on workers that were silent, and may be still: they take room and
 	 * quota until the worker has stopped them, or its lease is certainly over.
 	 */
-	restoreGivenUp(job: JobRecord): void {
+	restoreAbandonedRuns(job: JobRecord): void {
 		for (const { text, task } of tasksOf(job)) {
 			for (const { worker } of task.silent ?? []) {
 				const view = this.views.get(worker)
@@ -272,21 +273,21 @@
 	}
 
 	/** A worker lists a run that it should not have: of a job that ended, or given up earlier. */
-	foundStray(view: WorkerView, task: string, attempt: number): void {
+	onStrayRun(view: WorkerView, task: string, attempt: number): void {
 		this.suspects.raise(view, task, attempt)
 		this.suspects.settle(view)
 	}
 
 	/** Another life answers in a worker's place: what it holds of this one's runs has to end before they may begin elsewhere. */
-	private lifeChanged(view: WorkerView): void {
+	private onIncarnationChanged(view: WorkerView): void {
 		view.isEnding = true
 		// Workers that have started again together were not ended by a task.
-		if (!view.isUnreachable) this.losses.lost(view)
+		if (!view.isUnreachable) this.losses.onLost(view)
 		this.context.log.info(LeaderEvent.WorkerRestarted, { worker: view.id, runs: view.runs.size })
 	}
 
 	/** A worker has refused an order since it has seen a higher fence: of a later leader, unless another life has seen one of this leader. */
-	fenced(view: WorkerView): void {
+	onFenced(view: WorkerView): void {
 		if (this.views.get(view.id) === view && !view.isEnding) this.context.deposed()
 	}
 
@@ -306,7 +307,7 @@
 	 * Runs were given up while it was silent; that it answers is kept, since it tells that they did it no harm. An answer to an earlier
 	 * call may have been made before it crashed.
 	 */
-	private noteAnswer(view: WorkerView, sentAt: number): void {
+	private proposeAnswered(view: WorkerView, sentAt: number): void {
 		const { state, proposals } = this.context
 		if (view.isRecordingAnswer || sentAt < view.runsAbandonedAt || !state.jobs.isAwaited(view.id))
 			return
@@ -315,64 +316,64 @@
 	}
 
 	/** Whether something about it is not known that a short poll tells. */
-	private isUnclear(view: WorkerView, now: number): boolean {
+	private needsProbe(view: WorkerView, now: number): boolean {
 		const { isUnreachable: unreachable, suspects, lease, isListed: listed } = view
-		const unknown = !lease.known || !listed || this.context.state.jobs.isAwaited(view.id)
-		return unreachable || suspects.size > 0 || unknown || this.losses.isSuspect(view, now)
+		const isUnknown = !lease.isClockKnown || !listed || this.context.state.jobs.isAwaited(view.id)
+		return unreachable || suspects.size > 0 || isUnknown || this.losses.isSuspect(view, now)
 	}
 
-	private polled(view: WorkerView, result: PollResult, sentAt: number): void {
+	private onPolled(view: WorkerView, result: PollResult, sentAt: number): void {
 		if (this.views.get(view.id) !== view) return
 		switch (result.kind) {
 			case 'done':
 				if (isOtherLife(view.worker.born, result.born))
-					return this.lives.onOtherIncarnation(view, view.worker)
-				this.answered(view, result.clock)
+					return this.incarnations.onOtherIncarnation(view, view.worker)
+				this.onAnswered(view, result.clock)
 				view.isListed = true
 				view.listedAt = this.context.clock.now()
 				view.liveness.onList(result.clock, sentAt, view.listedAt)
 				view.pollDueAt = 0
-				this.noteAnswer(view, sentAt)
+				this.proposeAnswered(view, sentAt)
 				this.takeEnds(view, result.ended)
 				this.suspects.drop(view, result.running, sentAt)
-				this.listener.polled(view, result, sentAt)
+				this.listener.onPolled(view, result, sentAt)
 				return
 			case 'refused':
-				this.answered(view, result.clock)
-				if (result.reason === 'fence') this.fenced(view)
+				this.onAnswered(view, result.clock)
+				if (result.reason === 'fence') this.onFenced(view)
 				return
 			case 'other-incarnation':
 				this.proposeGone(view.id, WorkerEnd.OtherIncarnation)
 				return
 			case 'not-carried':
-				return this.notCarried(view)
+				return this.onNotCarried(view)
 			case 'unknown':
-				this.unanswered(view, result.message, sentAt)
+				this.onUnanswered(view, result.message, sentAt)
 		}
 	}
 
 	/** Asks again at once. Its data centre may be out of reach with the instance that was to carry the poll. */
-	private notCarried(view: WorkerView): void {
-		this.losses.missed(view)
+	private onNotCarried(view: WorkerView): void {
+		this.losses.onMissedCall(view)
 		view.pollDueAt = 0
 		view.probeDueAt = 0
 	}
 
 	/** Ends are committed before the worker is told that they were seen. */
 	private takeEnds(view: WorkerView, ended: readonly ListedEnd[]): void {
-		const fresh = ended.filter((end) => end.number > view.endsProposed)
-		this.tellPassedOver(view, ended)
-		if (fresh.length === 0) return
-		const last = Math.max(...fresh.map((end) => end.number))
+		const newEnds = ended.filter((end) => end.number > view.endsProposed)
+		this.logEndsPassedOver(view, ended)
+		if (newEnds.length === 0) return
+		const last = Math.max(...newEnds.map((end) => end.number))
 		view.endsProposed = last
-		const runs = endsOf(fresh)
+		const runs = endsOf(newEnds)
 		this.context.proposals.propose({ kind: 'end', runs, at: epochOf(this.context) }, () => {
 			view.endsCommitted = Math.max(view.endsCommitted, last)
 		})
 	}
 
 	/** Ends that were taken before, of runs that still count as going on, are of another worker than is believed. */
-	private tellPassedOver(view: WorkerView, ended: readonly ListedEnd[]): void {
+	private logEndsPassedOver(view: WorkerView, ended: readonly ListedEnd[]): void {
 		const numbers = ended
 			.filter(({ number, task, attempt }) => {
 				const isTaken = number <= view.endsCommitted
@@ -391,11 +392,12 @@
 	 * Earlier leaders may have granted a whole lease just before they lost their place. And a worker that has just started again may have been
 	 * granted one by its earlier life's clock, which it keeps for as long as it keeps anything.
 	 */
-	private firstLease({ id, born }: Worker): Lease {
+	private createLease({ id, born }: Worker): Lease {
 		const { timing, clock, state } = this.context
 		const since = state.workers.find(id)?.joinedAt
 		const isNew =
-			since !== undefined && epochOf(this.context) - since < timing.longestLease + CALENDAR_ERROR
+			since !== undefined &&
+			epochOf(this.context) - since < timing.longestLease + MAX_WALL_CLOCK_SKEW_MS
 		const granted = born !== undefined && isNew ? timing.longestLease : timing.lease
 		const longest = granted / (1 - timing.clockDrift) + timing.leaseMargin
 		return new Lease(timing, clock.now() + longest)
@@ -403,5 +405,5 @@
 }
 
 function namesOf(tasks: Iterable<string>): string {
-	return [...tasks].slice(0, MOST_NAMES).join(' ')
+	return [...tasks].slice(0, MAX_LOGGED_TASKS).join(' ')
 }
