--- a/packages/jobs/src/lib/records/Job.ts
+++ b/packages/jobs/src/lib/records/Job.ts
@@ -38,7 +38,7 @@
 }
 
 /** What a step is unless its description says otherwise. @public */
-export const PLAIN_STEP: Step = {
+export const DEFAULT_STEP: Step = {
 	count: 1,
 	need: { cpu: 0, memory: 0, accelerators: 0 },
 	expectedTime: 0,
--- a/packages/jobs/src/lib/records/checkJob.ts
+++ b/packages/jobs/src/lib/records/checkJob.ts
@@ -3,15 +3,15 @@
 import type { JobRequest, Step } from './Job'
 
 /** Bytes of the text that a task is started with. @public */
-export const MOST_SPEC_BYTES = 4000
+export const MAX_SPEC_BYTES = 4000
 /** Steps of one job; bounds what one submission can make a leader keep. @public */
-export const MOST_STEPS = 64
+export const MAX_STEPS = 64
 /** Tasks of one step, for the same reason. @public */
-export const MOST_TASKS = 2000
+export const MAX_TASKS_PER_STEP = 2000
 /** Times that a job may repeat, for the same reason. @public */
-export const MOST_REPEATS = 1000
+export const MAX_REPEATS = 1000
 /** Tasks of all steps and repeats of a job together; a kept task takes about 100 bytes. @public */
-export const MOST_TASKS_IN_ALL = 20_000
+export const MAX_TASKS_PER_JOB = 20_000
 
 /** @returns how many tasks a job has in all its steps and repeats. @public */
 export function countTasks({ steps, repeat }: JobRequest): number {
@@ -29,17 +29,17 @@
 	const add = (path: string, message: string): void => {
 		findings.push({ place: { source: 'job', path }, message })
 	}
-	if (Buffer.byteLength(job.spec) > MOST_SPEC_BYTES) {
-		add('spec', `is longer than ${MOST_SPEC_BYTES} bytes`)
+	if (Buffer.byteLength(job.spec) > MAX_SPEC_BYTES) {
+		add('spec', `is longer than ${MAX_SPEC_BYTES} bytes`)
 	}
 	if (job.steps.length === 0) add('steps', 'has no step')
-	if (job.steps.length > MOST_STEPS) add('steps', `has more than ${MOST_STEPS} steps`)
+	if (job.steps.length > MAX_STEPS) add('steps', `has more than ${MAX_STEPS} steps`)
 	job.steps.forEach((step, index) => checkStep(step, index, add))
-	if (countTasks(job) > MOST_TASKS_IN_ALL) {
-		add('steps', `have more than ${MOST_TASKS_IN_ALL} tasks in all repeats`)
+	if (countTasks(job) > MAX_TASKS_PER_JOB) {
+		add('steps', `have more than ${MAX_TASKS_PER_JOB} tasks in all repeats`)
 	}
 	const { repeat } = job
-	if (repeat && repeat.count > MOST_REPEATS) add('repeat', `is more than ${MOST_REPEATS} times`)
+	if (repeat && repeat.count > MAX_REPEATS) add('repeat', `is more than ${MAX_REPEATS} times`)
 	if (repeat && repeat.interval < 0) add('repeat', 'has an interval below 0')
 	return findings
 }
@@ -47,7 +47,7 @@
 function checkStep(step: Step, index: number, add: (path: string, message: string) => void): void {
 	const path = `steps[${index}]`
 	if (!Number.isInteger(step.count) || step.count < 1) add(path, 'has no task')
-	if (step.count > MOST_TASKS) add(path, `has more than ${MOST_TASKS} tasks`)
+	if (step.count > MAX_TASKS_PER_STEP) add(path, `has more than ${MAX_TASKS_PER_STEP} tasks`)
 	const { cpu, memory, accelerators } = step.need
 	if (cpu < 0 || memory < 0 || accelerators < 0) add(path, 'asks for less than nothing')
 	for (const earlier of step.dependsOn) {
--- a/packages/jobs/src/lib/speeds/speedFit.test.ts
+++ b/packages/jobs/src/lib/speeds/speedFit.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
-import { PLAIN_STEP, type Step } from '../records/Job'
+import { DEFAULT_STEP, type Step } from '../records/Job'
 import type { Option } from '../leader/steps/chooseForStep'
 import type { StepWork } from '../leader/steps/StepWork'
 import { atLikeSpeed, speedScore } from './speedFit'
@@ -14,7 +14,7 @@
 	const deadline = NOW + slack + EXPECTED
 	const times = { deadline, usefulUntil: deadline + 10_000, remaining: EXPECTED }
 	return {
-		step: { ...PLAIN_STEP, expectedTime: EXPECTED, ...step },
+		step: { ...DEFAULT_STEP, expectedTime: EXPECTED, ...step },
 		times,
 		urgency: { latestStart: NOW + slack },
 		waited: () => waited,
--- a/packages/jobs/src/lib/testing/samples.ts
+++ b/packages/jobs/src/lib/testing/samples.ts
@@ -1,7 +1,7 @@
 /** Jobs, queues and workers for tests. */
 import { digestOf, type ClientAccount } from '../accounts/ClientAccount'
 import type { Queue, Worker } from '../records/Cell'
-import { PLAIN_STEP, type JobRequest, type Step } from '../records/Job'
+import { DEFAULT_STEP, type JobRequest, type Step } from '../records/Job'
 
 /** A queue without advice. */
 export const QUEUE: Queue = {
@@ -23,7 +23,7 @@
 
 /** A plain step of one small task, which takes as long as a test may last. */
 export const STEP: Step = {
-	...PLAIN_STEP,
+	...DEFAULT_STEP,
 	need: { cpu: 1000, memory: 512, accelerators: 0 },
 	expectedTime: 30_000,
 }
--- a/packages/member/src/lib/ProductServer.ts
+++ b/packages/member/src/lib/ProductServer.ts
@@ -2,7 +2,7 @@
 import {
 	checkJob,
 	digestOf,
-	PLAIN_STEP,
+	DEFAULT_STEP,
 	type CellCall,
 	type CellReply,
 	type Destination,
@@ -121,12 +121,12 @@
 	if (typeof step !== 'object' || step === null) return undefined
 	const given = step as { readonly [field: string]: unknown }
 	for (const [field, value] of Object.entries(given)) {
-		const plain = (PLAIN_STEP as unknown as { readonly [field: string]: unknown })[field]
+		const plain = (DEFAULT_STEP as unknown as { readonly [field: string]: unknown })[field]
 		if (typeof plain !== typeof value || Array.isArray(plain) !== Array.isArray(value)) {
 			return undefined
 		}
 	}
-	return { ...PLAIN_STEP, ...given, need: { ...PLAIN_STEP.need, ...(given.need as object) } }
+	return { ...DEFAULT_STEP, ...given, need: { ...DEFAULT_STEP.need, ...(given.need as object) } }
 }
 
 function toAnswer(reply: CellReply): HttpAnswer {
--- a/packages/runs/src/lib/jobs/CompetingAccounts.ts
+++ b/packages/runs/src/lib/jobs/CompetingAccounts.ts
@@ -4,7 +4,7 @@
  */
 import {
 	digestOf,
-	PLAIN_STEP,
+	DEFAULT_STEP,
 	type ClientAccount,
 	type JobRecord,
 	type JobRequest,
@@ -61,7 +61,7 @@
 	request(random: Random): JobRequest {
 		const gang = random.chance(0.2)
 		const step = {
-			...PLAIN_STEP,
+			...DEFAULT_STEP,
 			count: gang ? random.integer(3, 6) : random.integer(1, 4),
 			need: { cpu: random.integer(500, 1500), memory: random.integer(128, 1500), accelerators: 0 },
 			expectedTime: random.integer(500, 2000),
--- a/packages/runs/src/lib/jobs/randomJob.ts
+++ b/packages/runs/src/lib/jobs/randomJob.ts
@@ -1,5 +1,5 @@
 /** Jobs as clients might hand them in: small graphs with everything that a step can ask for. */
-import { PLAIN_STEP, type JobRequest, type Step } from '@rillrudder/jobs'
+import { DEFAULT_STEP, type JobRequest, type Step } from '@rillrudder/jobs'
 import type { Random } from '@rillrudder/utils'
 
 /** Labels of the workers' kinds. @internal */
@@ -37,7 +37,7 @@
  */
 export function wideGang(random: Random): JobRequest {
 	const step: Step = {
-		...PLAIN_STEP,
+		...DEFAULT_STEP,
 		count: random.integer(5, 36),
 		need: { cpu: 1300, memory: 512, accelerators: 0 },
 		expectedTime: random.integer(800, 2500),
@@ -51,7 +51,7 @@
 	const gang = random.chance(0.15)
 	const earlier = Array.from({ length: number }, (_, at) => at)
 	return {
-		...PLAIN_STEP,
+		...DEFAULT_STEP,
 		count: gang ? random.integer(2, 4) : random.integer(1, 6),
 		need: { cpu: random.integer(200, 1500), memory: random.integer(128, 1500), accelerators: 0 },
 		expectedTime: random.integer(200, 2500),
@@ -69,7 +69,7 @@
 
 function lastingStep(random: Random): Step {
 	return {
-		...PLAIN_STEP,
+		...DEFAULT_STEP,
 		count: random.integer(1, 4),
 		need: { cpu: 500, memory: 256, accelerators: 0 },
 		expectedTime: 400,
