--- a/packages/jobs/src/lib/leader/workers/IncarnationChanges.ts
+++ b/packages/jobs/src/lib/leader/workers/IncarnationChanges.ts
@@ -9,7 +9,7 @@
  * elsewhere; otherwise they would run twice.
  */
 import type { Worker } from '../../records/Cell'
-import { isOtherLife } from '../../records/Incarnation'
+import { isOtherIncarnation } from '../../records/Incarnation'
 import { endsOf } from '../runs/endsOf'
 import type { FenceTokens } from './FenceTokens'
 import { epochOf, type LeaderContext } from '../LeaderContext'
@@ -144,7 +144,7 @@
 				this.delegate.onIncarnationEnded(known.id, WorkerEnd.Replaced)
 				return done(Occupant.Other)
 			case 'done':
-				if (!isOtherLife(known.worker.born, result.born)) return done(Occupant.Known)
+				if (!isOtherIncarnation(known.worker.born, result.born)) return done(Occupant.Known)
 				return this.onOtherIncarnation(known, target, () => done(Occupant.Other))
 			case 'refused':
 				return done(known.worker.born === undefined ? Occupant.Known : Occupant.Unclear)
--- a/packages/jobs/src/lib/leader/workers/WorkerRegistry.ts
+++ b/packages/jobs/src/lib/leader/workers/WorkerRegistry.ts
@@ -11,7 +11,7 @@
 import { endsOf } from '../runs/endsOf'
 import { FenceTokens } from './FenceTokens'
 import { IncarnationChanges } from './IncarnationChanges'
-import { isOtherLife, parseIncarnation } from '../../records/Incarnation'
+import { isOtherIncarnation, parseIncarnation } from '../../records/Incarnation'
 import type { JobRecord } from '../../state/JobRecord'
 import { tasksOf } from '../../state/JobTable'
 import { StallWatch } from '../../placement/StallWatch'
@@ -198,7 +198,7 @@
 	private findLeaving(id: string): WorkerView | undefined {
 		const { name, born } = parseIncarnation(id)
 		const view = this.views.get(this.context.state.workers.named(name)?.worker.id ?? '')
-		if (!view || isOtherLife(view.worker.born, born)) return undefined
+		if (!view || isOtherIncarnation(view.worker.born, born)) return undefined
 		const unclear = view.worker.born !== undefined && born === undefined
 		return unclear && !view.isDraining ? undefined : view
 	}
@@ -326,7 +326,7 @@
 		if (this.views.get(view.id) !== view) return
 		switch (result.kind) {
 			case 'done':
-				if (isOtherLife(view.worker.born, result.born))
+				if (isOtherIncarnation(view.worker.born, result.born))
 					return this.incarnations.onOtherIncarnation(view, view.worker)
 				this.onAnswered(view, result.clock)
 				view.isListed = true
--- a/packages/jobs/src/lib/records/Incarnation.ts
+++ b/packages/jobs/src/lib/records/Incarnation.ts
@@ -13,16 +13,16 @@
 }
 
 /** Between name and moment of start; no name of a worker has it. @public */
-export const INCARNATION_MARK = '@'
+export const INCARNATION_SEPARATOR = '@'
 
 /** @returns the id of a life as text; `parseIncarnation` reads it back. @public */
 export function formatIncarnation({ name, born }: Incarnation): string {
-	return born === undefined ? name : `${name}${INCARNATION_MARK}${born}`
+	return born === undefined ? name : `${name}${INCARNATION_SEPARATOR}${born}`
 }
 
 /** @returns the life that an id names. @public */
 export function parseIncarnation(id: string): Incarnation {
-	const at = id.indexOf(INCARNATION_MARK)
+	const at = id.indexOf(INCARNATION_SEPARATOR)
 	if (at < 0) return { name: id }
 	return { name: id.slice(0, at), born: Number(id.slice(at + 1)) }
 }
@@ -38,6 +38,9 @@
  * @returns whether another life answered. Which of two is the later one can't be told from these moments: calendars are set.
  * @public
  */
-export function isOtherLife(expected: number | undefined, answered: number | undefined): boolean {
+export function isOtherIncarnation(
+	expected: number | undefined,
+	answered: number | undefined
+): boolean {
 	return expected !== undefined && answered !== undefined && expected !== answered
 }
