--- a/packages/jobs/src/lib/leader/runs/RunController.ts
+++ b/packages/jobs/src/lib/leader/runs/RunController.ts
@@ -213,7 +213,7 @@
 		meter.count(Measure.RunsEnded, { how })
 		if (how === RunEnd.Done) health.succeeded(worker)
 		if (how === RunEnd.Failed) health.failed(worker, name.job, clock.now())
-		if (how === RunEnd.Failed || how === RunEnd.Lapsed)
+		if (how === RunEnd.Failed || how === RunEnd.LeaseExpired)
 			this.workers.losses.reliability.failed(worker, clock.now())
 		this.noteGangEnds(run)
 		this.gangs.ended(run, how === RunEnd.Done)
--- a/packages/jobs/src/lib/leader/runs/WastedWork.ts
+++ b/packages/jobs/src/lib/leader/runs/WastedWork.ts
@@ -55,9 +55,9 @@
 
 const CAUSE_OF_END: { readonly [how in RunEnd]?: WasteCause } = {
 	[RunEnd.Failed]: WasteCause.Failed,
-	[RunEnd.Broken]: WasteCause.Broken,
-	[RunEnd.Alone]: WasteCause.Alone,
-	[RunEnd.Lapsed]: WasteCause.Lapsed,
+	[RunEnd.GangMemberEnded]: WasteCause.Broken,
+	[RunEnd.GangTimeout]: WasteCause.Alone,
+	[RunEnd.LeaseExpired]: WasteCause.Lapsed,
 	[RunEnd.Lost]: WasteCause.Lost,
 }
 
--- a/packages/jobs/src/lib/records/Job.ts
+++ b/packages/jobs/src/lib/records/Job.ts
@@ -96,11 +96,11 @@
 	/** By an order. */
 	Stopped: 'stopped',
 	/** Its worker's lease ran out. */
-	Lapsed: 'lapsed',
+	LeaseExpired: 'lapsed',
 	/** Another member of its gang ended. */
-	Broken: 'broken',
+	GangMemberEnded: 'broken',
 	/** It waited too long for the other members of its gang. */
-	Alone: 'alone',
+	GangTimeout: 'alone',
 	/** Its worker is gone, or its lease is certainly over, and nothing was heard of it. */
 	Lost: 'lost',
 	/** Its worker refused to start it, and never will. */
--- a/packages/jobs/src/lib/state/JobTable.test.ts
+++ b/packages/jobs/src/lib/state/JobTable.test.ts
@@ -76,7 +76,13 @@
 
 test('ends that are no failures do not count as attempts', () => {
 	const subject = new Subject(jobOf({}))
-	const harmless = [RunEnd.Stopped, RunEnd.Lapsed, RunEnd.Lost, RunEnd.Refused, RunEnd.Alone]
+	const harmless = [
+		RunEnd.Stopped,
+		RunEnd.LeaseExpired,
+		RunEnd.Lost,
+		RunEnd.Refused,
+		RunEnd.GangTimeout,
+	]
 	harmless.forEach((how, index) => {
 		subject.begin('0.0', index + 1)
 		subject.end('0.0', how, index + 1)
@@ -118,7 +124,7 @@
 })
 
 test('a task whose earlier run turned out done begins no more, however its later run ends', () => {
-	for (const how of [RunEnd.Stopped, RunEnd.Failed, RunEnd.Lost, RunEnd.Lapsed]) {
+	for (const how of [RunEnd.Stopped, RunEnd.Failed, RunEnd.Lost, RunEnd.LeaseExpired]) {
 		const subject = new Subject(jobOf({}))
 		subject.begin('0.0')
 		subject.end('0.0', RunEnd.Lost)
--- a/packages/runs/src/lib/jobs/FleetWorker.ts
+++ b/packages/runs/src/lib/jobs/FleetWorker.ts
@@ -305,7 +305,7 @@
 		this.leased = false
 		const tasks = this.ended.map((end) => end.task)
 		this.parts.witness.lapsed(this.worker.id, tasks)
-		for (const run of [...this.runs.values()]) this.finish(run, RunEnd.Lapsed)
+		for (const run of [...this.runs.values()]) this.finish(run, RunEnd.LeaseExpired)
 	}
 
 	private extend(until: number): void {
@@ -336,7 +336,7 @@
 	/** How far a run has got; nothing while a gang is not complete. */
 	private percentOf({ step, works, endsAt, endsAs }: FleetRun): number {
 		if (step.lasting) return 100
-		if (!Number.isFinite(endsAt) || endsAs === RunEnd.Alone) return 0
+		if (!Number.isFinite(endsAt) || endsAs === RunEnd.GangTimeout) return 0
 		const left = (endsAt - this.parts.clock.now()) / Math.max(1, works)
 		return Math.floor(Math.min(1, Math.max(0, 1 - left)) * 100)
 	}
