--- a/packages/jobs/src/lib/leader/runs/gangAttempt.test.ts
+++ b/packages/jobs/src/lib/leader/runs/gangAttempt.test.ts
@@ -120,7 +120,7 @@
 	subject.worker('w2').replaced = true
 	subject.proposals.held = false
 	// The end of the worker comes to the log before the gang.
-	subject.state.workers.leave('w2')
+	subject.state.workers.remove('w2')
 	subject.proposals.commit()
 	subject.run(SOON, ...OTHERS)
 	assert.deepEqual(started(subject, 1), [])
--- a/packages/jobs/src/lib/leader/workers/IncarnationChanges.test.ts
+++ b/packages/jobs/src/lib/leader/workers/IncarnationChanges.test.ts
@@ -133,7 +133,7 @@
 	worker.address = 'elsewhere:80'
 	subject.heartbeat(WORKER, { address: worker.address })
 	subject.run(2000, OTHER)
-	const life = subject.state.workers.named(WORKER)?.worker
+	const life = subject.state.workers.findByName(WORKER)?.worker
 	assert.equal(life?.born, FIRST + 5000)
 	assert.equal(life.address, worker.address)
 	assert.equal(other.running.length + worker.running.length, 1)
@@ -173,7 +173,7 @@
 	subject.heartbeat(WORKER, { id: WORKER, born: undefined })
 	subject.run(3000, WORKER, OTHER)
 	assert.deepEqual(knownLives(subject), lives)
-	assert.equal(subject.state.workers.named(WORKER)?.worker.address, `${WORKER}:80`)
+	assert.equal(subject.state.workers.findByName(WORKER)?.worker.address, `${WORKER}:80`)
 	assert.equal(subject.startCount, 1)
 })
 
@@ -186,7 +186,7 @@
 	worker.born = FIRST
 	subject.run(3000, WORKER)
 	assert.deepEqual(knownLives(subject), [WORKER])
-	assert.equal(subject.state.workers.named(WORKER)?.worker.born, FIRST)
+	assert.equal(subject.state.workers.findByName(WORKER)?.worker.born, FIRST)
 	assert.equal(subject.startCount, 1)
 	subject.restart(WORKER)
 	subject.run(3000, WORKER)
--- a/packages/jobs/src/lib/leader/workers/WorkerHeartbeats.ts
+++ b/packages/jobs/src/lib/leader/workers/WorkerHeartbeats.ts
@@ -40,7 +40,7 @@
 	 */
 	handle(heartbeat: Heartbeat, done: (isRecorded: boolean) => void): void {
 		const { workers } = this.context.state
-		const named = workers.named(workerNameOf(heartbeat.worker.id))?.worker
+		const named = workers.findByName(workerNameOf(heartbeat.worker.id))?.worker
 		const worker = withKnownId(heartbeat.worker, named)
 		if (workers.isGone(worker.id)) return done(true)
 		// It does not say which life it is of, so it says nothing of the one that is known.
@@ -49,7 +49,7 @@
 		const known = this.delegate.find(worker.id)
 		if (known && !isSamePlace(known.worker, worker)) return this.ignore(worker, done)
 		const identified = { ...heartbeat, worker }
-		const others = [workers.at(worker.address)?.worker, named]
+		const others = [workers.findByAddress(worker.address)?.worker, named]
 		const earlier = others.find((other) => other !== undefined && other.id !== worker.id)
 		const occupant = this.delegate.find(earlier?.id ?? '')
 		if (occupant) this.resolveClaim(occupant, identified, done)
--- a/packages/jobs/src/lib/leader/workers/WorkerRegistry.ts
+++ b/packages/jobs/src/lib/leader/workers/WorkerRegistry.ts
@@ -197,7 +197,7 @@
 	/** Which life a worker's word that it ends is of. Where it does not say, it is of one that had said that it leaves. */
 	private findLeaving(id: string): WorkerView | undefined {
 		const { name, born } = parseIncarnation(id)
-		const view = this.views.get(this.context.state.workers.named(name)?.worker.id ?? '')
+		const view = this.views.get(this.context.state.workers.findByName(name)?.worker.id ?? '')
 		if (!view || isOtherIncarnation(view.worker.born, born)) return undefined
 		const unclear = view.worker.born !== undefined && born === undefined
 		return unclear && !view.isDraining ? undefined : view
@@ -309,7 +309,11 @@
 	 */
 	private proposeAnswered(view: WorkerView, sentAt: number): void {
 		const { state, proposals } = this.context
-		if (view.isRecordingAnswer || sentAt < view.runsAbandonedAt || !state.jobs.isAwaited(view.id))
+		if (
+			view.isRecordingAnswer ||
+			sentAt < view.runsAbandonedAt ||
+			!state.jobs.hasUnresolvedRuns(view.id)
+		)
 			return
 		view.isRecordingAnswer = true
 		proposals.propose({ kind: 'answered', worker: view.id }, () => (view.isRecordingAnswer = false))
@@ -318,7 +322,8 @@
 	/** Whether something about it is not known that a short poll tells. */
 	private needsProbe(view: WorkerView, now: number): boolean {
 		const { isUnreachable: unreachable, suspects, lease, isListed: listed } = view
-		const isUnknown = !lease.isClockKnown || !listed || this.context.state.jobs.isAwaited(view.id)
+		const isUnknown =
+			!lease.isClockKnown || !listed || this.context.state.jobs.hasUnresolvedRuns(view.id)
 		return unreachable || suspects.size > 0 || isUnknown || this.losses.isSuspect(view, now)
 	}
 
--- a/packages/jobs/src/lib/state/CellState.test.ts
+++ b/packages/jobs/src/lib/state/CellState.test.ts
@@ -109,8 +109,8 @@
 	)
 	state.apply(encodeCommands([{ kind: 'gone', worker: 'w1@5', at: 2 }]))
 	state.apply(encodeCommands([{ kind: 'worker', worker: second }]))
-	assert.equal(state.workers.named('w1')?.worker.id, 'w1@9')
-	assert.equal(state.workers.at('h:1')?.worker.id, 'w1@9')
+	assert.equal(state.workers.findByName('w1')?.worker.id, 'w1@9')
+	assert.equal(state.workers.findByAddress('h:1')?.worker.id, 'w1@9')
 })
 
 test('a snapshot of before workers said when they started is read, and its workers have no birth', () => {
@@ -118,8 +118,8 @@
 	const snapshot = JSON.parse(Buffer.from(state.snapshot()).toString()) as object
 	const older = new CellState()
 	older.restore(Buffer.from(JSON.stringify({ ...snapshot, version: 2 })))
-	assert.equal(older.workers.named('w1')?.worker.born, undefined)
-	assert.equal(older.workers.named('w1')?.worker.id, 'w1')
+	assert.equal(older.workers.findByName('w1')?.worker.born, undefined)
+	assert.equal(older.workers.findByName('w1')?.worker.id, 'w1')
 	const later = { ...snapshot, version: SNAPSHOT_VERSION + 1 }
 	assert.throws(() => older.restore(Buffer.from(JSON.stringify(later))))
 })
--- a/packages/jobs/src/lib/state/CellState.ts
+++ b/packages/jobs/src/lib/state/CellState.ts
@@ -38,7 +38,7 @@
  * @public
  */
 export class CellState extends StateMachine {
-	readonly jobs = new JobTable((change) => this.changed(change))
+	readonly jobs = new JobTable((change) => this.notifyObserver(change))
 	readonly workers = new KnownWorkers()
 	/** The newest configuration; absent before the first. */
 	configuration: CellConfiguration | undefined
@@ -48,7 +48,7 @@
 	observer: ((change: Change) => void) | undefined
 
 	override apply(bytes: Uint8Array): void {
-		for (const command of decodeCommands(bytes)) this.run(command)
+		for (const command of decodeCommands(bytes)) this.applyCommand(command)
 	}
 
 	override snapshot(): Uint8Array {
@@ -74,7 +74,7 @@
 		this.shares = kept.shares
 	}
 
-	private run(command: CellCommand): void {
+	private applyCommand(command: CellCommand): void {
 		switch (command.kind) {
 			case 'configure':
 				return this.configure(command.configuration)
@@ -83,24 +83,26 @@
 			case 'cancel':
 				return this.jobs.cancel(command.id, command.at)
 			case 'begin':
-				return command.whole ? this.beginWhole(command.runs) : command.runs.forEach(this.begin)
+				return command.whole
+					? this.startAllOrNone(command.runs)
+					: command.runs.forEach(this.startRun)
 			case 'end':
 				return command.runs.forEach((run) => this.jobs.end(run, command.at))
 			case 'worker':
-				return this.join(command.worker, command.sequence ?? 0, command.at)
+				return this.addWorker(command.worker, command.sequence ?? 0, command.at)
 			case 'drain':
-				this.workers.drain(command.worker)
-				return this.changed({ kind: 'worker-draining', worker: command.worker })
+				this.workers.setDraining(command.worker)
+				return this.notifyObserver({ kind: 'worker-draining', worker: command.worker })
 			case 'silent':
-				return command.workers.forEach((id) => this.workers.silent(id, command.silent))
+				return command.workers.forEach((id) => this.workers.setSilent(id, command.silent))
 			case 'gone':
-				return this.gone(command)
+				return this.removeWorker(command)
 			case 'answered':
-				return this.jobs.workerAnswered(command.worker)
+				return this.jobs.onWorkerAnswered(command.worker)
 			case 'cleared':
-				return this.jobs.cleared(command.tasks)
+				return this.jobs.clearCrashes(command.tasks)
 			case 'at-work':
-				return command.runs.forEach((run) => this.jobs.seenAtWork(run))
+				return command.runs.forEach((run) => this.jobs.recordAtWork(run))
 			case 'forget':
 				return this.jobs.forget(command.jobs)
 			case 'shares':
@@ -119,42 +121,42 @@
 	private configure(configuration: CellConfiguration): void {
 		if (configuration.version <= (this.configuration?.version ?? 0)) return
 		this.configuration = configuration
-		this.changed({ kind: 'configured', configuration })
+		this.notifyObserver({ kind: 'configured', configuration })
 	}
 
-	private join(worker: Worker, sequence: number, at?: number): void {
+	private addWorker(worker: Worker, sequence: number, at?: number): void {
 		if (this.workers.isGone(worker.id)) return
 		// Two lives may have been decided on at the same time; which one is over is asked when the other one reports again.
-		const named = this.workers.named(workerNameOf(worker.id))
+		const named = this.workers.findByName(workerNameOf(worker.id))
 		if (named && named.worker.id !== worker.id) return
 		this.workers.join(worker, sequence, at)
-		this.changed({ kind: 'worker-joined', worker })
+		this.notifyObserver({ kind: 'worker-joined', worker })
 	}
 
 	/** A worker may have ended between the decision and its place in the log. */
-	private readonly begin = (run: RunStart): void => {
-		if (this.workers.find(run.worker)) this.jobs.begin(run)
-		else this.jobs.voided(run)
+	private readonly startRun = (run: RunStart): void => {
+		if (this.workers.find(run.worker)) this.jobs.start(run)
+		else this.jobs.reportVoid(run)
 	}
 
 	/** Begins all of a gang or none. */
-	private beginWhole(runs: readonly RunStart[]): void {
-		const mayBegin = runs.every(
-			(run) => this.workers.find(run.worker) !== undefined && this.jobs.mayBegin(run)
+	private startAllOrNone(runs: readonly RunStart[]): void {
+		const canStartAll = runs.every(
+			(run) => this.workers.find(run.worker) !== undefined && this.jobs.canStart(run)
 		)
 		for (const run of runs) {
-			if (mayBegin) this.jobs.begin(run)
-			else this.jobs.voided(run)
+			if (canStartAll) this.jobs.start(run)
+			else this.jobs.reportVoid(run)
 		}
 	}
 
-	private gone({ worker, at, crash }: GoneCommand): void {
-		this.workers.leave(worker)
+	private removeWorker({ worker, at, crash }: GoneCommand): void {
+		this.workers.remove(worker)
 		this.jobs.endAllOn(worker, at, crash)
-		this.changed({ kind: 'worker-gone', worker })
+		this.notifyObserver({ kind: 'worker-gone', worker })
 	}
 
-	private changed(change: Change): void {
+	private notifyObserver(change: Change): void {
 		this.observer?.(change)
 	}
 }
--- a/packages/jobs/src/lib/state/JobTable.test.ts
+++ b/packages/jobs/src/lib/state/JobTable.test.ts
@@ -26,7 +26,7 @@
 	}
 
 	begin(task: string, attempt = 1, worker = 'w1'): void {
-		this.table.begin({ task: `${ID}.0.${task}`, attempt, worker })
+		this.table.start({ task: `${ID}.0.${task}`, attempt, worker })
 	}
 
 	end(task: string, how: RunEnd, attempt = 1, checkpoint = ''): void {
@@ -41,7 +41,7 @@
 		if (change.kind === 'run-ended') ready = isStepReady(table.find(ID) as JobRecord, 0, 1)
 	})
 	table.submit({ id: ID, queue: QUEUE, request: subject.job.request, submitted: 0 })
-	table.begin({ task: `${ID}.0.0.0`, attempt: 1, worker: 'w1' })
+	table.start({ task: `${ID}.0.0.0`, attempt: 1, worker: 'w1' })
 	table.end({ task: `${ID}.0.0.0`, attempt: 1, how: RunEnd.Done, checkpoint: '' }, 1)
 	assert.equal(ready, true)
 })
--- a/packages/jobs/src/lib/state/JobTable.ts
+++ b/packages/jobs/src/lib/state/JobTable.ts
@@ -13,13 +13,13 @@
 	type Submission,
 	type TaskRecord,
 } from './JobRecord'
-import { SilentWorkers } from './SilentWorkers'
+import { SilentWorkerIndex } from './SilentWorkerIndex'
 import {
 	CrashEvidence,
-	forgetCrashes,
-	forgetSilent,
-	noteCrash,
-	noteSilent,
+	clearCrashes,
+	removeSilentWorker,
+	addCrash,
+	addSilentWorker,
 	Suspicion,
 	suspicionOf,
 } from './TaskCrashes'
@@ -43,8 +43,8 @@
 export class JobTable {
 	private readonly jobs = new Map<string, JobRecord>()
 	/** For each worker the names of the tasks that are placed on it. */
-	private readonly placed = new Map<string, Set<string>>()
-	private readonly silent = new SilentWorkers()
+	private readonly placedByWorker = new Map<string, Set<string>>()
+	private readonly silentWorkers = new SilentWorkerIndex()
 
 	private tasks = 0
 
@@ -73,12 +73,12 @@
 
 	/** @returns the names of the tasks placed on a worker. */
 	placedOn(worker: string): ReadonlySet<string> {
-		return this.placed.get(worker) ?? new Set()
+		return this.placedByWorker.get(worker) ?? new Set()
 	}
 
 	/** @returns whether runs were given up on a worker while it was silent, and that it answers is not noted. */
-	isAwaited(worker: string): boolean {
-		return this.silent.has(worker)
+	hasUnresolvedRuns(worker: string): boolean {
+		return this.silentWorkers.has(worker)
 	}
 
 	/** @returns a task by its name as text. */
@@ -95,7 +95,7 @@
 	submit(submission: Submission): void {
 		if (this.jobs.has(submission.id)) return
 		const record = newJobRecord(submission)
-		this.keep(record)
+		this.add(record)
 		this.report({ kind: 'job-accepted', job: record })
 	}
 
@@ -106,7 +106,7 @@
 	}
 
 	/** @returns whether a task may still begin under an attempt number. */
-	mayBegin({ task: text, attempt }: RunStart): boolean {
+	canStart({ task: text, attempt }: RunStart): boolean {
 		const place = this.locate(text)
 		if (!place || !isActive(place.job)) return false
 		const { task } = place
@@ -114,22 +114,22 @@
 	}
 
 	/** Begins a run, if the task may still begin. */
-	begin(run: RunStart): void {
+	start(run: RunStart): void {
 		const { task: text, attempt, worker } = run
 		const place = this.locate(text)
 		if (!place) return
-		if (!this.mayBegin(run)) return this.voided(run)
+		if (!this.canStart(run)) return this.reportVoid(run)
 		const { name, job, task } = place
 		task.status = TaskStatus.Placed
 		task.attempt = attempt
 		task.worker = worker
 		job.state = JobState.Running
-		this.placedSet(worker).add(text)
+		this.placedSetOf(worker).add(text)
 		this.report({ kind: 'run-begun', task: name, attempt, worker })
 	}
 
 	/** Takes note that a run that was decided does not begin. */
-	voided({ task: text, attempt, worker }: RunStart): void {
+	reportVoid({ task: text, attempt, worker }: RunStart): void {
 		const place = this.locate(text)
 		if (place) this.report({ kind: 'run-void', task: place.name, attempt, worker })
 	}
@@ -139,9 +139,9 @@
 		const place = this.locate(run.task)
 		if (!place) return
 		const { task } = place
-		const current = task.status === TaskStatus.Placed && task.attempt === run.attempt
-		if (!current) return this.endLost(place, run, at)
-		if (run.evidence) this.noteSilent(place, run.task, run.evidence)
+		const isCurrent = task.status === TaskStatus.Placed && task.attempt === run.attempt
+		if (!isCurrent) return this.endLost(place, run, at)
+		if (run.evidence) this.recordSilent(place, run.task, run.evidence)
 		this.endCurrent(place, run, at)
 	}
 
@@ -151,8 +151,8 @@
 	 * @param crash - set when it ended without a word, which then counts for the tasks that ran there.
 	 */
 	endAllOn(worker: string, at: number, crash?: CrashFindings): void {
-		for (const text of this.silent.take(worker))
-			this.settleSilent(text, worker, at, crash !== undefined)
+		for (const text of this.silentWorkers.take(worker))
+			this.resolveSilent(text, worker, at, crash !== undefined)
 		for (const text of [...this.placedOn(worker)]) {
 			const place = this.locate(text)
 			if (!place) continue
@@ -161,29 +161,29 @@
 			const { attempt } = place.task
 			this.endCurrent(place, { task: text, attempt, how: RunEnd.Lost, checkpoint: '' }, at)
 		}
-		this.placed.delete(worker)
+		this.placedByWorker.delete(worker)
 	}
 
 	/** A worker answers that was silent: none of the tasks whose runs were given up there has crashed it. */
-	workerAnswered(worker: string): void {
-		for (const text of this.silent.take(worker)) {
+	onWorkerAnswered(worker: string): void {
+		for (const text of this.silentWorkers.take(worker)) {
 			const place = this.locate(text)
 			if (!place) continue
-			forgetSilent(place.task, worker)
+			removeSilentWorker(place.task, worker)
 			this.report({ kind: 'task-cleared', task: place.name })
 		}
 	}
 
 	/** Tasks have been at work for long without harm. */
-	cleared(tasks: readonly string[]): void {
+	clearCrashes(tasks: readonly string[]): void {
 		for (const text of tasks) {
 			const place = this.locate(text)
-			if (place) forgetCrashes(place.task)
+			if (place) clearCrashes(place.task)
 		}
 	}
 
 	/** A run was at work after its beginning: if its worker crashes later, it was hardly its doing. */
-	seenAtWork({ task: text, attempt }: RunRef): void {
+	recordAtWork({ task: text, attempt }: RunRef): void {
 		const task = this.locate(text)?.task
 		if (task?.status === TaskStatus.Placed && task.attempt === attempt) task.seenAtWork = attempt
 	}
@@ -194,7 +194,7 @@
 			const job = this.jobs.get(id)
 			if (!job) continue
 			this.tasks -= countTasks(job.request)
-			this.silent.forget(job)
+			this.silentWorkers.removeJob(job)
 			this.jobs.delete(id)
 		}
 	}
@@ -207,19 +207,19 @@
 	/** Takes a snapshot's place. */
 	restore(jobs: readonly JobRecord[]): void {
 		this.jobs.clear()
-		this.placed.clear()
-		this.silent.clear()
+		this.placedByWorker.clear()
+		this.silentWorkers.clear()
 		this.tasks = 0
 		for (const job of jobs) {
-			this.keep(job)
+			this.add(job)
 			for (const { text, task } of tasksOf(job)) {
-				if (task.status === TaskStatus.Placed) this.placedSet(task.worker).add(text)
-				for (const { worker } of task.silent ?? []) this.silent.add(worker, text)
+				if (task.status === TaskStatus.Placed) this.placedSetOf(task.worker).add(text)
+				for (const { worker } of task.silent ?? []) this.silentWorkers.add(worker, text)
 			}
 		}
 	}
 
-	private keep(job: JobRecord): void {
+	private add(job: JobRecord): void {
 		this.jobs.set(job.id, job)
 		this.tasks += countTasks(job.request)
 	}
@@ -227,38 +227,38 @@
 	private endCurrent(place: LocatedTask, run: RunOutcome, at: number): void {
 		const { name, job, task } = place
 		const { worker } = task
-		this.placed.get(worker)?.delete(run.task)
+		this.placedByWorker.get(worker)?.delete(run.task)
 		task.worker = ''
 		task.status = TaskStatus.Waiting
 		if (run.checkpoint !== '') task.checkpoint = run.checkpoint
 		if (run.how === RunEnd.Lost) rememberLost(task, run.attempt)
-		const done = run.how === RunEnd.Done || task.finished || place.step.gangDone
-		if (done) noteDone(place)
-		else if (run.how === RunEnd.Failed) noteFailure(place, run.attempt)
+		const isDone = run.how === RunEnd.Done || task.finished || place.step.gangDone
+		if (isDone) markRunDone(place)
+		else if (run.how === RunEnd.Failed) countFailure(place, run.attempt)
 		this.report({ kind: 'run-ended', task: name, attempt: run.attempt, worker, how: run.how })
-		this.conclude(place, at)
+		this.endIfFinished(place, at)
 		if (!isActive(job)) task.checkpoint = ''
 	}
 
 	/** A run is given up on a silent worker, which may turn out to have crashed. */
-	private noteSilent({ task }: LocatedTask, text: string, evidence: CrashEvidence): void {
-		noteSilent(task, { worker: task.worker, evidence })
-		this.silent.add(task.worker, text)
+	private recordSilent({ task }: LocatedTask, text: string, evidence: CrashEvidence): void {
+		addSilentWorker(task, { worker: task.worker, evidence })
+		this.silentWorkers.add(task.worker, text)
 	}
 
 	private countCrash({ name, task }: LocatedTask, worker: string, evidence: CrashEvidence): void {
-		noteCrash(task, worker, evidence)
+		addCrash(task, worker, evidence)
 		this.report({ kind: 'crash-counted', task: name, worker, crashed: task.crashed ?? [] })
 	}
 
 	/** What became of a worker is known on which a run of a task was given up earlier. */
-	private settleSilent(text: string, worker: string, at: number, crashed: boolean): void {
+	private resolveSilent(text: string, worker: string, at: number, crashed: boolean): void {
 		const place = this.locate(text)
 		if (!place) return
 		// What was noted when the worker fell silent goes before.
 		if (crashed) this.countCrash(place, worker, CrashEvidence.Weak)
-		else forgetSilent(place.task, worker)
-		this.conclude(place, at)
+		else removeSilentWorker(place.task, worker)
+		this.endIfFinished(place, at)
 		this.report({ kind: 'task-cleared', task: place.name })
 	}
 
@@ -267,22 +267,22 @@
 		const { name, task } = place
 		if (!task.lost?.includes(run.attempt)) return
 		task.lost = task.lost.filter((attempt) => attempt !== run.attempt)
-		if (run.how === RunEnd.Failed) noteFailure(place, run.attempt)
+		if (run.how === RunEnd.Failed) countFailure(place, run.attempt)
 		if (run.how === RunEnd.Done && task.status !== TaskStatus.Done) {
-			if (task.status === TaskStatus.Waiting) noteDone(place)
+			if (task.status === TaskStatus.Waiting) markRunDone(place)
 			else task.finished = true
 			this.report({ kind: 'task-done', task: name })
 		}
-		this.conclude(place, at)
+		this.endIfFinished(place, at)
 	}
 
 	/** Ends the job once all its tasks are done, or one has failed too often. */
-	private conclude({ name, job, step, task }: LocatedTask, at: number): void {
+	private endIfFinished({ name, job, step, task }: LocatedTask, at: number): void {
 		if (!isActive(job)) return
 		const { gang } = job.request.steps[name.step]
 		const failures = gang ? step.gangFailures.length : task.failures
-		const crashes = suspicionOf(task) === Suspicion.Proven
-		if (failures >= job.queue.maxAttempts || crashes) this.endJob(job, JobState.Failed, at)
+		const isCrashProven = suspicionOf(task) === Suspicion.Proven
+		if (failures >= job.queue.maxAttempts || isCrashProven) this.endJob(job, JobState.Failed, at)
 		else if (job.repeats.every((steps) => steps.every(isStepDone))) {
 			this.endJob(job, JobState.Completed, at)
 		}
@@ -294,18 +294,18 @@
 		this.report({ kind: 'job-ended', job })
 	}
 
-	private placedSet(worker: string): Set<string> {
-		let set = this.placed.get(worker)
+	private placedSetOf(worker: string): Set<string> {
+		let set = this.placedByWorker.get(worker)
 		if (!set) {
 			set = new Set()
-			this.placed.set(worker, set)
+			this.placedByWorker.set(worker, set)
 		}
 		return set
 	}
 }
 
 /** Of a gang one member's end stands for all; members that still run are done once they have ended. */
-function noteDone({ name, job, step, task }: LocatedTask): void {
+function markRunDone({ name, job, step, task }: LocatedTask): void {
 	const { gang, lasting } = job.request.steps[name.step]
 	if (lasting) return
 	if (gang) step.gangDone = true
@@ -320,7 +320,7 @@
 }
 
 /** Lasting tasks start again however often they fail. */
-function noteFailure({ name, job, step, task }: LocatedTask, attempt: number): void {
+function countFailure({ name, job, step, task }: LocatedTask, attempt: number): void {
 	const { gang, lasting } = job.request.steps[name.step]
 	if (lasting) return
 	task.failures += 1
--- a/packages/jobs/src/lib/state/KnownWorkers.ts
+++ b/packages/jobs/src/lib/state/KnownWorkers.ts
@@ -3,7 +3,7 @@
 import { workerNameOf } from '../records/Incarnation'
 
 /** Ids of gone workers that are remembered, so that a late heartbeat does not bring one back. */
-const MOST_GONE = 4000
+const MAX_GONE_IDS = 4000
 
 /** A worker and whether it is leaving. @public */
 export interface KnownWorker {
@@ -55,12 +55,12 @@
 	}
 
 	/** @returns the worker that was last known at an address. */
-	at(address: string): KnownWorker | undefined {
+	findByAddress(address: string): KnownWorker | undefined {
 		return this.workers.get(this.byAddress.get(address) ?? '')
 	}
 
 	/** @returns the life of a worker that is known under its name. */
-	named(name: string): KnownWorker | undefined {
+	findByName(name: string): KnownWorker | undefined {
 		return this.workers.get(this.byName.get(name) ?? '')
 	}
 
@@ -75,19 +75,19 @@
 	}
 
 	/** Notes that a worker is leaving. */
-	drain(id: string): void {
+	setDraining(id: string): void {
 		const known = this.workers.get(id)
 		if (known) known.draining = true
 	}
 
 	/** Notes whether a worker is not heard of. */
-	silent(id: string, silent: boolean): void {
+	setSilent(id: string, silent: boolean): void {
 		const known = this.workers.get(id)
 		if (known) known.silent = silent
 	}
 
 	/** Forgets a worker for good. */
-	leave(id: string): void {
+	remove(id: string): void {
 		const known = this.workers.get(id)
 		this.workers.delete(id)
 		if (known && this.byAddress.get(known.worker.address) === id) {
@@ -95,7 +95,7 @@
 		}
 		if (this.byName.get(workerNameOf(id)) === id) this.byName.delete(workerNameOf(id))
 		this.gone.add(id)
-		if (this.gone.size > MOST_GONE) this.gone.delete([...this.gone][0])
+		if (this.gone.size > MAX_GONE_IDS) this.gone.delete([...this.gone][0])
 	}
 
 	/** @returns all that must be kept. */
@@ -111,8 +111,8 @@
 		this.gone.clear()
 		for (const { worker, draining, sequence, joinedAt, silent } of kept.workers) {
 			this.join(worker, sequence, joinedAt)
-			if (silent) this.silent(worker.id, true)
-			if (draining) this.drain(worker.id)
+			if (silent) this.setSilent(worker.id, true)
+			if (draining) this.setDraining(worker.id)
 		}
 		for (const id of kept.gone) this.gone.add(id)
 	}
--- a/packages/jobs/src/lib/state/SilentWorkers.ts
+++ b/packages/jobs/src/lib/state/SilentWorkerIndex.ts
@@ -7,7 +7,7 @@
  *
  * @internal
  */
-export class SilentWorkers {
+export class SilentWorkerIndex {
 	private readonly tasks = new Map<string, Set<string>>()
 
 	/** Whether any task waits to hear of a worker. */
@@ -30,12 +30,12 @@
 	}
 
 	/** Drops what is kept of a job's tasks. */
-	forget(job: JobRecord): void {
+	removeJob(job: JobRecord): void {
 		job.repeats.forEach((steps, repeat) =>
 			steps.forEach(({ tasks }, step) =>
 				tasks.forEach(({ silent = [] }, index) => {
 					const text = formatTaskName({ job: job.id, repeat, step, index })
-					for (const { worker } of silent) this.drop(worker, text)
+					for (const { worker } of silent) this.remove(worker, text)
 				})
 			)
 		)
@@ -46,7 +46,7 @@
 		this.tasks.clear()
 	}
 
-	private drop(worker: string, task: string): void {
+	private remove(worker: string, task: string): void {
 		const tasks = this.tasks.get(worker)
 		tasks?.delete(task)
 		if (tasks?.size === 0) this.tasks.delete(worker)
--- a/packages/jobs/src/lib/state/TaskCrashes.test.ts
+++ b/packages/jobs/src/lib/state/TaskCrashes.test.ts
@@ -3,9 +3,9 @@
 import { test } from 'node:test'
 import {
 	CrashEvidence,
-	forgetSilent,
-	noteCrash,
-	noteSilent,
+	removeSilentWorker,
+	addCrash,
+	addSilentWorker,
 	Suspicion,
 	suspicionOf,
 	type TaskCrashes,
@@ -15,7 +15,7 @@
 
 function crashedWith(...evidence: CrashEvidence[]): TaskCrashes {
 	const task: TaskCrashes = {}
-	evidence.forEach((one, index) => noteCrash(task, `w${index}`, one))
+	evidence.forEach((one, index) => addCrash(task, `w${index}`, one))
 	return task
 }
 
@@ -40,18 +40,18 @@
 
 test('a crash that is reported twice counts once', () => {
 	const task = crashedWith(Strong)
-	noteCrash(task, 'w0', Strong)
+	addCrash(task, 'w0', Strong)
 	assert.deepEqual(task.crashed, [{ worker: 'w0', evidence: Strong }])
 })
 
 test('a task waits while it is not known what became of two workers that it has lost', () => {
 	const task: TaskCrashes = {}
-	noteSilent(task, { worker: 'w1', evidence: Strong })
+	addSilentWorker(task, { worker: 'w1', evidence: Strong })
 	assert.equal(suspicionOf(task), Suspicion.Isolated)
-	noteSilent(task, { worker: 'w2', evidence: Doubtful })
+	addSilentWorker(task, { worker: 'w2', evidence: Doubtful })
 	assert.equal(suspicionOf(task), Suspicion.Held)
-	forgetSilent(task, 'w2')
-	noteCrash(task, 'w1', Weak)
+	removeSilentWorker(task, 'w2')
+	addCrash(task, 'w1', Weak)
 	assert.equal(suspicionOf(task), Suspicion.Isolated)
 	assert.deepEqual(task, { crashed: [{ worker: 'w1', evidence: Strong }] })
 })
--- a/packages/jobs/src/lib/state/TaskCrashes.ts
+++ b/packages/jobs/src/lib/state/TaskCrashes.ts
@@ -51,21 +51,21 @@
 export type Suspicion = (typeof Suspicion)[keyof typeof Suspicion]
 
 /** Crashes with strong evidence that prove that a task does it; two happen to innocent tasks. */
-const STRONG_PROOF = 3
+const MIN_STRONG_FOR_PROOF = 3
 /**
  * Crashes with strong or doubtful evidence after which a task is given up: a sixth start could be the third after the third
  * crash. Five chance failures at one task's beginning are too rare to count with.
  */
-const DOUBTFUL_PROOF = 5
+const MIN_EARLY_FOR_PROOF = 5
 /** Crashes of any evidence after which a task is given up, so that one that crashes its workers late is bounded too. */
-const WEAK_PROOF = 10
+const MIN_ANY_FOR_PROOF = 10
 /**
  * Lost workers with strong evidence from which a task is isolated: to wait for a second one costs its neighbours more work than isolating an
  * innocent task costs it.
  */
-const ISOLATED_FROM = 1
+const MIN_STRONG_FOR_ISOLATION = 1
 /** Lost workers with strong or doubtful evidence from which a task is isolated, and waits to hear what became of each. */
-const DOUBTED_FROM = 2
+const MIN_EARLY_FOR_ISOLATION = 2
 
 /** @returns how a task is to be treated. @public */
 export function suspicionOf({ crashed, silent }: TaskCrashes): Suspicion {
@@ -73,14 +73,15 @@
 	if (crashed && isProof(crashed)) return Suspicion.Proven
 	const lost = [...(crashed ?? []), ...(silent ?? [])]
 	const early = lost.filter(isEarly).length
-	if (early >= DOUBTED_FROM && silent?.some(isEarly)) return Suspicion.Held
-	if (early >= DOUBTED_FROM || strongIn(lost) >= ISOLATED_FROM) return Suspicion.Isolated
+	if (early >= MIN_EARLY_FOR_ISOLATION && silent?.some(isEarly)) return Suspicion.Held
+	if (early >= MIN_EARLY_FOR_ISOLATION || countStrong(lost) >= MIN_STRONG_FOR_ISOLATION)
+		return Suspicion.Isolated
 	return early > 0 ? Suspicion.Suspected : Suspicion.None
 }
 
 /** A run of the task was given up on a worker that is silent. @public */
-export function noteSilent(task: TaskCrashes, lost: LostWorker): void {
-	task.silent = including(task.silent, lost)
+export function addSilentWorker(task: TaskCrashes, lost: LostWorker): void {
+	task.silent = withLostWorker(task.silent, lost)
 }
 
 /**
@@ -89,30 +90,32 @@
  * @param evidence - what it says of the task; what was noted when the worker fell silent goes before.
  * @public
  */
-export function noteCrash(task: TaskCrashes, worker: string, evidence: CrashEvidence): void {
+export function addCrash(task: TaskCrashes, worker: string, evidence: CrashEvidence): void {
 	const earlier = task.silent?.find((lost) => lost.worker === worker)
-	forgetSilent(task, worker)
-	task.crashed = including(task.crashed, earlier ?? { worker, evidence })
+	removeSilentWorker(task, worker)
+	task.crashed = withLostWorker(task.crashed, earlier ?? { worker, evidence })
 }
 
 /** A worker that was silent has not crashed. @public */
-export function forgetSilent(task: TaskCrashes, worker: string): void {
+export function removeSilentWorker(task: TaskCrashes, worker: string): void {
 	const left = task.silent?.filter((lost) => lost.worker !== worker) ?? []
 	if (left.length > 0) task.silent = left
 	else delete task.silent
 }
 
 /** The task was at work for long without harm: that its earlier workers ended was not its doing. @public */
-export function forgetCrashes(task: TaskCrashes): void {
+export function clearCrashes(task: TaskCrashes): void {
 	delete task.crashed
 }
 
 function isProof(crashed: readonly LostWorker[]): boolean {
-	if (strongIn(crashed) >= STRONG_PROOF) return true
-	return crashed.filter(isEarly).length >= DOUBTFUL_PROOF || crashed.length >= WEAK_PROOF
+	if (countStrong(crashed) >= MIN_STRONG_FOR_PROOF) return true
+	return (
+		crashed.filter(isEarly).length >= MIN_EARLY_FOR_PROOF || crashed.length >= MIN_ANY_FOR_PROOF
+	)
 }
 
-function including(list: readonly LostWorker[] = [], lost: LostWorker): readonly LostWorker[] {
+function withLostWorker(list: readonly LostWorker[] = [], lost: LostWorker): readonly LostWorker[] {
 	return list.some(({ worker }) => worker === lost.worker) ? list : [...list, lost]
 }
 
@@ -120,6 +123,6 @@
 	return evidence !== CrashEvidence.Weak
 }
 
-function strongIn(list: readonly LostWorker[]): number {
+function countStrong(list: readonly LostWorker[]): number {
 	return list.filter(({ evidence }) => evidence === CrashEvidence.Strong).length
 }
--- a/packages/jobs/src/lib/testing/LeaderSubject.ts
+++ b/packages/jobs/src/lib/testing/LeaderSubject.ts
@@ -340,7 +340,7 @@
 		draining = false,
 		remaining?: number
 	): Heartbeat {
-		const known = this.state.workers.named(id)?.worker
+		const known = this.state.workers.findByName(id)?.worker
 		const fake = this.worker(id)
 		const { born } = fake
 		const life = { id: formatIncarnation({ name: id, born }), born }
--- a/packages/member/src/lib/GatheredHeartbeats.ts
+++ b/packages/member/src/lib/GatheredHeartbeats.ts
@@ -81,7 +81,7 @@
 		const { workers } = this.parts
 		const known = workers.find(worker.id)
 		if (!known || draining || known.draining) return false
-		return workers.at(worker.address) === known && sameWorker(known.worker, worker)
+		return workers.findByAddress(worker.address) === known && sameWorker(known.worker, worker)
 	}
 
 	private setRefusing(active: boolean): void {
