--- a/packages/jobs/src/lib/leader/workers/CorrelatedLosses.ts
+++ b/packages/jobs/src/lib/leader/workers/CorrelatedLosses.ts
@@ -1,23 +1,23 @@
 /**
- * Tells workers that fall silent together: lost power, a rack, a data centre or a wave of replacements, none of which is the
- * doing of a task. A task takes its workers one after the other.
+ * Detects workers that are lost together: by a power failure, the loss of a rack or a data centre, or a wave of
+ * replacements. No task causes these; a task that crashes its workers does so one after the other.
  */
 import type { WorkerView } from './WorkerView'
 
-/** Milliseconds between two losses up to which they count as one event; workers are noticed within a poll of each other. */
+/** Largest time between two losses of one event; they are detected within a poll of each other. */
 const CORRELATION_WINDOW_MS = 250
-/** Workers of a service that make a wave: two tasks may crash theirs at the same time by chance. */
+/** Workers of a service that make a correlated loss: two tasks may crash theirs at the same time by chance. */
 const MIN_CORRELATED_WORKERS = 3
 /**
  * Losses among the workers of a service, as a share of them, within `RECENT` from which a loss says little of what had just begun there: each
  * worker is then lost every 10 s, and many a run loses its own by chance in the poll's wait after its beginning.
  */
 const HIGH_LOSS_SHARE = 0.5
-/** Milliseconds. */
+/** Window of `HIGH_LOSS_SHARE`. */
 const HIGH_LOSS_WINDOW_MS = 5000
-/** Losses that are no more than one task does, in a service of few workers. */
+/** Losses that a single task can cause within that window; decides in a service of few workers. */
 const MAX_LOSSES_OF_ONE_TASK = 5
-/** Milliseconds for which losses are remembered: until a crashed worker is known to be back. */
+/** How long losses are kept: until a crashed worker is known to be back. */
 const RETENTION_MS = 20_000
 
 interface Loss {
@@ -27,22 +27,23 @@
 }
 
 /**
- * The workers that fell silent of late.
+ * The recent losses of workers.
  *
  * @internal
  */
 export class CorrelatedLosses {
 	private losses: Loss[] = []
 
-	/** A worker has fallen silent. */
+	/** Records the loss of a worker. */
 	record({ id, worker, lostAt }: WorkerView): void {
 		this.losses = this.losses.filter(({ at }) => lostAt - at <= RETENTION_MS)
 		this.losses.push({ worker: id, service: worker.service, at: lostAt })
 	}
 
 	/**
-	 * @param workers - how many workers there are.
-	 * @returns whether a silent worker fell silent together with others of its service, or where all are lost so often that it says little.
+	 * @param workers - number of workers in the cell.
+	 * @returns whether a worker was lost together with others of its service, or at a time when so many of them were
+	 *   lost that its loss says little.
 	 */
 	isCorrelated({ worker, lostAt }: WorkerView, workers: number): boolean {
 		const ofService = this.losses.filter(({ service }) => service === worker.service)
--- a/packages/jobs/src/lib/leader/workers/IncarnationChanges.ts
+++ b/packages/jobs/src/lib/leader/workers/IncarnationChanges.ts
@@ -1,12 +1,13 @@
 /**
- * Settles which of two incarnations is at an address, and what has to happen before the earlier one counts as over.
+ * Determines which of two incarnations is at an address, and completes what must happen before the earlier one
+ * counts as ended.
  *
- * A heartbeat does not tell which of the two is the present one, since it may have been held back on its way, and calendars are
- * set: the answer to a call that is sent now does. Where a worker has started again under its name, it takes calls that were
- * meant for its earlier life. So it is asked once more, under a fencing token above all that the earlier life was sent: that
- * answer is the whole of what it holds, and nothing that was meant for the earlier life is carried out after it. Runs that it
- * lists came by such orders: they are stopped, and ends of them committed, before the earlier life's runs may begin
- * elsewhere; otherwise they would run twice.
+ * A heartbeat does not show which of the two is current, since it may have been delayed in transit and wall clocks
+ * can be changed; the answer to a call sent now does. A worker that restarted under its name also accepts calls
+ * meant for its earlier incarnation. So it is polled once more, under a fencing token above all those sent to the
+ * earlier incarnation: that answer lists everything it holds, and no order meant for the earlier incarnation is
+ * carried out after it. Runs that it lists were started by such orders. They are stopped and their ends committed
+ * before the earlier incarnation's runs may start elsewhere; otherwise those tasks would run twice.
  */
 import type { Worker } from '../../records/Cell'
 import { isOtherIncarnation } from '../../records/Incarnation'
@@ -17,54 +18,54 @@
 import { WorkerEnd } from './WorkerEnd'
 import type { WorkerView } from './WorkerView'
 
-/** Milliseconds after which a worker that still has runs of its earlier life is asked again; a stop takes 200 and more. */
+/** Interval of polls while the worker still has runs of its earlier incarnation; a stop takes 200 ms or more. */
 const STOP_RETRY_MS = 100
 
-/** Who is at an address. @internal */
+/** Which incarnation is at an address. @internal */
 export const Occupant = {
-	/** The worker that was known there, as it was known. */
+	/** The incarnation that was known there. */
 	Known: 'known',
-	/** Another incarnation; the known one is over, and none of its runs is left there. */
+	/** Another incarnation; the known one has ended, and none of its runs is left there. */
 	Other: 'other',
-	/** Nobody answered, or it is being asked already. */
+	/** No answer, or a poll of the address is already under way. */
 	Unclear: 'unclear',
 } as const
-/** One of the answers. @internal */
+/** One of the values of `Occupant`. @internal */
 export type Occupant = (typeof Occupant)[keyof typeof Occupant]
 
 type ListedRuns = PollResult & { readonly kind: 'done' }
 
-/** A worker of which another life has answered. */
+/** A change of incarnation under way. */
 interface IncarnationChange {
-	/** The worker as it was known. */
+	/** The worker whose incarnation is known. */
 	readonly known: WorkerView
-	/** Where its present life is asked. */
+	/** Where the new incarnation is polled. */
 	readonly target: OrderTarget
-	/** Told once it is over. */
+	/** Called once the known incarnation has ended. */
 	readonly listeners: (() => void)[]
-	/** When it is asked again, on the leader's clock; infinite while an answer is awaited. */
+	/** When to poll again, on the leader's clock; infinite while an answer is awaited. */
 	pollAt: number
 }
 
-/** What changes of lives need of the registry of workers. @internal */
+/** What `IncarnationChanges` needs of the worker registry. @internal */
 export interface IncarnationDelegate {
-	/** Another life has answered in a worker's place: nothing more is ordered there. */
+	/** Another incarnation has answered in a worker's place; nothing more may be ordered there. */
 	onIncarnationChanged(known: WorkerView): void
-	/** A call that was sent at this moment got no answer. */
+	/** A call sent at `sentAt` got no answer. */
 	onUnanswered(known: WorkerView, message: string, sentAt: number): void
 	/** An incarnation of a worker has ended. */
 	onIncarnationEnded(id: string, reason: WorkerEnd): void
 }
 
 /**
- * Changes from one life of a worker to another.
+ * Tracks changes from one incarnation of a worker to another.
  *
  * @internal
  */
 export class IncarnationChanges {
-	/** Changes under way, by the id of the worker that was known. */
+	/** Changes under way, by the id of the known incarnation. */
 	private readonly changes = new Map<string, IncarnationChange>()
-	/** Addresses at which it is being asked who is there. */
+	/** Addresses that are being polled to find out which incarnation is there. */
 	private readonly addressesBeingPolled = new Set<string>()
 
 	constructor(
@@ -74,11 +75,12 @@
 	) {}
 
 	/**
-	 * A worker reports from where another one is known, or under the name of another life.
+	 * Finds out which incarnation is at an address, when a worker reports from the address or under the name of
+	 * another one.
 	 *
-	 * @param known - the worker that is known.
-	 * @param claimant - the one that reports.
-	 * @param done - told who is there; at once `unclear` while that is being asked already.
+	 * @param known - the worker that is known there.
+	 * @param claimant - the worker that reports.
+	 * @param done - called with the result; with `unclear` at once while the address is already being polled.
 	 */
 	resolveOccupant(known: WorkerView, claimant: Worker, done: (occupant: Occupant) => void): void {
 		const { address, dataCentre } = claimant
@@ -98,11 +100,11 @@
 	}
 
 	/**
-	 * Another life has answered in a worker's place.
+	 * Another incarnation has answered in a worker's place.
 	 *
-	 * @param known - the worker, as it was known.
-	 * @param target - where the other life is.
-	 * @param done - told once the known one is over and no run of it is left there.
+	 * @param known - the worker whose incarnation was known.
+	 * @param target - where the other incarnation is.
+	 * @param done - called once the known incarnation has ended and none of its runs is left there.
 	 */
 	onOtherIncarnation(
 		known: WorkerView,
@@ -120,14 +122,14 @@
 		this.pollNewIncarnation(started)
 	}
 
-	/** A worker is over, however that became known. */
+	/** An incarnation has ended, however that became known. */
 	onWorkerGone(id: string): void {
 		const change = this.changes.get(id)
 		this.changes.delete(id)
 		for (const done of change?.listeners ?? []) done()
 	}
 
-	/** Asks again where runs of an earlier life were left, or nobody answered. */
+	/** Polls again where runs of an earlier incarnation were left or a poll got no answer. */
 	tick(now: number): void {
 		for (const change of this.changes.values())
 			if (now >= change.pollAt) this.pollNewIncarnation(change)
@@ -179,7 +181,7 @@
 		this.onWorkerGone(known.id)
 	}
 
-	/** They come before whatever follows from the change in the log, so a run that has ended there is not lost. */
+	/** Proposed before the end of the incarnation, so that a run that ended there does not count as lost. */
 	private commitEnds({ ended }: ListedRuns): void {
 		if (ended.length === 0) return
 		const runs = endsOf(ended)
@@ -190,7 +192,7 @@
 		const { orders, clock } = this.context
 		change.pollAt = clock.now() + STOP_RETRY_MS
 		for (const { task, attempt } of running) {
-			// Whatever comes of it, the next answer tells whether the run is still there.
+			// The result is ignored: the next poll shows whether the run is still there.
 			orders.stop(change.target, { task, attempt, fence }, () => undefined)
 		}
 	}
--- a/packages/jobs/src/lib/leader/workers/Lease.ts
+++ b/packages/jobs/src/lib/leader/workers/Lease.ts
@@ -1,6 +1,7 @@
 /**
- * A worker's lease, counted on two clocks. The worker keeps what it runs until a time on its own clock;
- * the controller must know when that is certainly over, and may only assume how slow the other clock is.
+ * A worker's lease, measured on two clocks. The worker keeps its runs until a time on its own clock. The
+ * controller must know when that time has certainly passed, and knows only a bound on how slow the worker's
+ * clock may run.
  */
 import type { LeaderTiming } from '../LeaderTiming'
 
@@ -14,8 +15,8 @@
 	private grantedUntil = Number.NEGATIVE_INFINITY
 
 	/**
-	 * @param timing - the cell's spans.
-	 * @param certainlyOverAt - when everything that earlier leaders granted is certainly over.
+	 * @param timing - the cell's durations and timeouts.
+	 * @param certainlyOverAt - when every lease that earlier leaders granted is certainly over, on the leader's clock.
 	 */
 	constructor(
 		private readonly timing: LeaderTiming,
@@ -27,16 +28,16 @@
 		return this.certainlyOverAt
 	}
 
-	/** Whether the worker's clock has been read. */
+	/** Whether a reading of the worker's clock is known. */
 	get isClockKnown(): boolean {
 		return this.reading !== undefined
 	}
 
 	/**
-	 * Takes a reading of the worker's clock.
+	 * Records a reading of the worker's clock; a reading lower than the latest one is ignored.
 	 *
 	 * @param value - what the worker's clock showed.
-	 * @param now - a moment by which it had shown it.
+	 * @param now - a moment on the leader's clock, no earlier than that reading.
 	 */
 	recordClock(value: number, now: number): void {
 		const { reading } = this
@@ -45,10 +46,10 @@
 	}
 
 	/**
-	 * Renews the lease, as far as the worker hears of it.
+	 * Renews the lease. The worker has the renewal only if it receives the returned time.
 	 *
-	 * @param now - the moment.
-	 * @returns until when the worker may go on, on its own clock; undefined before its clock was read.
+	 * @param now - the current time on the leader's clock.
+	 * @returns until when the worker may keep its runs, on its own clock; undefined before its clock was read.
 	 */
 	renew(now: number): number | undefined {
 		if (!this.reading) return undefined
@@ -60,7 +61,7 @@
 		return leaseUntil
 	}
 
-	/** Whether nothing that was granted can still run. */
+	/** Whether no granted lease can still be in force. */
 	isOver(now: number): boolean {
 		return now > this.certainlyOverAt
 	}
--- a/packages/jobs/src/lib/leader/workers/OutageDetector.test.ts
+++ b/packages/jobs/src/lib/leader/workers/OutageDetector.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test'
 import { OutageDetector } from './OutageDetector'
 
-test('one silent worker of a few makes the others suspect', () => {
+test('one unreachable worker of a few makes the others suspect', () => {
 	const watch = new OutageDetector()
 	watch.onMissedCall('vake', 'w1', 11, 1000)
 	assert.equal(watch.suspectSince('vake', 1010), 1000)
@@ -10,7 +10,7 @@
 	assert.equal(watch.suspectSince('vake', 3100), undefined)
 })
 
-test('of many workers several must be silent at the same time', () => {
+test('in a large data centre several workers must be unreachable at the same time', () => {
 	const watch = new OutageDetector()
 	for (let number = 0; number < 20; number++) {
 		watch.onMissedCall('vake', `w${number}`, 80, 1000 + number)
@@ -22,7 +22,7 @@
 	assert.equal(watch.suspectSince('vake', 2010), 2004)
 })
 
-test('further failures raise no new suspicion for a while', () => {
+test('further failures raise no new suspicion within the interval', () => {
 	const watch = new OutageDetector()
 	watch.onMissedCall('vake', 'w1', 11, 1000)
 	watch.onMissedCall('vake', 'w2', 11, 1200)
--- a/packages/jobs/src/lib/leader/workers/OutageDetector.ts
+++ b/packages/jobs/src/lib/leader/workers/OutageDetector.ts
@@ -1,23 +1,23 @@
 /**
- * Notices that a data centre can't be reached before each of its workers has failed to answer: as soon as some
- * of them are silent, the others count as suspect until they have answered a call that was sent after that.
+ * Detects that a data centre is unreachable before each of its workers has failed to answer: as soon as some of
+ * them do not answer, the others count as suspect until they answer a call.
  */
 
-/** One silent worker of so many is enough; a larger data centre often has one whose answer was lost. */
+/** One unreachable worker per this many raises suspicion; a larger data centre often has one whose answer was lost. */
 const WORKERS_PER_MISS = 16
-/** Milliseconds for which a silent worker counts, and for which a suspicion lasts. */
+/** How long an unreachable worker counts, and how long a suspicion lasts. */
 const SUSPICION_MS = 2000
-/** Milliseconds for which further failures raise no new suspicion, since each one costs a call to each worker. */
+/** Shortest time between two suspicions, since each one costs a call to every worker. */
 const SUSPICION_INTERVAL_MS = 300
 
 interface Outage {
-	/** For each silent worker when it was found so. */
+	/** For each unreachable worker, when that was found. */
 	readonly silent: Map<string, number>
 	suspectedAt: number
 }
 
 /**
- * Failures to answer, by data centre.
+ * Tracks unanswered calls by data centre.
  *
  * @internal
  */
@@ -25,9 +25,9 @@
 	private readonly outages = new Map<string, Outage>()
 
 	/**
-	 * A worker that had answered before was found silent.
+	 * A worker did not answer a call.
 	 *
-	 * @param workers - how many workers its data centre has.
+	 * @param workers - number of workers in its data centre.
 	 */
 	onMissedCall(dataCentre: string, worker: string, workers: number, now: number): void {
 		const outage = this.outages.get(dataCentre) ?? { silent: new Map(), suspectedAt: -Infinity }
@@ -45,8 +45,8 @@
 	}
 
 	/**
-	 * @returns the moment since which workers of the data centre must have answered to count as
-	 * reachable; undefined when there is no reason for suspicion.
+	 * @returns the time since which workers of the data centre must have answered to count as reachable; undefined
+	 *   when the data centre is not suspected.
 	 */
 	suspectSince(dataCentre: string, now: number): number | undefined {
 		const since = this.outages.get(dataCentre)?.suspectedAt
--- a/packages/jobs/src/lib/leader/workers/SilentWorkerRecorder.ts
+++ b/packages/jobs/src/lib/leader/workers/SilentWorkerRecorder.ts
@@ -1,27 +1,27 @@
 /**
- * Keeps for the next leader which workers this one has not heard of, or no more. A worker that is cut off may offer less when
- * it is back, and only its heartbeat tells: a leader that takes over has heard none yet, and may rely only on what
- * its predecessor had heard.
+ * Records in the replicated state which workers have sent this leader no recent heartbeat. A worker that was cut off
+ * may offer less capacity when it is back, and only its heartbeat reports that. A new leader has received no heartbeat
+ * yet, and may rely only on those that its predecessor had received.
  */
 import type { LeaderContext } from '../LeaderContext'
 import type { WorkerView } from './WorkerView'
 
-/** Milliseconds between two notes, so that the heartbeats after a change of leader are noted in a few commands. */
+/** Interval of records, so that the heartbeats after a change of leader are recorded in a few commands. */
 const RECORD_INTERVAL_MS = 200
 
 /**
- * Notes of silent workers.
+ * Proposes which workers are without heartbeat.
  *
  * @internal
  */
 export class SilentWorkerRecorder {
 	private dueAt = Number.NEGATIVE_INFINITY
-	/** Notes that are on their way to being committed. */
+	/** Proposed commands that are not committed yet. */
 	private pending = 0
 
 	constructor(private readonly context: LeaderContext) {}
 
-	/** Notes what has changed since the last time. */
+	/** Proposes what differs from the replicated state, unless a proposal is pending. */
 	tick(views: Iterable<WorkerView>, now: number): void {
 		if (now < this.dueAt || this.pending > 0) return
 		this.dueAt = now + RECORD_INTERVAL_MS
--- a/packages/jobs/src/lib/leader/workers/WorkerEnd.ts
+++ b/packages/jobs/src/lib/leader/workers/WorkerEnd.ts
@@ -1,24 +1,26 @@
 /** How the end of a worker's incarnation becomes known. */
-/** The ways, as log lines tell them. @internal */
+
+/** The ways in which it becomes known, as logged in the field `reason`. @internal */
 export const WorkerEnd = {
-	/** It said that it ends. */
+	/** The worker announced its end. */
 	Left: 'left',
-	/** It has been silent for long and runs nothing. */
+	/** It has sent no heartbeat for `workerForgotten` and runs nothing. */
 	Forgotten: 'forgotten',
 	/** Another incarnation answered a call that was meant for it. */
 	OtherIncarnation: 'other incarnation',
 	/** Another incarnation reports from its address. */
 	Replaced: 'replaced at its address',
-	/** Its heartbeat came after another incarnation had taken its place. */
+	/** Its heartbeat arrived after another incarnation had taken its place. */
 	Late: 'its heartbeat came late',
 } as const
-/** One of the ways. @internal */
+/** One of the values of `WorkerEnd`. @internal */
 export type WorkerEnd = (typeof WorkerEnd)[keyof typeof WorkerEnd]
 
 /**
  * @param end - how the end became known.
- * @returns whether it ended without a word. One that has been silent for long may live on behind a cut; it counts, so
- * that a task whose workers never come back is bounded too. So does one that had said that it is leaving, since it may still have crashed.
+ * @returns whether the worker ended unannounced. One without heartbeat for long may still run behind a network
+ *   partition; it counts as a crash, so that the restarts of a task whose workers never come back are bounded too. So
+ *   does one that was draining, since it may still have crashed.
  * @internal
  */
 export function isCrash(end: WorkerEnd): boolean {
--- a/packages/jobs/src/lib/leader/workers/WorkerHeartbeats.ts
+++ b/packages/jobs/src/lib/leader/workers/WorkerHeartbeats.ts
@@ -1,4 +1,4 @@
-/** What workers say of themselves: that they are there, where, with what, and that they are leaving. */
+/** Heartbeats of workers: that they are alive, their address and capacity, and whether they are draining. */
 import type { Heartbeat, Worker } from '../../records/Cell'
 import { workerNameOf } from '../../records/Incarnation'
 import type { HeardWorker } from '../callers/calls'
@@ -9,19 +9,19 @@
 import { WorkerEnd } from './WorkerEnd'
 import type { WorkerView } from './WorkerView'
 
-/** What a heartbeat says of the moment. */
+/** The fields of a heartbeat that change from one to the next. */
 type HeartbeatReading = Pick<Heartbeat, 'sequence' | 'clock' | 'remaining'>
 
-/** What heartbeats need of the registry of workers. @internal */
+/** What `WorkerHeartbeats` needs of the worker registry. @internal */
 export interface HeartbeatDelegate {
 	/** @returns a worker by its id. */
 	find(id: string): WorkerView | undefined
-	/** An incarnation of a worker has ended; `done` is called once that is lasting. */
+	/** An incarnation of a worker has ended; `done` is called once that is committed. */
 	onIncarnationEnded(id: string, reason: WorkerEnd, done?: () => void): void
 }
 
 /**
- * The heartbeats of workers.
+ * Handles the heartbeats of workers.
  *
  * @internal
  */
@@ -33,19 +33,19 @@
 	) {}
 
 	/**
-	 * Takes a heartbeat.
+	 * Handles a heartbeat.
 	 *
-	 * @param heartbeat - the heartbeat.
-	 * @param done - called once what it says is lasting, or with false when that can't be said.
+	 * @param done - called with true once what the heartbeat reports is committed or known already; with false when it
+	 *   is ignored, or when it is unclear which incarnation is current.
 	 */
 	handle(heartbeat: Heartbeat, done: (isRecorded: boolean) => void): void {
 		const { workers } = this.context.state
 		const named = workers.findByName(workerNameOf(heartbeat.worker.id))?.worker
 		const worker = withKnownId(heartbeat.worker, named)
 		if (workers.isGone(worker.id)) return done(true)
-		// It does not say which life it is of, so it says nothing of the one that is known.
+		// It does not name its incarnation, so it says nothing about the known one.
 		if (worker.born === undefined && named?.born !== undefined) return this.ignore(worker, done)
-		// A life keeps its service and its place; another writer's entry under its name must not take it from them.
+		// An incarnation keeps its service and its place; another writer's entry under its name must not change them.
 		const known = this.delegate.find(worker.id)
 		if (known && !isSamePlace(known.worker, worker)) return this.ignore(worker, done)
 		const identified = { ...heartbeat, worker }
@@ -64,13 +64,13 @@
 		done(false)
 	}
 
-	/** Another instance has heard a worker. */
+	/** Another instance has received a heartbeat of a worker. */
 	onRelayed({ worker, sequence, clock, age }: HeardWorker): void {
 		const view = this.delegate.find(worker)
 		if (view) this.update(view, { sequence, clock }, age)
 	}
 
-	/** A worker reports from where another one is known, or under the name of another life. */
+	/** Resolves a worker's report from the address or under the name of another incarnation. */
 	private resolveClaim(
 		known: WorkerView,
 		heartbeat: Heartbeat,
@@ -90,25 +90,25 @@
 	}
 
 	private accept(heartbeat: Heartbeat, done: (isRecorded: boolean) => void): void {
-		const onNoted = (): void => done(true)
+		const recorded = (): void => done(true)
 		const view = this.delegate.find(heartbeat.worker.id)
-		// It was held back on its way: what it says of the worker's room may be true no more.
+		// It was delayed in transit: the capacity that it reports may be outdated.
 		if (view && heartbeat.sequence <= view.sequence) {
 			const { sequence: number } = heartbeat
 			const { id: worker, sequence: taken } = view
 			this.context.log.debug(LeaderEvent.HeartbeatPassedOver, { worker, number, taken })
-			return onNoted()
+			return recorded()
 		}
 		if (!view || !isSameWorker(view.worker, heartbeat.worker)) {
-			this.proposeWorker(heartbeat, onNoted)
+			this.proposeWorker(heartbeat, recorded)
 			return
 		}
 		this.update(view, heartbeat)
-		if (heartbeat.draining && !view.isDraining) this.proposeDrain(view, heartbeat, onNoted)
-		else onNoted()
+		if (heartbeat.draining && !view.isDraining) this.proposeDrain(view, heartbeat, recorded)
+		else recorded()
 	}
 
-	/** @param age - milliseconds since the heartbeat came to an instance. */
+	/** @param age - milliseconds since the heartbeat reached an instance. */
 	private update(view: WorkerView, beat: HeartbeatReading, age = 0): void {
 		if (beat.sequence <= view.sequence) return
 		const now = this.context.clock.now()
@@ -116,7 +116,7 @@
 		view.hasHeartbeat = true
 		view.heartbeatAt = now - age
 		view.heartbeatClock = beat.clock
-		// A reading that came late would make its lease seem longer than it is; it is better than none.
+		// A late reading would make the lease seem longer than it is, so it is used only when there is no other.
 		const isUsable = age === 0 || !view.lease.isClockKnown
 		if (beat.clock !== undefined && isUsable) view.lease.recordClock(beat.clock, now)
 		if (beat.remaining !== undefined) view.leavesAt = now + beat.remaining
@@ -137,14 +137,17 @@
 
 	private proposeDrain(view: WorkerView, heartbeat: Heartbeat, done: () => void): void {
 		const { log, proposals } = this.context
-		// Nothing new goes there from now on, whatever becomes of the command.
+		// Nothing new is placed there from now on, even if the command is not committed.
 		view.isDraining = true
 		log.info(LeaderEvent.WorkerDraining, { worker: view.id, remaining: heartbeat.remaining })
 		proposals.propose({ kind: 'drain', worker: view.id }, done)
 	}
 }
 
-/** Which life a heartbeat is of: a record of before workers said when they started is of the life that says so first. */
+/**
+ * Resolves which incarnation a heartbeat is of. A stored worker without a start time, from before workers reported
+ * it, is taken for the first incarnation that reports one.
+ */
 function withKnownId(worker: Worker, named: Worker | undefined): Worker {
 	if (!named) return worker
 	const known = named.born === undefined || named.born === worker.born
--- a/packages/jobs/src/lib/leader/workers/WorkerLosses.ts
+++ b/packages/jobs/src/lib/leader/workers/WorkerLosses.ts
@@ -1,6 +1,6 @@
 /**
- * What workers that fall silent tell: of their data centre, which may be out of reach as a whole, and of the tasks that ran there, which may have
- * crashed them.
+ * What the loss of workers implies: for their data centre, which may be unreachable as a whole, and for the tasks that
+ * ran there, which may have crashed them.
  */
 import type { CrashFindings } from '../../commands/CellCommand'
 import type { CrashEvidence } from '../../state/TaskCrashes'
@@ -13,7 +13,7 @@
 import type { WorkerView } from './WorkerView'
 
 /**
- * The losses of workers.
+ * Records the losses of workers and evaluates them.
  *
  * @internal
  */
@@ -23,7 +23,7 @@
 	readonly reliability = new WorkerReliability()
 
 	/**
-	 * @param context - what the parts of the leader share.
+	 * @param context - the leader's shared context.
 	 * @param views - all workers.
 	 */
 	constructor(
@@ -31,14 +31,14 @@
 		private readonly views: ReadonlyMap<string, WorkerView>
 	) {}
 
-	/** A worker was found silent, or another life of it answers. */
+	/** A worker became unreachable, or another incarnation of it answers. */
 	onLost(view: WorkerView): void {
 		view.lostAt = this.context.clock.now()
 		this.correlatedLosses.record(view)
 		this.reliability.lost(view.id, view.lostAt)
 	}
 
-	/** A call to a worker did not come back; its data centre may be out of reach. */
+	/** A call to a worker got no answer; its data centre may be unreachable. */
 	onMissedCall({ id, worker: { dataCentre } }: WorkerView): void {
 		let workers = 0
 		for (const { worker } of this.views.values()) if (worker.dataCentre === dataCentre) workers += 1
@@ -50,13 +50,13 @@
 		this.outages.onAnswered(worker.dataCentre, id)
 	}
 
-	/** @returns whether a worker's data centre seems out of reach and it has not answered since. */
+	/** @returns whether a worker's data centre is suspected to be unreachable and the worker has not answered since. */
 	isSuspect({ worker, answeredAt }: WorkerView, now: number): boolean {
 		const since = this.outages.suspectSince(worker.dataCentre, now)
 		return since !== undefined && answeredAt < since
 	}
 
-	/** @returns what the end of a worker without a word says of what ran there. */
+	/** @returns the evidence of a worker's unannounced end against the tasks that ran there. */
 	findingsOf(view: WorkerView): CrashFindings {
 		const findings: { [task: string]: CrashEvidence } = {}
 		const evidenceOf = this.evidenceFrom(view)
@@ -67,7 +67,10 @@
 		return findings
 	}
 
-	/** @returns what the loss of a worker says of the task of each run there; whether others were lost with it is looked up once. */
+	/**
+	 * @returns a function from a run on the worker to the evidence of the loss against its task. Whether other workers
+	 *   were lost at the same time is looked up once.
+	 */
 	evidenceFrom(view: WorkerView): (run: Run) => CrashEvidence | undefined {
 		const isCorrelated = this.correlatedLosses.isCorrelated(view, this.views.size)
 		return (run) => crashEvidenceOf(run, view, isCorrelated)
