--- a/packages/jobs/src/lib/leader/workers/CorrelatedLosses.ts
+++ b/packages/jobs/src/lib/leader/workers/CorrelatedLosses.ts
@@ -9,8 +9,9 @@
 /** Workers of a service that make a correlated loss: two tasks may crash theirs at the same time by chance. */
 const MIN_CORRELATED_WORKERS = 3
 /**
- * Losses among the workers of a service, as a share of them, within `RECENT` from which a loss says little of what had just begun there: each
- * worker is then lost every 10 s, and many a run loses its own by chance in the poll's wait after its beginning.
+ * Share of a service's workers lost within `HIGH_LOSS_WINDOW_MS` above which a loss says little about the runs
+ * that had just started there: each worker is then lost every 10 s, so many runs lose theirs by chance between
+ * their start and the next poll's answer.
  */
 const HIGH_LOSS_SHARE = 0.5
 /** Window of `HIGH_LOSS_SHARE`. */
--- a/packages/jobs/src/lib/leader/workers/WorkerEnd.ts
+++ b/packages/jobs/src/lib/leader/workers/WorkerEnd.ts
@@ -4,7 +4,7 @@
 export const WorkerEnd = {
 	/** The worker announced its end. */
 	Left: 'left',
-	/** It has sent no heartbeat for `workerForgotten` and runs nothing. */
+	/** It has sent no heartbeat for a long time and runs nothing. */
 	Forgotten: 'forgotten',
 	/** Another incarnation answered a call that was meant for it. */
 	OtherIncarnation: 'other incarnation',
--- a/packages/jobs/src/lib/leader/workers/WorkerPolls.test.ts
+++ b/packages/jobs/src/lib/leader/workers/WorkerPolls.test.ts
@@ -1,4 +1,4 @@
-/** What is asked of workers beside the polls that wait there. */
+/** Probes of workers beside pending polls, and polls after ends were listed. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import { RunEnd } from '../../records/Job'
@@ -8,10 +8,10 @@
 const ID = '00000000000000aa'
 const TASK = `${ID}.0.0.0`
 const URGENT = { name: 'urgent', prefix: '/urgent/', priority: 0 }
-/** A single check of the users' mix. */
+/** A short task. */
 const SHORT = { expectedTime: 640 }
 
-/** A worker whose poll gets no answer, with a task that ends after 640 ms. */
+/** A cell with a worker whose first poll gets no answer and whose task ends after 640 ms. */
 function subjectWithLostPoll(queue: string): LeaderSubject {
 	const subject = new LeaderSubject()
 	subject.configure({ priority: 2 }, URGENT)
@@ -24,19 +24,19 @@
 	return subject
 }
 
-test('the end of an urgent run is known soon although the poll that would have told it is lost', () => {
+test('the end of an urgent run is known soon although the poll that would have reported it is lost', () => {
 	const subject = subjectWithLostPoll(URGENT.name)
 	assert.equal(subject.state.jobs.find(ID)?.state, 'completed')
 })
 
-test('for other work the poll is waited for', () => {
+test('the end of other runs is known once the lost poll has timed out', () => {
 	const subject = subjectWithLostPoll('checks')
 	assert.equal(subject.state.jobs.find(ID)?.state, 'running')
 	subject.run(1000, 'w1')
 	assert.equal(subject.state.jobs.find(ID)?.state, 'completed')
 })
 
-test('nothing is asked beside polls that are answered, however long an urgent run takes', () => {
+test('no probe is sent while polls are answered, however long a run takes', () => {
 	const subject = new LeaderSubject()
 	subject.heartbeat('w1')
 	subject.submit(ID, jobOf(SHORT))
@@ -47,7 +47,7 @@
 	)
 })
 
-// Guards against polls that only list again what is on its way to being committed: they were a sixth of all polls.
+// Guards against polls that only list ends again whose commit is pending: they were a sixth of all polls.
 test('a worker is polled again once the ends that it listed are committed', () => {
 	const subject = new LeaderSubject()
 	subject.heartbeat('w1')
--- a/packages/jobs/src/lib/leader/workers/WorkerPolls.ts
+++ b/packages/jobs/src/lib/leader/workers/WorkerPolls.ts
@@ -1,4 +1,4 @@
-/** Polls of workers: long polls that renew a lease and wait for the next end, and short ones that only ask. */
+/** Polls of workers: long polls, which renew the lease and wait for the next end of a run, and probes, which return at once. */
 import { hasUnconfirmedSurvival } from './crashEvidenceOf'
 import type { LeaderContext } from '../LeaderContext'
 import type { PollResult } from '../ports'
@@ -6,30 +6,34 @@
 import type { WorkerView } from './WorkerView'
 
 /**
- * Workers from which polls wait longer. A third of all polls end without news, and with hundreds of workers they are most
- * of what the cell's instances do.
+ * Number of workers from which polls wait longer. A third of all polls return nothing new, and with hundreds of
+ * workers they are most of the load on the cell's instances.
  */
 const LONG_POLL_MIN_WORKERS = 100
 
 /**
- * Milliseconds by which an urgent run is late before its worker is asked beside the poll that waits there: a lost
- * poll hides the run's end for over a second, more than urgent work has in hand, and declared times are off by about as much as this.
+ * How far an urgent run may exceed its expected time before its worker is probed beside the pending poll. A lost poll
+ * hides the run's end for over a second, more than the slack of urgent work; expected times are off by about this much.
  */
 const OVERDUE_MS = 130
 
-/** Milliseconds for which a worker's ends are waited for to be committed before it is polled again. */
+/** Longest wait for the commit of a worker's ends before it is polled again. */
 const MAX_COMMIT_WAIT_MS = 80
 
-/** What polls need of the registry of workers. @internal */
+/** What `WorkerPolls` needs of the worker registry. @internal */
 export interface PollDelegate {
-	/** @returns whether something about a worker is not known that a short poll tells. */
+	/** @returns whether the state of a worker is unknown, so that it is polled without delay. */
 	needsProbe(view: WorkerView, now: number): boolean
-	/** @param sentAt - when the poll was sent, on the leader's clock. */
+	/**
+	 * A poll has ended.
+	 *
+	 * @param sentAt - when the poll was sent, on the leader's clock.
+	 */
 	onPolled(view: WorkerView, result: PollResult, sentAt: number): void
 }
 
 /**
- * The polls of workers.
+ * Sends the polls of workers.
  *
  * @internal
  */
@@ -40,9 +44,9 @@
 	) {}
 
 	/**
-	 * Goes on polling workers that are known, and begins with a few of the others, those first that have waited
-	 * longest. All at once, as after a change of leader, they would keep the instance from its heartbeats for longer
-	 * than its lease.
+	 * Sends the polls and probes that are due. Of the workers whose state is unknown, only a few are polled per call,
+	 * those that have waited longest first: polling all of them at once after a change of leader would keep the
+	 * instance from sending its heartbeats for longer than its lease.
 	 */
 	sendDue(views: Iterable<WorkerView>, now: number): void {
 		const unclear: WorkerView[] = []
@@ -63,12 +67,12 @@
 		}
 	}
 
-	/** Whether the poll that is out would be a late word of something that matters. */
+	/** Whether the pending poll may return too late with something that matters. */
 	private needsProbeBesidePoll(view: WorkerView, now: number): boolean {
 		return hasOverdueRun(view, now) || hasUnconfirmedSurvival(view, now)
 	}
 
-	/** Waits for the next end, and renews the lease. */
+	/** Sends a long poll, which renews the lease and waits for the next end of a run. */
 	private poll(view: WorkerView, now: number): void {
 		const { timing } = this.context
 		const leaseUntil = view.isUnreachable || view.hasLeft ? undefined : view.lease.renew(now)
@@ -80,7 +84,7 @@
 		})
 	}
 
-	/** Asks only whether the worker is there; a silent one's lease is not renewed. */
+	/** Sends a poll that returns at once and does not renew the lease. */
 	private probe(view: WorkerView, now: number): void {
 		view.isProbing = true
 		view.probeDueAt = now + this.context.timing.retryPause
@@ -120,8 +124,8 @@
 }
 
 /**
- * Whether an urgent run should have ended by now and the poll that would tell is still out. Its answer may be lost, which
- * shows only when its wait is over: urgent work has no time for that.
+ * Whether an urgent run should have ended by now and the poll that would report it is still pending. The answer may
+ * be lost, which shows only when the poll times out: too late for urgent work.
  */
 function hasOverdueRun(view: WorkerView, now: number): boolean {
 	if (!view.isPolling) return false
@@ -137,7 +141,10 @@
 	return !isCommittingEnds(view) || now - view.listedAt >= MAX_COMMIT_WAIT_MS
 }
 
-/** Whether ends that it has listed are on their way to being committed: until they are named as seen, it lists them again at once. */
+/**
+ * Whether ends that the worker has listed are proposed and not committed yet: until they are acknowledged, the worker
+ * answers each poll with them at once.
+ */
 function isCommittingEnds({ endsCommitted, endsProposed }: WorkerView): boolean {
 	return endsCommitted < endsProposed
 }
--- a/packages/jobs/src/lib/leader/workers/WorkerView.ts
+++ b/packages/jobs/src/lib/leader/workers/WorkerView.ts
@@ -1,87 +1,87 @@
-/** A worker as the leader's controller sees it. */
+/** The leader's view of a worker. */
 import type { Worker } from '../../records/Cell'
 import type { CountedRun } from '../../accounts/AccountUsage'
 import type { Lease } from './Lease'
 import { LivenessProof } from './LivenessProof'
 import type { Run } from '../runs/Run'
 
-/** A run that was given up early: what it takes is not known until the worker has stopped it. @internal */
+/** A run that was abandoned early; its resource use is unknown until the worker has stopped it. @internal */
 export interface SuspectRun {
 	readonly attempt: number
-	/** What it counts as against its account's quota; undefined for no account. */
+	/** Its usage as counted against its account's quota; undefined without an account. */
 	readonly counted: CountedRun | undefined
 	/** Whether an order to stop it is under way. */
 	isStopping: boolean
-	/** When the worker said that it will not run any more, on the leader's clock. */
+	/** When the worker confirmed that it will not run any more, on the leader's clock. */
 	stoppedAt?: number
 }
 
-/** Milliseconds for which a reading of a worker's clock tells the age of a heartbeat: at 2% of drift it errs by 0.2 s then. */
+/** How long a reading of a worker's clock may be used for the age of a heartbeat: at 2% drift its error is 0.2 s by then. */
 const CLOCK_READING_VALID_MS = 10_000
 
-/** A worker as the controller sees it. @internal */
+/** The leader's view of one incarnation of a worker. @internal */
 export class WorkerView {
 	isDraining = false
-	/** When its latest heartbeat came, on the leader's clock. */
+	/** When its latest heartbeat arrived, on the leader's clock. */
 	heartbeatAt: number
-	/** What its own clock showed in its latest answer, and when that came; absent before. */
+	/** Reading of its own clock in its latest answer, and when that arrived; undefined before. */
 	clockReading: { readonly value: number; readonly at: number } | undefined
-	/** What its own clock showed when it sent that; absent when it did not tell. */
+	/** Reading of its own clock when it sent its latest heartbeat; undefined when it was not reported. */
 	heartbeatClock: number | undefined
-	/** Number of its latest heartbeat. */
+	/** Sequence number of its latest heartbeat. */
 	sequence = 0
 	/** Whether the latest order or poll got no answer. */
 	isUnreachable = false
 	/** When it was found unreachable, on the leader's clock. */
 	lostAt = Number.NEGATIVE_INFINITY
-	/** When its latest list came, on the leader's clock. */
+	/** When its latest list of runs arrived, on the leader's clock. */
 	listedAt = Number.NEGATIVE_INFINITY
-	/** Until when this life was certainly there. */
+	/** Until when this incarnation was certainly alive. */
 	readonly liveness = new LivenessProof()
-	/** When runs were last given up on it while it was silent, on the leader's clock. */
+	/** When runs on it were last abandoned while it was unreachable, on the leader's clock. */
 	runsAbandonedAt = Number.NEGATIVE_INFINITY
 	/** When it last answered, on the leader's clock. */
 	answeredAt = Number.NEGATIVE_INFINITY
-	/** Runs that were given up although they may still be there, or may yet begin, by task name. */
+	/** Runs that were abandoned although they may still be running, or may yet start, by task name. */
 	readonly suspects = new Map<string, SuspectRun>()
-	/** Whether a short poll is under way that only asks whether it is there. */
+	/** Whether a probe is under way. */
 	isProbing = false
-	/** When it may be probed next. */
+	/** When it may be probed next, on the leader's clock. */
 	probeDueAt = 0
-	/** Runs that are on it, by task name. */
+	/** Runs placed on it, by task name. */
 	readonly runs = new Map<string, Run>()
 	/** Ends up to this number are committed. */
 	endsCommitted = 0
-	/** Ends up to this number are committed or on their way there. */
+	/** Ends up to this number are committed or proposed. */
 	endsProposed = 0
-	/** The highest number of an end that was listed again while its run was still counted as going on. */
+	/** The highest number of an end that was listed again while its run still counted as running. */
 	endsPassedOver = 0
-	/** Whether this leader knows what it lists; until then it may have runs that nobody counts. */
+	/** Whether this leader has received its list of runs; until then it may have runs that are not counted. */
 	isListed = false
 	/** When it was last polled or probed while its state was unknown, on the leader's clock. */
 	lastAskedAt = Number.NEGATIVE_INFINITY
 	/** Whether a poll is under way. */
 	isPolling = false
-	/** When it may be polled next. */
+	/** When it may be polled next, on the leader's clock. */
 	pollDueAt = 0
-	/** Whether it is being noted that it answers again. */
+	/** Whether a proposal is pending that records that it answers again. */
 	isRecordingAnswer = false
-	/** Whether this leader has heard of it. */
+	/** Whether this leader has received a heartbeat of it. */
 	hasHeartbeat = false
-	/** Whether it said that it has ended; what it ran counts as ended once its lease is over. */
+	/** Whether it announced its end; its runs count as ended once its lease is over. */
 	hasLeft = false
-	/** Whether it counts as ended and only what must come before that, or its commit, is awaited: nothing is ordered there. */
+	/** Whether it is about to be removed: only prerequisites of that or its commit are pending, and nothing is ordered there. */
 	isEnding = false
-	/** Its speed as a share of the median worker's; 1 unless speeds are known and differ much. */
+	/** Its speed relative to the median worker's; 1 unless speeds are known and differ much. */
 	speed = 1
-	/** When it will have left, where it said so; on the leader's clock. */
+	/** When it will have left, on the leader's clock; infinite when not announced. */
 	leavesAt = Number.POSITIVE_INFINITY
 
 	/**
 	 * @param worker - its description.
 	 * @param lease - its lease.
-	 * @param fence - token of all orders to it, above those of any life of a worker that was learned of before.
-	 * @param now - counted as heard of now, since earlier leaders' heartbeats are not known.
+	 * @param fence - fencing token of all orders to it, above those of every incarnation learned of before.
+	 * @param now - the current time; stands for its latest heartbeat, since those received by earlier leaders are unknown.
 	 */
 	constructor(
 		public worker: Worker,
@@ -92,7 +92,10 @@
 		this.heartbeatAt = now
 	}
 
-	/** @returns milliseconds since it sent its latest heartbeat, which a cut may have held back, as far as its clock is known. */
+	/**
+	 * @returns milliseconds since it sent its latest heartbeat, by its own clock where a recent reading is known, since
+	 *   a partition may have delayed the heartbeat; otherwise since the heartbeat arrived.
+	 */
 	heartbeatAge(now: number): number {
 		const since = now - this.heartbeatAt
 		const { clockReading: clockRead, heartbeatClock } = this
@@ -102,8 +105,9 @@
 	}
 
 	/**
-	 * Ends up to which number the worker may forget. Its next life would forget its own first ends, which nobody has heard of, so ends are named only
-	 * just after a list of the life that is meant: the next one can't have ended anything by then.
+	 * The number up to which the worker may forget ends. The next incarnation would forget its own first ends, which
+	 * have not been received, so ends are acknowledged only just after a list of this incarnation: the next one can't
+	 * have ended a run by then.
 	 */
 	endsSeen(now: number): number {
 		const isAlive = this.worker.born === undefined || this.liveness.isValid(now)
--- a/packages/jobs/src/lib/leader/workers/crashEvidenceOf.test.ts
+++ b/packages/jobs/src/lib/leader/workers/crashEvidenceOf.test.ts
@@ -1,4 +1,4 @@
-/** Which ends of workers count against which of the tasks that ran there. */
+/** Evidence that the loss of a worker gives against the tasks that ran there, and correlated losses. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import { CrashEvidence } from '../../state/TaskCrashes'
@@ -13,7 +13,7 @@
 
 const { Strong, Doubtful, Weak } = CrashEvidence
 
-/** @returns what its worker's clock tells of a run that was at work for a span, in milliseconds. */
+/** @returns the time at work of a run that its worker's clock showed at work for `span` ms. */
 function atWorkFor(span: number): TimeAtWork {
 	const time = new TimeAtWork()
 	time.confirmed(7000)
@@ -44,20 +44,20 @@
 }
 
 const CASES: readonly Case[] = [
-	{ what: 'it had just begun', expected: Strong },
-	{ what: 'it was listed just after', run: { atWork: atWorkFor(200) }, expected: Strong },
+	{ what: 'it had just started', expected: Strong },
+	{ what: 'it was listed just after its start', run: { atWork: atWorkFor(200) }, expected: Strong },
 	{ what: 'it was at work for a while', run: { atWork: atWorkFor(201) }, expected: Weak },
 	{ what: 'it was never ordered', run: { ordered: false }, expected: undefined },
 	{
-		what: 'its only order was refused, or answered by the next life',
+		what: 'its only order was refused, or answered by the next incarnation',
 		run: UNCONFIRMED,
 		expected: undefined,
 	},
 	{ what: 'its order is under way', run: { ...UNCONFIRMED, busy: true }, expected: Doubtful },
 	{ what: 'an order got no answer', run: { ...UNCONFIRMED, isInDoubt: true }, expected: Doubtful },
-	{ what: 'an earlier leader began it', run: { restored: true }, expected: Doubtful },
+	{ what: 'an earlier leader started it', run: { restored: true }, expected: Doubtful },
 	{
-		what: 'an earlier leader saw it at work, and this one has heard nothing of it',
+		what: 'an earlier leader saw it at work, and no answer has reached this leader',
 		run: { ...UNCONFIRMED, restored: true, seenAtWork: true },
 		expected: Weak,
 	},
@@ -67,17 +67,17 @@
 		expected: Weak,
 	},
 	{ what: 'its worker was leaving', view: { isDraining: true }, expected: Doubtful },
-	{ what: 'other workers fell silent too', isCorrelated: true, expected: Doubtful },
-	{ what: 'it lasts, and had just begun', run: { step: LASTING }, expected: Strong },
+	{ what: 'other workers were lost too', isCorrelated: true, expected: Doubtful },
+	{ what: 'it is lasting and had just started', run: { step: LASTING }, expected: Strong },
 	{
-		what: 'it lasts, and was at work for long',
+		what: 'it is lasting and was at work for long',
 		run: { step: LASTING, atWork: atWorkFor(5001) },
 		expected: undefined,
 	},
 ]
 
 for (const { what, run, view, isCorrelated: isCorrelated = false, expected } of CASES) {
-	test(`the end of a worker where ${what} says ${expected ?? 'nothing'} of a run`, () => {
+	test(`evidence against a run when its worker is lost and ${what}: ${expected ?? 'none'}`, () => {
 		assert.equal(crashEvidenceOf({ ...RUN, ...run }, { ...VIEW, ...view }, isCorrelated), expected)
 	})
 }
@@ -88,17 +88,17 @@
 	return view
 }
 
-test('three workers of a service that fall silent within a quarter of a second are a wave', () => {
-	const waves = new CorrelatedLosses()
+test('losses of three workers of a service within a quarter of a second are correlated', () => {
+	const losses = new CorrelatedLosses()
 	const views = [viewOf('w1', 1000), viewOf('w2', 1100), viewOf('w3', 1240), viewOf('w4', 2000)]
-	for (const view of views) waves.record(view)
+	for (const view of views) losses.record(view)
 	assert.deepEqual(
-		views.map((view) => waves.isCorrelated(view, 33)),
+		views.map((view) => losses.isCorrelated(view, 33)),
 		[true, true, true, false]
 	)
 })
 
-test('a worker is asked once a suspected task has begun there and no answer tells that it lives on', () => {
+test('a worker is probed once a suspected task has started there and no answer shows that the worker survived', () => {
 	const view = viewOf('w1')
 	const atWork = atWorkFor(0)
 	view.runs.set('task', { suspected: true, confirmedAt: 1000, atWork } as Run)
@@ -111,7 +111,7 @@
 	assert.equal(hasUnconfirmedSurvival(view, 1400), false)
 })
 
-test('where workers are lost all the time, a loss counts as one of a wave, however few came together', () => {
+test('while workers are lost often, each loss counts as correlated, however few coincide', () => {
 	const workers = 12
 	const lostEvery = (period: number): WorkerView[] =>
 		Array.from({ length: 8 }, (_, loss) => viewOf(`w${loss}`, loss * period))
--- a/packages/jobs/src/lib/leader/workers/crashEvidenceOf.ts
+++ b/packages/jobs/src/lib/leader/workers/crashEvidenceOf.ts
@@ -1,36 +1,39 @@
 /**
- * What the end of a worker that did not say that it ends, says of a run there. The one place that decides which ends count, and
- * for which of the tasks that shared the worker; the first line that fits holds:
+ * Rates what the unannounced end of a worker implies about a run there. This is the only place that decides which
+ * ends count, and against which of the tasks that shared the worker; the first matching line applies:
  *
- * | the run, when its worker was last heard of                                    | evidence |
+ * | the run, at the worker's last answer                                           | evidence |
  * | ------------------------------------------------------------------------------ | -------- |
  * | no order to start it can have reached its worker                               | none     |
- * | an earlier leader saw it outlive its beginning                                 | weak     |
- * | it was never confirmed, so its worker may have been gone before                | doubtful |
- * | it lasts, and had been at work for longer than `SETTLED`                       | none     |
- * | it had outlived its beginning                                                  | weak     |
- * | its worker had said it leaves                                                  | doubtful |
- * | an earlier leader had ordered it, so it is not known how long it was at work   | doubtful |
- * | other workers of the service fell silent at the same time                      | doubtful |
- * | it had just begun                                                              | strong   |
+ * | an earlier leader saw it at work after its start                               | weak     |
+ * | it was never confirmed, so its worker may have ended before the start          | doubtful |
+ * | it is lasting and had been at work for longer than `HARMLESS_AFTER_MS`         | none     |
+ * | it was seen at work after its start                                            | weak     |
+ * | its worker was draining or had announced its end                               | doubtful |
+ * | an earlier leader had started it, so its time at work is unknown               | doubtful |
+ * | other workers of the service were lost at the same time                        | doubtful |
+ * | it had just started                                                            | strong   |
  *
- * How long it had been at work is what its worker's clock showed between the answer that confirmed it and the last list that had it, so it
- * was at work for at least that long, however late those answers came.
+ * Time at work is the time on the worker's clock between the answer that confirmed the run and the last list that
+ * contained it: a lower bound, however late those answers arrived.
  */
 import { CrashEvidence } from '../../state/TaskCrashes'
 import type { Run } from '../runs/Run'
 import type { WorkerView } from './WorkerView'
 
-/** Milliseconds after its confirmation from which the worker of a suspected task is asked whether it lives on. */
+/** Time after the confirmation of a suspected task's run from which its worker is probed. */
 const PROBE_AFTER_MS = 200
-/** Milliseconds at work after which a lasting run has shown that it does not crash its worker; it may see many of them fail. */
+/**
+ * Time at work after which a lasting run has shown that it does not crash its worker. Such a run may see many workers
+ * fail.
+ */
 const HARMLESS_AFTER_MS = 5000
 
 /**
  * @param run - a run.
- * @param view - its worker, which has ended or is silent.
- * @param isCorrelated - whether other workers of its service fell silent at the same time.
- * @returns what that says of the run's task; undefined for nothing.
+ * @param view - its worker, which has ended or is unreachable.
+ * @param isCorrelated - whether other workers of its service were lost at the same time.
+ * @returns the evidence against the run's task; undefined for none.
  * @internal
  */
 export function crashEvidenceOf(
@@ -46,11 +49,14 @@
 	if (confirmedAt === undefined) return run.seenAtWork ? CrashEvidence.Weak : CrashEvidence.Doubtful
 	if (run.step.lasting && atWork.least > HARMLESS_AFTER_MS) return undefined
 	if (atWork.hasOutlivedBeginning || run.seenAtWork) return CrashEvidence.Weak
-	const leaves = view.isDraining || view.hasLeft
-	return leaves || restored || isCorrelated ? CrashEvidence.Doubtful : CrashEvidence.Strong
+	const isLeaving = view.isDraining || view.hasLeft
+	return isLeaving || restored || isCorrelated ? CrashEvidence.Doubtful : CrashEvidence.Strong
 }
 
-/** A worker that refuses an order, or has started again before it came, has begun nothing; an order without an answer may have been obeyed. */
+/**
+ * A worker that refused the order, or restarted before it arrived, has started nothing; an order without an answer may
+ * have been carried out.
+ */
 function mayHaveStarted({
 	ordered,
 	busy,
@@ -63,8 +69,8 @@
 }
 
 /**
- * @returns whether a task under suspicion has begun on a worker of which no answer tells yet that it has lived on: the
- * sooner it is asked, the fewer chance failures count against the task.
+ * @returns whether a suspected task has started on a worker and no later answer has shown yet that the worker
+ *   survived it. The sooner the worker is probed, the fewer unrelated failures count against the task.
  * @internal
  */
 export function hasUnconfirmedSurvival(view: WorkerView, now: number): boolean {
--- a/packages/jobs/src/lib/leader/workers/isSameWorker.ts
+++ b/packages/jobs/src/lib/leader/workers/isSameWorker.ts
@@ -2,7 +2,7 @@
 import type { Resources } from '@rillrudder/scheduler'
 import type { Worker } from '../../records/Cell'
 
-/** @returns whether two descriptions are of one incarnation and say the same. @public */
+/** @returns whether two descriptions are of the same incarnation and equal. @public */
 export function isSameWorker(left: Worker, right: Worker): boolean {
 	return (
 		left.born === right.born &&
@@ -12,7 +12,7 @@
 	)
 }
 
-/** @returns whether two descriptions name the same service and place, which a worker keeps for its life. @internal */
+/** @returns whether two descriptions have the same service and place, which an incarnation never changes. @internal */
 export function isSamePlace(left: Worker, right: Worker): boolean {
 	return (
 		left.address === right.address &&
