--- a/packages/jobs/src/lib/leader/workers/IncarnationChanges.test.ts
+++ b/packages/jobs/src/lib/leader/workers/IncarnationChanges.test.ts
@@ -1,4 +1,4 @@
-/** What crosses when a worker starts again under its name: orders, ends, heartbeats and lists of one life that reach the other. */
+/** Restarts of a worker under its name: orders, ends, heartbeats and lists of one incarnation that reach the other. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import { formatIncarnation } from '../../records/Incarnation'
@@ -17,7 +17,7 @@
 	readonly other: FakeWorker
 }
 
-/** A cell in which the first worker runs the only task, and another one has joined since. */
+/** A cell in which the first worker runs the only task and a second one has joined. */
 function cellWithRun(born = FIRST): Cell {
 	const subject = new LeaderSubject()
 	const worker = subject.worker(WORKER)
@@ -33,11 +33,11 @@
 	return { subject, worker, other }
 }
 
-function knownLives({ state }: LeaderSubject): string[] {
+function knownIncarnations({ state }: LeaderSubject): string[] {
 	return [...state.workers.all()].map(({ worker }) => worker.id)
 }
 
-test('a run that the new life began by an order for the earlier one is stopped before its task begins elsewhere', () => {
+test('a run that the new incarnation started by an order for the earlier one is stopped before its task starts elsewhere', () => {
 	const { subject, worker, other } = cellWithRun()
 	worker.restart(FIRST + 5000)
 	worker.running = [{ task: TASK, attempt: 1, checkpoint: '', percent: 0, measure: 0 }]
@@ -52,7 +52,7 @@
 	assert.equal(other.running.length + worker.running.length, 1)
 })
 
-test('an end in the new life, of a run that was ordered to the earlier one, is committed before that one is over', () => {
+test('the end in the new incarnation of a run ordered to the earlier one is committed before the earlier one ends', () => {
 	const { subject, worker } = cellWithRun()
 	worker.restart(FIRST + 5000)
 	worker.ended = [{ number: 1, task: TASK, attempt: 1, how: 'done', checkpoint: '' }]
@@ -61,7 +61,7 @@
 	assert.equal(subject.startCount, 1)
 })
 
-test('the new life is told a token above all that the earlier one was sent', () => {
+test('the new incarnation is sent a token above all those sent to the earlier one', () => {
 	const { subject, worker } = cellWithRun()
 	const sent = [...worker.polls, ...worker.starts].map(({ fence }) => fence)
 	const polls = worker.polls.length
@@ -73,7 +73,7 @@
 	assert.ok(after.slice(raised).every((fence) => fence > Math.max(...sent)))
 })
 
-test('ends are named as seen only just after a list of the same life', () => {
+test('ends are acknowledged only just after a list of the same incarnation', () => {
 	const { subject, worker } = cellWithRun()
 	subject.submit('00000000000000bb', jobOf({ count: 8 }))
 	subject.run(1000, WORKER, OTHER)
@@ -88,8 +88,9 @@
 	assert.equal(worker.polls[before].endsSeen, 0)
 })
 
-// Guards against ends of a new life that are forgotten before anyone has heard of them: a list of the earlier life came after its end.
-test('a list that was held up until its worker had started again names no ends to the new life', () => {
+// Guards against ends of a new incarnation that the worker forgets before they were received, because a delayed list of
+// the earlier incarnation let the leader acknowledge them.
+test('a list that was delayed until its worker had restarted acknowledges no ends to the new incarnation', () => {
 	const { subject, worker } = cellWithRun()
 	subject.submit('00000000000000bb', jobOf({ count: 8 }))
 	subject.run(1000, WORKER, OTHER)
@@ -105,43 +106,43 @@
 	assert.deepEqual([...new Set(named)], [0])
 })
 
-test('a heartbeat of the earlier life that was held back changes nothing', () => {
+test('a delayed heartbeat of the earlier incarnation changes nothing', () => {
 	const { subject } = cellWithRun()
 	const held = subject.nextHeartbeat(WORKER)
 	subject.restart(WORKER)
 	subject.run(2000, WORKER)
-	const lives = knownLives(subject)
-	assert.ok(!lives.includes(held.worker.id))
+	const known = knownIncarnations(subject)
+	assert.ok(!known.includes(held.worker.id))
 	subject.call({ kind: 'heartbeat', heartbeat: held })
 	subject.run(2000, WORKER)
-	assert.deepEqual(knownLives(subject), lives)
+	assert.deepEqual(knownIncarnations(subject), known)
 })
 
-test('a life that began earlier by its calendar takes the place of one that began later', () => {
+test('an incarnation with an earlier start time replaces one with a later start time', () => {
 	const { subject, worker } = cellWithRun(FIRST)
 	worker.restart(FIRST - 5000)
 	subject.heartbeat(WORKER)
 	subject.run(2000, WORKER, OTHER)
 	const id = formatIncarnation({ name: WORKER, born: FIRST - 5000 })
-	assert.ok(knownLives(subject).includes(id))
+	assert.ok(knownIncarnations(subject).includes(id))
 	assert.ok(subject.state.workers.isGone(formatIncarnation({ name: WORKER, born: FIRST })))
 })
 
-test('a worker that starts again at another address is asked there', () => {
+test('a worker that restarts at another address is polled there', () => {
 	const { subject, worker, other } = cellWithRun()
 	worker.restart(FIRST + 5000)
 	worker.address = 'elsewhere:80'
 	subject.heartbeat(WORKER, { address: worker.address })
 	subject.run(2000, OTHER)
-	const life = subject.state.workers.findByName(WORKER)?.worker
-	assert.equal(life?.born, FIRST + 5000)
-	assert.equal(life.address, worker.address)
+	const current = subject.state.workers.findByName(WORKER)?.worker
+	assert.equal(current?.born, FIRST + 5000)
+	assert.equal(current.address, worker.address)
 	assert.equal(other.running.length + worker.running.length, 1)
 })
 
-test('while a worker of which another life was heard does not answer, its runs wait for the lease and then begin elsewhere', () => {
+test('while a worker with a new incarnation does not answer, its runs wait for the lease and then start elsewhere', () => {
 	const { subject, worker, other } = cellWithRun()
-	// Longer than a worker could still keep what its earlier life was granted.
+	// Longer than a worker could keep a lease granted to its earlier incarnation.
 	subject.run(16_000, WORKER, OTHER)
 	worker.restart(FIRST + 5000)
 	subject.run(20)
@@ -152,7 +153,7 @@
 	assert.equal(other.running.length, 1)
 })
 
-test('a life that may have been granted the lease of the earlier one by its clock is waited for as long as a worker keeps anything', () => {
+test("an incarnation that may hold a lease computed from the earlier one's clock is waited for up to the longest lease", () => {
 	const { subject, worker, other } = cellWithRun()
 	subject.run(16_000, WORKER)
 	subject.restart(WORKER)
@@ -167,17 +168,17 @@
 
 test('an entry of another writer under the name of a known worker takes nothing from it', () => {
 	const { subject } = cellWithRun()
-	const lives = knownLives(subject)
+	const known = knownIncarnations(subject)
 	subject.heartbeat(WORKER, { service: 'unheard-of' })
 	subject.heartbeat(WORKER, { address: 'elsewhere:1' })
 	subject.heartbeat(WORKER, { id: WORKER, born: undefined })
 	subject.run(3000, WORKER, OTHER)
-	assert.deepEqual(knownLives(subject), lives)
+	assert.deepEqual(knownIncarnations(subject), known)
 	assert.equal(subject.state.workers.findByName(WORKER)?.worker.address, `${WORKER}:80`)
 	assert.equal(subject.startCount, 1)
 })
 
-test('a worker that a record of before knows without its birth is the life that tells it first', () => {
+test('a stored worker without a start time is taken for the first incarnation that reports one', () => {
 	const subject = new LeaderSubject()
 	subject.heartbeat(WORKER)
 	subject.submit(JOB, jobOf({}))
@@ -185,7 +186,7 @@
 	const worker = subject.worker(WORKER)
 	worker.born = FIRST
 	subject.run(3000, WORKER)
-	assert.deepEqual(knownLives(subject), [WORKER])
+	assert.deepEqual(knownIncarnations(subject), [WORKER])
 	assert.equal(subject.state.workers.findByName(WORKER)?.worker.born, FIRST)
 	assert.equal(subject.startCount, 1)
 	subject.restart(WORKER)
--- a/packages/jobs/src/lib/leader/workers/WorkerRegistry.ts
+++ b/packages/jobs/src/lib/leader/workers/WorkerRegistry.ts
@@ -1,4 +1,4 @@
-/** The workers of the cell as the leader sees them: heartbeats, leases, polls. */
+/** The leader's registry of workers: their heartbeats, leases and polls. */
 import { Measure } from '@rillrudder/telemetry'
 import type { Heartbeat, Worker } from '../../records/Cell'
 import { epochOf, type LeaderContext } from '../LeaderContext'
@@ -23,30 +23,34 @@
 import { WorkerLosses } from './WorkerLosses'
 import { WorkerView } from './WorkerView'
 
-/** Names of tasks that one line tells, so that it stays short. */
+/** Most task names in one log line. */
 const MAX_LOGGED_TASKS = 20
 
-/** Milliseconds by which the calendars of two leaders may differ; the platform bounds it by as much. */
+/** How far the wall clocks of two leaders may differ; the platform guarantees this bound. */
 const MAX_WALL_CLOCK_SKEW_MS = 5000
-/** Milliseconds by which answers that overtake each other may make a worker's clock seem to go back. */
+/** How far a worker's clock may seem to go back because answers arrive out of order. */
 const MAX_CLOCK_REORDERING_MS = 1000
 
-/** Told of what polls bring. @internal */
+/** Receives the results of polls. @internal */
 export interface PollListener {
-	/** @param sentAt - when the poll was sent, on the leader's clock. */
+	/**
+	 * A poll was answered.
+	 *
+	 * @param sentAt - when the poll was sent, on the leader's clock.
+	 */
 	onPolled(view: WorkerView, result: PollResult & { kind: 'done' }, sentAt: number): void
 }
 
 /**
- * The workers of the cell as the leader sees them.
+ * The workers of the cell as the leader knows them.
  *
  * @internal
  */
 export class WorkerRegistry {
 	private readonly views = new Map<string, WorkerView>()
-	/** Tells on which workers runs stand still. */
+	/** Detects workers on which runs are stalled. */
 	readonly stalls = new StallWatch()
-	/** What workers that fall silent tell. */
+	/** Records and evaluates the losses of workers. */
 	readonly losses: WorkerLosses
 	private readonly suspects: SuspectRuns
 	private readonly polls: WorkerPolls
@@ -94,7 +98,7 @@
 		return this.views.get(id)
 	}
 
-	/** How many workers there are. */
+	/** Number of workers. */
 	get size(): number {
 		return this.views.size
 	}
@@ -104,7 +108,7 @@
 		return this.views.values()
 	}
 
-	/** Sets the gauges of how many workers are in which state. */
+	/** Sets the gauges of the number of workers by state. */
 	updateGauges(): void {
 		const counts = { open: 0, draining: 0, unreachable: 0, closed: 0 }
 		for (const view of this.views.values()) counts[this.stateOf(view)] += 1
@@ -131,7 +135,7 @@
 		return this.isOpen(view) ? 'open' : 'closed'
 	}
 
-	/** Whether new work may go to a worker now. */
+	/** Whether new work may be placed on a worker now. */
 	isOpen(view: WorkerView): boolean {
 		const { clock, timing, health } = this.context
 		const now = clock.now()
@@ -141,15 +145,16 @@
 		return view.heartbeatAge(now) < timing.workerSilent && health.isOpen(view.id, now)
 	}
 
-	/** A worker has joined, or describes itself anew. */
+	/** A worker has joined, or its description has changed. */
 	onWorkerJoined(worker: Worker): void {
 		const known = this.views.has(worker.id)
 		const view = this.add(worker)
-		// No earlier leader knew it, so none has ordered anything there; where its name may have been known, its list is read first.
+		// A worker without a start time that is new to the cell has no orders of an earlier leader, so its list need not
+		// be read first.
 		if (!known && worker.born === undefined) view.isListed = true
 	}
 
-	/** A worker is leaving. */
+	/** A worker is draining. */
 	onWorkerDraining(id: string): void {
 		const view = this.views.get(id)
 		if (view) view.isDraining = true
@@ -167,23 +172,23 @@
 	}
 
 	/**
-	 * Takes a heartbeat.
+	 * Handles a heartbeat.
 	 *
-	 * @param heartbeat - the heartbeat.
-	 * @param done - called once what it says is lasting, or with false when that can't be said.
+	 * @param done - called with true once what the heartbeat reports is committed or known already; with false when it
+	 *   is ignored, or when it is unclear which incarnation is current.
 	 */
-	handleHeartbeat(heartbeat: Heartbeat, done: (noted: boolean) => void): void {
+	handleHeartbeat(heartbeat: Heartbeat, done: (isRecorded: boolean) => void): void {
 		this.heartbeats.handle(heartbeat, done)
 	}
 
-	/** Another instance has heard a worker. */
+	/** Another instance has received a heartbeat of a worker. */
 	onHeartbeatRelayed(heard: HeardWorker): void {
 		this.heartbeats.onRelayed(heard)
 	}
 
 	/**
-	 * A worker says that it ends. It may live on until it hears that this was noted, so what it runs
-	 * counts as ended only once its lease is over.
+	 * A worker announces its end. It may go on until it receives the acknowledgement, so its runs count as ended only
+	 * once its lease is over.
 	 */
 	onWorkerLeaving(id: string, done: () => void): void {
 		const view = this.findLeaving(id)
@@ -194,7 +199,10 @@
 		done()
 	}
 
-	/** Which life a worker's word that it ends is of. Where it does not say, it is of one that had said that it leaves. */
+	/**
+	 * Finds the incarnation that announces its end. An announcement without a start time counts only for an incarnation
+	 * that is draining already.
+	 */
 	private findLeaving(id: string): WorkerView | undefined {
 		const { name, born } = parseIncarnation(id)
 		const view = this.views.get(this.context.state.workers.findByName(name)?.worker.id ?? '')
@@ -203,7 +211,7 @@
 		return unclear && !view.isDraining ? undefined : view
 	}
 
-	/** Polls of workers that are due, and gives up what a silent one can no longer run. */
+	/** Sends the polls that are due, and abandons the runs that an unreachable worker can no longer have. */
 	tick(now: number): void {
 		this.silentRecorder.tick(this.views.values(), now)
 		this.incarnations.tick(now)
@@ -223,7 +231,7 @@
 		}
 	}
 
-	/** A worker has answered a call; `clock` is its own clock, where it told it. */
+	/** A worker has answered a call; `clock` is the reading of its own clock, if reported. */
 	onAnswered(view: WorkerView, clock: number | undefined): void {
 		const now = this.context.clock.now()
 		if (view.isUnreachable) this.context.log.info(LeaderEvent.WorkerRegained, { worker: view.id })
@@ -231,14 +239,14 @@
 		view.answeredAt = now
 		this.losses.onAnswered(view)
 		if (clock === undefined) return
-		// A clock that went back is another life's; its list tells.
+		// A clock that went back is another incarnation's; polling at once shows that.
 		if (view.clockReading && clock < view.clockReading.value - MAX_CLOCK_REORDERING_MS)
 			view.pollDueAt = 0
 		view.lease.recordClock(clock, now)
 		view.clockReading = { value: clock, at: now }
 	}
 
-	/** A call that was sent at this moment got no answer. */
+	/** A call sent at `sentAt` got no answer. */
 	onUnanswered(view: WorkerView, message: string, sentAt: number): void {
 		if (sentAt < view.answeredAt) return
 		const { id, address, dataCentre } = view.worker
@@ -260,8 +268,8 @@
 	}
 
 	/**
-	 * Takes up the runs that an earlier leader gave up on workers that were silent, and may be still: they take room and
-	 * quota until the worker has stopped them, or its lease is certainly over.
+	 * Restores the runs that an earlier leader abandoned on unreachable workers. They take capacity and quota until the
+	 * worker has stopped them or its lease is certainly over.
 	 */
 	restoreAbandonedRuns(job: JobRecord): void {
 		for (const { text, task } of tasksOf(job)) {
@@ -272,26 +280,29 @@
 		}
 	}
 
-	/** A worker lists a run that it should not have: of a job that ended, or given up earlier. */
+	/** A worker lists a run that it should not have: of a job that ended, or one abandoned earlier. */
 	onStrayRun(view: WorkerView, task: string, attempt: number): void {
 		this.suspects.raise(view, task, attempt)
 		this.suspects.settle(view)
 	}
 
-	/** Another life answers in a worker's place: what it holds of this one's runs has to end before they may begin elsewhere. */
+	/** Another incarnation answers in a worker's place; the runs that it holds must end before they may start elsewhere. */
 	private onIncarnationChanged(view: WorkerView): void {
 		view.isEnding = true
-		// Workers that have started again together were not ended by a task.
+		// Recorded as a loss too, since workers that restart together were not crashed by a task.
 		if (!view.isUnreachable) this.losses.onLost(view)
 		this.context.log.info(LeaderEvent.WorkerRestarted, { worker: view.id, runs: view.runs.size })
 	}
 
-	/** A worker has refused an order since it has seen a higher fence: of a later leader, unless another life has seen one of this leader. */
+	/**
+	 * A worker has refused an order since it has seen a higher fencing token: a later leader's, unless this leader sent
+	 * it to another incarnation.
+	 */
 	onFenced(view: WorkerView): void {
 		if (this.views.get(view.id) === view && !view.isEnding) this.context.deposed()
 	}
 
-	/** An incarnation of a worker has ended. */
+	/** Proposes to remove an incarnation of a worker that has ended. */
 	proposeGone(id: string, reason: WorkerEnd, done?: () => void): void {
 		const { proposals, log, clock } = this.context
 		const view = this.views.get(id)
@@ -304,8 +315,9 @@
 	}
 
 	/**
-	 * Runs were given up while it was silent; that it answers is kept, since it tells that they did it no harm. An answer to an earlier
-	 * call may have been made before it crashed.
+	 * Proposes that a worker answers on which runs were abandoned while it was unreachable: the answer proves that they
+	 * did not crash it. An answer to a call sent before they were abandoned proves nothing, since the worker may have
+	 * crashed after it.
 	 */
 	private proposeAnswered(view: WorkerView, sentAt: number): void {
 		const { state, proposals } = this.context
@@ -319,12 +331,12 @@
 		proposals.propose({ kind: 'answered', worker: view.id }, () => (view.isRecordingAnswer = false))
 	}
 
-	/** Whether something about it is not known that a short poll tells. */
+	/** Whether the state of a worker is unknown, so that it is polled without delay. */
 	private needsProbe(view: WorkerView, now: number): boolean {
-		const { isUnreachable: unreachable, suspects, lease, isListed: listed } = view
-		const isUnknown =
-			!lease.isClockKnown || !listed || this.context.state.jobs.hasUnresolvedRuns(view.id)
-		return unreachable || suspects.size > 0 || isUnknown || this.losses.isSuspect(view, now)
+		const { isUnreachable, suspects, lease, isListed } = view
+		const hasUnknownState =
+			!lease.isClockKnown || !isListed || this.context.state.jobs.hasUnresolvedRuns(view.id)
+		return isUnreachable || suspects.size > 0 || hasUnknownState || this.losses.isSuspect(view, now)
 	}
 
 	private onPolled(view: WorkerView, result: PollResult, sentAt: number): void {
@@ -357,14 +369,14 @@
 		}
 	}
 
-	/** Asks again at once. Its data centre may be out of reach with the instance that was to carry the poll. */
+	/** Polls again at once. The data centre may be unreachable, with the instance that was to relay the poll. */
 	private onNotCarried(view: WorkerView): void {
 		this.losses.onMissedCall(view)
 		view.pollDueAt = 0
 		view.probeDueAt = 0
 	}
 
-	/** Ends are committed before the worker is told that they were seen. */
+	/** Proposes the ends that are new; they are acknowledged to the worker only once they are committed. */
 	private takeEnds(view: WorkerView, ended: readonly ListedEnd[]): void {
 		const newEnds = ended.filter((end) => end.number > view.endsProposed)
 		this.logEndsPassedOver(view, ended)
@@ -377,7 +389,10 @@
 		})
 	}
 
-	/** Ends that were taken before, of runs that still count as going on, are of another worker than is believed. */
+	/**
+	 * Logs ends with numbers that were committed before, of runs that still count as running: another incarnation than
+	 * the known one has listed them.
+	 */
 	private logEndsPassedOver(view: WorkerView, ended: readonly ListedEnd[]): void {
 		const numbers = ended
 			.filter(({ number, task, attempt }) => {
@@ -394,8 +409,9 @@
 	}
 
 	/**
-	 * Earlier leaders may have granted a whole lease just before they lost their place. And a worker that has just started again may have been
-	 * granted one by its earlier life's clock, which it keeps for as long as it keeps anything.
+	 * Creates the lease that earlier leaders may have granted, a whole one just before they were deposed. A worker that
+	 * has just restarted may hold one that was computed from its earlier incarnation's clock, which it keeps for up to
+	 * `longestLease`.
 	 */
 	private createLease({ id, born }: Worker): Lease {
 		const { timing, clock, state } = this.context
