--- a/packages/jobs/src/lib/commands/CellCommand.ts
+++ b/packages/jobs/src/lib/commands/CellCommand.ts
@@ -1,4 +1,4 @@
-/** What a cell's log holds: decisions, in the order in which they take effect. */
+/** The commands in a cell's replicated log, in the order in which they take effect. */
 import type { QuotaTerms } from '@rillrudder/scheduler'
 import { VError } from 'verror'
 import type { CellConfiguration, Queue, Worker } from '../records/Cell'
@@ -7,26 +7,31 @@
 import type { CrashEvidence } from '../state/TaskCrashes'
 
 /**
- * Newest version of the commands. Version 1 says nothing of crashes, version 2 nothing of when workers started, version 3 nothing of
- * what accounts had, version 4 not which runs begin all or none, version 5 not which runs were seen at work; all are read as they are.
+ * Newest version of the command format. All earlier versions are read: version 1 lacks crashes,
+ * version 2 the start times of workers, version 3 the shares of accounts, version 4 all-or-none
+ * starts of runs, version 5 the runs seen at work.
+ *
  * @public
  */
 export const COMMAND_VERSION = 6
-/** Version of commands that tell which runs begin all or none. */
+/** Version of commands that start all of their runs or none. */
 const VERSION_WITH_WHOLE_GANGS = 5
-/** Version of commands that tell what accounts had. */
+/** Version of commands that record the shares of accounts. */
 const VERSION_WITH_SHARES = 4
-/** Version of all other commands: each is written in the earliest that holds it, so that earlier programs read it. */
+/**
+ * Version of all other commands. Each batch is written in the earliest version that can express it,
+ * so that earlier releases read it.
+ */
 const VERSION_OF_OTHERS = 3
 
-/** Which run of which task. @public */
+/** Identifies a run of a task. @public */
 export interface RunRef {
-	/** The task's name as text. */
+	/** The task's name in text form. */
 	readonly task: string
 	readonly attempt: number
 }
 
-/** A run that begins. @public */
+/** A run that starts. @public */
 export interface RunStart extends RunRef {
 	/** The worker's id. */
 	readonly worker: string
@@ -37,11 +42,18 @@
 	readonly how: RunEnd
 	/** The newest checkpoint; empty for none. */
 	readonly checkpoint: string
-	/** Of a run that is given up on a silent worker: what that would say of its task if the worker has crashed. */
+	/**
+	 * Of a run abandoned on an unreachable worker: the evidence against its task in case the worker
+	 * has crashed.
+	 */
 	readonly evidence?: CrashEvidence
 }
 
-/** What the crash of a worker says of the tasks that ran there, by their names; nothing of those that are not in it. @public */
+/**
+ * The evidence of a worker's crash against the tasks that ran there, by task name; none against
+ * tasks not listed.
+ * @public
+ */
 export type CrashFindings = { readonly [task: string]: CrashEvidence }
 
 /** One change of a cell's state. @public */
@@ -52,9 +64,9 @@
 			readonly id: string
 			readonly queue: Queue
 			readonly job: JobRequest
-			/** The account that it belongs to; absent for none. */
+			/** The account of the job; absent for none. */
 			readonly account?: QuotaTerms
-			/** Whether its account sent it beyond its rate. */
+			/** Whether it was submitted beyond the rate of its account. */
 			readonly beyondRate?: boolean
 			/** Milliseconds since the epoch, by the leader's clock. */
 			readonly at: number
@@ -63,36 +75,42 @@
 	| {
 			readonly kind: 'begin'
 			readonly runs: readonly RunStart[]
-			/** Set for the members of a gang: all of them begin, or none. */
+			/** Set for the members of a gang: all of the runs start, or none. */
 			readonly whole?: true
 	  }
 	| { readonly kind: 'end'; readonly runs: readonly RunOutcome[]; readonly at: number }
 	| {
 			readonly kind: 'worker'
 			readonly worker: Worker
-			/** Number of the heartbeat that told it; a lower one is older. */
+			/** Sequence number of the heartbeat that reported it; a lower one is older. */
 			readonly sequence?: number
-			/** When that was, milliseconds since the epoch by the leader's clock; absent in commands of before. */
+			/**
+			 * When it was proposed, milliseconds since the epoch by the leader's clock; absent in older
+			 * commands.
+			 */
 			readonly at?: number
 	  }
 	| { readonly kind: 'drain'; readonly worker: string }
-	/** Whether this leader has not heard of workers, or no more, so that what they offer may have changed. */
+	/**
+	 * Sets whether workers are without recent heartbeat, so that the capacity they offer may have
+	 * changed.
+	 */
 	| { readonly kind: 'silent'; readonly workers: readonly string[]; readonly silent: boolean }
 	| {
 			readonly kind: 'gone'
 			readonly worker: string
 			readonly at: number
-			/** Set when it ended without a word. */
+			/** Set when it did not announce its end. */
 			readonly crash?: CrashFindings
 	  }
-	/** A worker answers, on which runs had been given up while it was silent. */
+	/** A worker answers again on which runs were abandoned while it was unreachable. */
 	| { readonly kind: 'answered'; readonly worker: string }
 	/** Tasks under which workers crashed have been at work for long without harm. */
 	| { readonly kind: 'cleared'; readonly tasks: readonly string[] }
-	/** Runs of tasks under which workers crashed have outlived their beginning. */
+	/** Runs of tasks under which workers crashed were seen at work after their start. */
 	| { readonly kind: 'at-work'; readonly runs: readonly RunRef[] }
 	| { readonly kind: 'forget'; readonly jobs: readonly string[] }
-	/** What accounts had of late; it takes the place of what was noted before. */
+	/** Records the shares that accounts recently had; replaces the previous record. */
 	| { readonly kind: 'shares'; readonly had: HadShares }
 
 interface Batch {
@@ -100,7 +118,7 @@
 	readonly commands: readonly CellCommand[]
 }
 
-/** @returns the bytes of one log entry. @public */
+/** @returns the commands encoded as one log entry. @public */
 export function encodeCommands(commands: readonly CellCommand[]): Uint8Array {
 	const version = Math.max(VERSION_OF_OTHERS, ...commands.map(versionOf))
 	const batch: Batch = { version, commands }
@@ -116,7 +134,7 @@
 /**
  * @param bytes - one log entry.
  * @returns its commands.
- * @throws VError named `RecordInvalid` when a later version wrote it.
+ * @throws VError named `RecordInvalid` for a version above `COMMAND_VERSION`.
  * @public
  */
 export function decodeCommands(bytes: Uint8Array): readonly CellCommand[] {
--- a/packages/jobs/src/lib/leader/workers/CorrelatedLosses.ts
+++ b/packages/jobs/src/lib/leader/workers/CorrelatedLosses.ts
@@ -1,17 +1,21 @@
 /**
- * Detects workers that are lost together: by a power failure, the loss of a rack or a data centre, or a wave of
- * replacements. No task causes these; a task that crashes its workers does so one after the other.
+ * Detects workers that are lost together: by a power failure, the loss of a rack or a data centre,
+ * or a wave of replacements. No task causes these; a task that crashes its workers does so one
+ * after the other.
  */
 import type { WorkerView } from './WorkerView'
 
 /** Largest time between two losses of one event; they are detected within a poll of each other. */
 const CORRELATION_WINDOW_MS = 250
-/** Workers of a service that make a correlated loss: two tasks may crash theirs at the same time by chance. */
+/**
+ * Workers of a service that make a correlated loss: two tasks may crash theirs at the same time by
+ * chance.
+ */
 const MIN_CORRELATED_WORKERS = 3
 /**
- * Share of a service's workers lost within `HIGH_LOSS_WINDOW_MS` above which a loss says little about the runs
- * that had just started there: each worker is then lost every 10 s, so many runs lose theirs by chance between
- * their start and the next poll's answer.
+ * Share of a service's workers lost within `HIGH_LOSS_WINDOW_MS` above which a loss says little
+ * about the runs that had just started there: each worker is then lost every 10 s, so many runs
+ * lose theirs by chance between their start and the next poll's answer.
  */
 const HIGH_LOSS_SHARE = 0.5
 /** Window of `HIGH_LOSS_SHARE`. */
@@ -43,8 +47,8 @@
 
 	/**
 	 * @param workers - number of workers in the cell.
-	 * @returns whether a worker was lost together with others of its service, or at a time when so many of them were
-	 *   lost that its loss says little.
+	 * @returns whether a worker was lost together with others of its service, or at a time when so
+	 * many of them were lost that its loss says little.
 	 */
 	isCorrelated({ worker, lostAt }: WorkerView, workers: number): boolean {
 		const ofService = this.losses.filter(({ service }) => service === worker.service)
--- a/packages/jobs/src/lib/leader/workers/FenceTokens.ts
+++ b/packages/jobs/src/lib/leader/workers/FenceTokens.ts
@@ -1,8 +1,9 @@
 /**
- * Fencing tokens of one leadership. They increase with the leader's term, so that no worker obeys an earlier
- * leader after a later one, and with each incarnation of a worker that the leader learns of. A restarted worker
- * has seen no token: the first call to its new incarnation carries a token above all those sent to the previous
- * one, and the worker then refuses the lower tokens, however late they arrive.
+ * Fencing tokens of one leadership. They increase with the leader's term, so that no worker obeys
+ * an earlier leader after a later one, and with each incarnation of a worker that the leader learns
+ * of. A restarted worker has seen no token: the first call to its new incarnation carries a token
+ * above all those sent to the previous one, and the worker then refuses the lower tokens, however
+ * late they arrive.
  */
 
 /** Tokens per term; more than the incarnations of workers that one term sees. */
--- a/packages/jobs/src/lib/leader/workers/IncarnationChanges.test.ts
+++ b/packages/jobs/src/lib/leader/workers/IncarnationChanges.test.ts
@@ -1,4 +1,7 @@
-/** Restarts of a worker under its name: orders, ends, heartbeats and lists of one incarnation that reach the other. */
+/**
+ * Restarts of a worker under its name: orders, ends, heartbeats and lists of one incarnation that
+ * reach the other.
+ */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import { formatIncarnation } from '../../records/Incarnation'
@@ -88,8 +91,8 @@
 	assert.equal(worker.polls[before].endsSeen, 0)
 })
 
-// Guards against ends of a new incarnation that the worker forgets before they were received, because a delayed list of
-// the earlier incarnation let the leader acknowledge them.
+// Guards against ends of a new incarnation that the worker forgets before they were received,
+// because a delayed list of the earlier incarnation let the leader acknowledge them.
 test('a list that was delayed until its worker had restarted acknowledges no ends to the new incarnation', () => {
 	const { subject, worker } = cellWithRun()
 	subject.submit('00000000000000bb', jobOf({ count: 8 }))
--- a/packages/jobs/src/lib/leader/workers/IncarnationChanges.ts
+++ b/packages/jobs/src/lib/leader/workers/IncarnationChanges.ts
@@ -1,13 +1,14 @@
 /**
- * Determines which of two incarnations is at an address, and completes what must happen before the earlier one
- * counts as ended.
+ * Determines which of two incarnations is at an address, and completes what must happen before the
+ * earlier one counts as ended.
  *
- * A heartbeat does not show which of the two is current, since it may have been delayed in transit and wall clocks
- * can be changed; the answer to a call sent now does. A worker that restarted under its name also accepts calls
- * meant for its earlier incarnation. So it is polled once more, under a fencing token above all those sent to the
- * earlier incarnation: that answer lists everything it holds, and no order meant for the earlier incarnation is
- * carried out after it. Runs that it lists were started by such orders. They are stopped and their ends committed
- * before the earlier incarnation's runs may start elsewhere; otherwise those tasks would run twice.
+ * A heartbeat does not show which of the two is current, since it may have been delayed in transit
+ * and wall clocks can be changed; the answer to a call sent now does. A worker that restarted under
+ * its name also accepts calls meant for its earlier incarnation. So it is polled once more, under a
+ * fencing token above all those sent to the earlier incarnation: that answer lists everything it
+ * holds, and no order meant for the earlier incarnation is carried out after it. Runs that it lists
+ * were started by such orders. They are stopped and their ends committed before the earlier
+ * incarnation's runs may start elsewhere; otherwise those tasks would run twice.
  */
 import type { Worker } from '../../records/Cell'
 import { isOtherIncarnation } from '../../records/Incarnation'
@@ -18,7 +19,10 @@
 import { WorkerEnd } from './WorkerEnd'
 import type { WorkerView } from './WorkerView'
 
-/** Interval of polls while the worker still has runs of its earlier incarnation; a stop takes 200 ms or more. */
+/**
+ * Interval of polls while the worker still has runs of its earlier incarnation; a stop takes 200 ms
+ * or more.
+ */
 const STOP_RETRY_MS = 100
 
 /** Which incarnation is at an address. @internal */
@@ -75,12 +79,13 @@
 	) {}
 
 	/**
-	 * Finds out which incarnation is at an address, when a worker reports from the address or under the name of
-	 * another one.
+	 * Finds out which incarnation is at an address, when a worker reports from the address or under
+	 * the name of another one.
 	 *
 	 * @param known - the worker that is known there.
 	 * @param claimant - the worker that reports.
-	 * @param done - called with the result; with `unclear` at once while the address is already being polled.
+	 * @param done - called with the result; with `unclear` at once while the address is already being
+	 * polled.
 	 */
 	resolveOccupant(known: WorkerView, claimant: Worker, done: (occupant: Occupant) => void): void {
 		const { address, dataCentre } = claimant
@@ -181,7 +186,10 @@
 		this.onWorkerGone(known.id)
 	}
 
-	/** Proposed before the end of the incarnation, so that a run that ended there does not count as lost. */
+	/**
+	 * Proposed before the end of the incarnation, so that a run that ended there does not count as
+	 * lost.
+	 */
 	private commitEnds({ ended }: ListedRuns): void {
 		if (ended.length === 0) return
 		const runs = endsOf(ended)
--- a/packages/jobs/src/lib/leader/workers/Lease.ts
+++ b/packages/jobs/src/lib/leader/workers/Lease.ts
@@ -1,7 +1,7 @@
 /**
- * A worker's lease, measured on two clocks. The worker keeps its runs until a time on its own clock. The
- * controller must know when that time has certainly passed, and knows only a bound on how slow the worker's
- * clock may run.
+ * A worker's lease, measured on two clocks. The worker keeps its runs until a time on its own
+ * clock. The controller must know when that time has certainly passed, and knows only a bound on
+ * how slow the worker's clock may run.
  */
 import type { LeaderTiming } from '../LeaderTiming'
 
@@ -16,7 +16,8 @@
 
 	/**
 	 * @param timing - the cell's durations and timeouts.
-	 * @param certainlyOverAt - when every lease that earlier leaders granted is certainly over, on the leader's clock.
+	 * @param certainlyOverAt - when every lease that earlier leaders granted is certainly over, on
+	 * the leader's clock.
 	 */
 	constructor(
 		private readonly timing: LeaderTiming,
@@ -49,7 +50,8 @@
 	 * Renews the lease. The worker has the renewal only if it receives the returned time.
 	 *
 	 * @param now - the current time on the leader's clock.
-	 * @returns until when the worker may keep its runs, on its own clock; undefined before its clock was read.
+	 * @returns until when the worker may keep its runs, on its own clock; undefined before its clock
+	 * was read.
 	 */
 	renew(now: number): number | undefined {
 		if (!this.reading) return undefined
--- a/packages/jobs/src/lib/leader/workers/OutageDetector.ts
+++ b/packages/jobs/src/lib/leader/workers/OutageDetector.ts
@@ -1,9 +1,12 @@
 /**
- * Detects that a data centre is unreachable before each of its workers has failed to answer: as soon as some of
- * them do not answer, the others count as suspect until they answer a call.
+ * Detects that a data centre is unreachable before each of its workers has failed to answer: as
+ * soon as some of them do not answer, the others count as suspect until they answer a call.
  */
 
-/** One unreachable worker per this many raises suspicion; a larger data centre often has one whose answer was lost. */
+/**
+ * One unreachable worker per this many raises suspicion; a larger data centre often has one whose
+ * answer was lost.
+ */
 const WORKERS_PER_UNREACHABLE = 16
 /** How long an unreachable worker counts, and how long a suspicion lasts. */
 const SUSPICION_MS = 2000
@@ -35,12 +38,12 @@
 			suspectedAt: -Infinity,
 		}
 		this.outages.set(dataCentre, outage)
-		const { unreachable: unreachable } = outage
+		const { unreachable } = outage
 		unreachable.set(worker, now)
-		for (const [other, suspectedSince] of unreachable)
-			if (now - suspectedSince > SUSPICION_MS) unreachable.delete(other)
-		const hasEnough = unreachable.size >= Math.ceil(workers / WORKERS_PER_UNREACHABLE)
-		if (hasEnough && now - outage.suspectedAt >= SUSPICION_INTERVAL_MS) outage.suspectedAt = now
+		for (const [other, foundAt] of unreachable)
+			if (now - foundAt > SUSPICION_MS) unreachable.delete(other)
+		const isSuspect = unreachable.size >= Math.ceil(workers / WORKERS_PER_UNREACHABLE)
+		if (isSuspect && now - outage.suspectedAt >= SUSPICION_INTERVAL_MS) outage.suspectedAt = now
 	}
 
 	/** A worker has answered. */
@@ -49,8 +52,8 @@
 	}
 
 	/**
-	 * @returns the time since which workers of the data centre must have answered to count as reachable; undefined
-	 *   when the data centre is not suspected.
+	 * @returns the time since which workers of the data centre must have answered to count as
+	 * reachable; undefined when the data centre is not suspected.
 	 */
 	suspectSince(dataCentre: string, now: number): number | undefined {
 		const suspectedSince = this.outages.get(dataCentre)?.suspectedAt
--- a/packages/jobs/src/lib/leader/workers/SilentWorkerRecorder.ts
+++ b/packages/jobs/src/lib/leader/workers/SilentWorkerRecorder.ts
@@ -1,12 +1,16 @@
 /**
- * Records in the replicated state which workers have sent this leader no recent heartbeat. A worker that was cut off
- * may offer less capacity when it is back, and only its heartbeat reports that. A new leader has received no heartbeat
- * yet, and may rely only on those that its predecessor had received.
+ * Records in the replicated state which workers have sent this leader no recent heartbeat. A worker
+ * that was cut off may offer less capacity when it is back, and only its heartbeat reports that. A
+ * new leader has received no heartbeat yet, and may rely only on those that its predecessor had
+ * received.
  */
 import type { LeaderContext } from '../LeaderContext'
 import type { WorkerView } from './WorkerView'
 
-/** Interval of records, so that the heartbeats after a change of leader are recorded in a few commands. */
+/**
+ * Interval of records, so that the heartbeats after a change of leader are recorded in a few
+ * commands.
+ */
 const RECORD_INTERVAL_MS = 200
 
 /**
--- a/packages/jobs/src/lib/leader/workers/WorkerEnd.ts
+++ b/packages/jobs/src/lib/leader/workers/WorkerEnd.ts
@@ -18,9 +18,9 @@
 
 /**
  * @param end - how the end became known.
- * @returns whether the worker ended unannounced. One without heartbeat for long may still run behind a network
- *   partition; it counts as a crash, so that the restarts of a task whose workers never come back are bounded too. So
- *   does one that was draining, since it may still have crashed.
+ * @returns whether the worker ended unannounced. One without heartbeat for long may still run
+ * behind a network partition; it counts as a crash, so that the restarts of a task whose workers
+ * never come back are bounded too. So does one that was draining, since it may still have crashed.
  * @internal
  */
 export function isCrash(end: WorkerEnd): boolean {
--- a/packages/jobs/src/lib/leader/workers/WorkerHeartbeats.ts
+++ b/packages/jobs/src/lib/leader/workers/WorkerHeartbeats.ts
@@ -1,4 +1,7 @@
-/** Heartbeats of workers: that they are alive, their address and capacity, and whether they are draining. */
+/**
+ * Heartbeats of workers: that they are alive, their address and capacity, and whether they are
+ * draining.
+ */
 import type { Heartbeat, Worker } from '../../records/Cell'
 import { workerNameOf } from '../../records/Incarnation'
 import type { HeardWorker } from '../callers/calls'
@@ -35,8 +38,8 @@
 	/**
 	 * Handles a heartbeat.
 	 *
-	 * @param done - called with true once what the heartbeat reports is committed or known already; with false when it
-	 *   is ignored, or when it is unclear which incarnation is current.
+	 * @param done - called with true once what the heartbeat reports is committed or known already;
+	 * with false when it is ignored, or when it is unclear which incarnation is current.
 	 */
 	handle(heartbeat: Heartbeat, done: (isRecorded: boolean) => void): void {
 		const { workers } = this.context.state
@@ -45,7 +48,8 @@
 		if (workers.isGone(worker.id)) return done(true)
 		// It does not name its incarnation, so it says nothing about the known one.
 		if (worker.born === undefined && named?.born !== undefined) return this.ignore(worker, done)
-		// An incarnation keeps its service and its place; another writer's entry under its name must not change them.
+		// An incarnation keeps its service and its place; another writer's entry under its name must
+		// not change them.
 		const known = this.delegate.find(worker.id)
 		if (known && !isSamePlace(known.worker, worker)) return this.ignore(worker, done)
 		const identified = { ...heartbeat, worker }
@@ -116,7 +120,8 @@
 		view.hasHeartbeat = true
 		view.heartbeatAt = now - age
 		view.heartbeatClock = beat.clock
-		// A late reading would make the lease seem longer than it is, so it is used only when there is no other.
+		// A late reading would make the lease seem longer than it is, so it is used only when there is
+		// no other.
 		const isUsable = age === 0 || !view.lease.isClockKnown
 		if (beat.clock !== undefined && isUsable) view.lease.recordClock(beat.clock, now)
 		if (beat.remaining !== undefined) view.leavesAt = now + beat.remaining
@@ -145,8 +150,8 @@
 }
 
 /**
- * Resolves which incarnation a heartbeat is of. A stored worker without a start time, from before workers reported
- * it, is taken for the first incarnation that reports one.
+ * Resolves which incarnation a heartbeat is of. A stored worker without a start time, from before
+ * workers reported it, is taken for the first incarnation that reports one.
  */
 function withKnownId(worker: Worker, named: Worker | undefined): Worker {
 	if (!named) return worker
--- a/packages/jobs/src/lib/leader/workers/WorkerLosses.ts
+++ b/packages/jobs/src/lib/leader/workers/WorkerLosses.ts
@@ -1,6 +1,6 @@
 /**
- * What the loss of workers implies: for their data centre, which may be unreachable as a whole, and for the tasks that
- * ran there, which may have crashed them.
+ * What the loss of workers implies: for their data centre, which may be unreachable as a whole, and
+ * for the tasks that ran there, which may have crashed them.
  */
 import type { CrashFindings } from '../../commands/CellCommand'
 import type { CrashEvidence } from '../../state/TaskCrashes'
@@ -50,7 +50,10 @@
 		this.outages.onAnswered(worker.dataCentre, id)
 	}
 
-	/** @returns whether a worker's data centre is suspected to be unreachable and the worker has not answered since. */
+	/**
+	 * @returns whether a worker's data centre is suspected to be unreachable and the worker has not
+	 * answered since.
+	 */
 	isSuspect({ worker, answeredAt }: WorkerView, now: number): boolean {
 		const since = this.outages.suspectSince(worker.dataCentre, now)
 		return since !== undefined && answeredAt < since
@@ -68,8 +71,8 @@
 	}
 
 	/**
-	 * @returns a function from a run on the worker to the evidence of the loss against its task. Whether other workers
-	 *   were lost at the same time is looked up once.
+	 * @returns a function from a run on the worker to the evidence of the loss against its task.
+	 * Whether other workers were lost at the same time is looked up once.
 	 */
 	evidenceFrom(view: WorkerView): (run: Run) => CrashEvidence | undefined {
 		const isCorrelated = this.correlatedLosses.isCorrelated(view, this.views.size)
--- a/packages/jobs/src/lib/leader/workers/WorkerPolls.test.ts
+++ b/packages/jobs/src/lib/leader/workers/WorkerPolls.test.ts
@@ -47,7 +47,8 @@
 	)
 })
 
-// Guards against polls that only list ends again whose commit is pending: they were a sixth of all polls.
+// Guards against polls that only list ends again whose commit is pending: they were a sixth of all
+// polls.
 test('a worker is polled again once the ends that it listed are committed', () => {
 	const subject = new LeaderSubject()
 	subject.heartbeat('w1')
--- a/packages/jobs/src/lib/leader/workers/WorkerPolls.ts
+++ b/packages/jobs/src/lib/leader/workers/WorkerPolls.ts
@@ -1,4 +1,7 @@
-/** Polls of workers: long polls, which renew the lease and wait for the next end of a run, and probes, which return at once. */
+/**
+ * Polls of workers: long polls, which renew the lease and wait for the next end of a run, and
+ * probes, which return at once.
+ */
 import { hasUnconfirmedSurvival } from './crashEvidenceOf'
 import type { LeaderContext } from '../LeaderContext'
 import type { PollResult } from '../ports'
@@ -6,14 +9,15 @@
 import type { WorkerView } from './WorkerView'
 
 /**
- * Number of workers from which polls wait longer. A third of all polls return nothing new, and with hundreds of
- * workers they are most of the load on the cell's instances.
+ * Number of workers from which polls wait longer. A third of all polls return nothing new, and with
+ * hundreds of workers they are most of the load on the cell's instances.
  */
 const LONG_POLL_MIN_WORKERS = 100
 
 /**
- * How far an urgent run may exceed its expected time before its worker is probed beside the pending poll. A lost poll
- * hides the run's end for over a second, more than the slack of urgent work; expected times are off by about this much.
+ * How far an urgent run may exceed its expected time before its worker is probed beside the pending
+ * poll. A lost poll hides the run's end for over a second, more than the slack of urgent work;
+ * expected times are off by about this much.
  */
 const OVERDUE_MS = 130
 
@@ -44,9 +48,9 @@
 	) {}
 
 	/**
-	 * Sends the polls and probes that are due. Of the workers whose state is unknown, only a few are polled per call,
-	 * those that have waited longest first: polling all of them at once after a change of leader would keep the
-	 * instance from sending its heartbeats for longer than its lease.
+	 * Sends the polls and probes that are due. Of the workers whose state is unknown, only a few are
+	 * polled per call, those that have waited longest first: polling all of them at once after a
+	 * change of leader would keep the instance from sending its heartbeats for longer than its lease.
 	 */
 	sendDue(views: Iterable<WorkerView>, now: number): void {
 		const unclear: WorkerView[] = []
@@ -124,8 +128,9 @@
 }
 
 /**
- * Whether an urgent run should have ended by now and the poll that would report it is still pending. The answer may
- * be lost, which shows only when the poll times out: too late for urgent work.
+ * Whether an urgent run should have ended by now and the poll that would report it is still
+ * pending. The answer may be lost, which shows only when the poll times out: too late for urgent
+ * work.
  */
 function hasOverdueRun(view: WorkerView, now: number): boolean {
 	if (!view.isPolling) return false
@@ -142,8 +147,8 @@
 }
 
 /**
- * Whether ends that the worker has listed are proposed and not committed yet: until they are acknowledged, the worker
- * answers each poll with them at once.
+ * Whether ends that the worker has listed are proposed and not committed yet: until they are
+ * acknowledged, the worker answers each poll with them at once.
  */
 function isCommittingEnds({ endsCommitted, endsProposed }: WorkerView): boolean {
 	return endsCommitted < endsProposed
--- a/packages/jobs/src/lib/leader/workers/WorkerRegistry.ts
+++ b/packages/jobs/src/lib/leader/workers/WorkerRegistry.ts
@@ -149,8 +149,8 @@
 	onWorkerJoined(worker: Worker): void {
 		const known = this.views.has(worker.id)
 		const view = this.add(worker)
-		// A worker without a start time that is new to the cell has no orders of an earlier leader, so its list need not
-		// be read first.
+		// A worker without a start time that is new to the cell has no orders of an earlier leader, so
+		// its list need not be read first.
 		if (!known && worker.born === undefined) view.isListed = true
 	}
 
@@ -174,8 +174,8 @@
 	/**
 	 * Handles a heartbeat.
 	 *
-	 * @param done - called with true once what the heartbeat reports is committed or known already; with false when it
-	 *   is ignored, or when it is unclear which incarnation is current.
+	 * @param done - called with true once what the heartbeat reports is committed or known already;
+	 * with false when it is ignored, or when it is unclear which incarnation is current.
 	 */
 	handleHeartbeat(heartbeat: Heartbeat, done: (isRecorded: boolean) => void): void {
 		this.heartbeats.handle(heartbeat, done)
@@ -187,8 +187,8 @@
 	}
 
 	/**
-	 * A worker announces its end. It may go on until it receives the acknowledgement, so its runs count as ended only
-	 * once its lease is over.
+	 * A worker announces its end. It may go on until it receives the acknowledgement, so its runs
+	 * count as ended only once its lease is over.
 	 */
 	onWorkerLeaving(id: string, done: () => void): void {
 		const view = this.findLeaving(id)
@@ -200,8 +200,8 @@
 	}
 
 	/**
-	 * Finds the incarnation that announces its end. An announcement without a start time counts only for an incarnation
-	 * that is draining already.
+	 * Finds the incarnation that announces its end. An announcement without a start time counts only
+	 * for an incarnation that is draining already.
 	 */
 	private findLeaving(id: string): WorkerView | undefined {
 		const { name, born } = parseIncarnation(id)
@@ -211,7 +211,10 @@
 		return unclear && !view.isDraining ? undefined : view
 	}
 
-	/** Sends the polls that are due, and abandons the runs that an unreachable worker can no longer have. */
+	/**
+	 * Sends the polls that are due, and abandons the runs that an unreachable worker can no longer
+	 * have.
+	 */
 	tick(now: number): void {
 		this.silentRecorder.tick(this.views.values(), now)
 		this.incarnations.tick(now)
@@ -268,8 +271,8 @@
 	}
 
 	/**
-	 * Restores the runs that an earlier leader abandoned on unreachable workers. They take capacity and quota until the
-	 * worker has stopped them or its lease is certainly over.
+	 * Restores the runs that an earlier leader abandoned on unreachable workers. They take capacity
+	 * and quota until the worker has stopped them or its lease is certainly over.
 	 */
 	restoreAbandonedRuns(job: JobRecord): void {
 		for (const { text, task } of tasksOf(job)) {
@@ -280,13 +283,18 @@
 		}
 	}
 
-	/** A worker lists a run that it should not have: of a job that ended, or one abandoned earlier. */
+	/**
+	 * A worker lists a run that it should not have: of a job that ended, or one abandoned earlier.
+	 */
 	onStrayRun(view: WorkerView, task: string, attempt: number): void {
 		this.suspects.raise(view, task, attempt)
 		this.suspects.settle(view)
 	}
 
-	/** Another incarnation answers in a worker's place; the runs that it holds must end before they may start elsewhere. */
+	/**
+	 * Another incarnation answers in a worker's place; the runs that it holds must end before they
+	 * may start elsewhere.
+	 */
 	private onIncarnationChanged(view: WorkerView): void {
 		view.isEnding = true
 		// Recorded as a loss too, since workers that restart together were not crashed by a task.
@@ -295,8 +303,8 @@
 	}
 
 	/**
-	 * A worker has refused an order since it has seen a higher fencing token: a later leader's, unless this leader sent
-	 * it to another incarnation.
+	 * A worker has refused an order since it has seen a higher fencing token: a later leader's,
+	 * unless this leader sent it to another incarnation.
 	 */
 	onFenced(view: WorkerView): void {
 		if (this.views.get(view.id) === view && !view.isEnding) this.context.deposed()
@@ -315,9 +323,9 @@
 	}
 
 	/**
-	 * Proposes that a worker answers on which runs were abandoned while it was unreachable: the answer proves that they
-	 * did not crash it. An answer to a call sent before they were abandoned proves nothing, since the worker may have
-	 * crashed after it.
+	 * Proposes that a worker answers on which runs were abandoned while it was unreachable: the
+	 * answer proves that they did not crash it. An answer to a call sent before they were abandoned
+	 * proves nothing, since the worker may have crashed after it.
 	 */
 	private proposeAnswered(view: WorkerView, sentAt: number): void {
 		const { state, proposals } = this.context
@@ -369,14 +377,20 @@
 		}
 	}
 
-	/** Polls again at once. The data centre may be unreachable, with the instance that was to relay the poll. */
+	/**
+	 * Polls again at once. The data centre may be unreachable, with the instance that was to relay
+	 * the poll.
+	 */
 	private onNotCarried(view: WorkerView): void {
 		this.losses.onMissedCall(view)
 		view.pollDueAt = 0
 		view.probeDueAt = 0
 	}
 
-	/** Proposes the ends that are new; they are acknowledged to the worker only once they are committed. */
+	/**
+	 * Proposes the ends that are new; they are acknowledged to the worker only once they are
+	 * committed.
+	 */
 	private takeEnds(view: WorkerView, ended: readonly ListedEnd[]): void {
 		const newEnds = ended.filter((end) => end.number > view.endsProposed)
 		this.logEndsPassedOver(view, ended)
@@ -390,8 +404,8 @@
 	}
 
 	/**
-	 * Logs ends with numbers that were committed before, of runs that still count as running: another incarnation than
-	 * the known one has listed them.
+	 * Logs ends with numbers that were committed before, of runs that still count as running: another
+	 * incarnation than the known one has listed them.
 	 */
 	private logEndsPassedOver(view: WorkerView, ended: readonly ListedEnd[]): void {
 		const numbers = ended
@@ -409,9 +423,9 @@
 	}
 
 	/**
-	 * Creates the lease that earlier leaders may have granted, a whole one just before they were deposed. A worker that
-	 * has just restarted may hold one that was computed from its earlier incarnation's clock, which it keeps for up to
-	 * `longestLease`.
+	 * Creates the lease that earlier leaders may have granted, a whole one just before they were
+	 * deposed. A worker that has just restarted may hold one that was computed from its earlier
+	 * incarnation's clock, which it keeps for up to `longestLease`.
 	 */
 	private createLease({ id, born }: Worker): Lease {
 		const { timing, clock, state } = this.context
--- a/packages/jobs/src/lib/leader/workers/WorkerView.ts
+++ b/packages/jobs/src/lib/leader/workers/WorkerView.ts
@@ -5,7 +5,10 @@
 import { LivenessProof } from './LivenessProof'
 import type { Run } from '../runs/Run'
 
-/** A run that was abandoned early; its resource use is unknown until the worker has stopped it. @internal */
+/**
+ * A run that was abandoned early; its resource use is unknown until the worker has stopped it.
+ * @internal
+ */
 export interface SuspectRun {
 	readonly attempt: number
 	/** Its usage as counted against its account's quota; undefined without an account. */
@@ -16,7 +19,10 @@
 	stoppedAt?: number
 }
 
-/** How long a reading of a worker's clock may be used for the age of a heartbeat: at 2% drift its error is 0.2 s by then. */
+/**
+ * How long a reading of a worker's clock may be used for the age of a heartbeat: at 2% drift its
+ * error is 0.2 s by then.
+ */
 const CLOCK_READING_VALID_MS = 10_000
 
 /** The leader's view of one incarnation of a worker. @internal */
@@ -26,7 +32,9 @@
 	heartbeatAt: number
 	/** Reading of its own clock in its latest answer, and when that arrived; undefined before. */
 	clockReading: { readonly value: number; readonly at: number } | undefined
-	/** Reading of its own clock when it sent its latest heartbeat; undefined when it was not reported. */
+	/**
+	 * Reading of its own clock when it sent its latest heartbeat; undefined when it was not reported.
+	 */
 	heartbeatClock: number | undefined
 	/** Sequence number of its latest heartbeat. */
 	sequence = 0
@@ -42,7 +50,9 @@
 	runsAbandonedAt = Number.NEGATIVE_INFINITY
 	/** When it last answered, on the leader's clock. */
 	answeredAt = Number.NEGATIVE_INFINITY
-	/** Runs that were abandoned although they may still be running, or may yet start, by task name. */
+	/**
+	 * Runs that were abandoned although they may still be running, or may yet start, by task name.
+	 */
 	readonly suspects = new Map<string, SuspectRun>()
 	/** Whether a probe is under way. */
 	isProbing = false
@@ -56,7 +66,10 @@
 	endsProposed = 0
 	/** The highest number of an end that was listed again while its run still counted as running. */
 	endsPassedOver = 0
-	/** Whether this leader has received its list of runs; until then it may have runs that are not counted. */
+	/**
+	 * Whether this leader has received its list of runs; until then it may have runs that are not
+	 * counted.
+	 */
 	isListed = false
 	/** When it was last polled or probed while its state was unknown, on the leader's clock. */
 	lastAskedAt = Number.NEGATIVE_INFINITY
@@ -70,7 +83,10 @@
 	hasHeartbeat = false
 	/** Whether it announced its end; its runs count as ended once its lease is over. */
 	hasLeft = false
-	/** Whether it is about to be removed: only prerequisites of that or its commit are pending, and nothing is ordered there. */
+	/**
+	 * Whether it is about to be removed: only prerequisites of that or its commit are pending, and
+	 * nothing is ordered there.
+	 */
 	isEnding = false
 	/** Its speed relative to the median worker's; 1 unless speeds are known and differ much. */
 	speed = 1
@@ -80,8 +96,10 @@
 	/**
 	 * @param worker - its description.
 	 * @param lease - its lease.
-	 * @param fence - fencing token of all orders to it, above those of every incarnation learned of before.
-	 * @param now - the current time; stands for its latest heartbeat, since those received by earlier leaders are unknown.
+	 * @param fence - fencing token of all orders to it, above those of every incarnation learned of
+	 * before.
+	 * @param now - the current time; stands for its latest heartbeat, since those received by earlier
+	 * leaders are unknown.
 	 */
 	constructor(
 		public worker: Worker,
@@ -93,8 +111,9 @@
 	}
 
 	/**
-	 * @returns milliseconds since it sent its latest heartbeat, by its own clock where a recent reading is known, since
-	 *   a partition may have delayed the heartbeat; otherwise since the heartbeat arrived.
+	 * @returns milliseconds since it sent its latest heartbeat, by its own clock where a recent
+	 * reading is known, since a partition may have delayed the heartbeat; otherwise since the
+	 * heartbeat arrived.
 	 */
 	heartbeatAge(now: number): number {
 		const since = now - this.heartbeatAt
@@ -105,9 +124,9 @@
 	}
 
 	/**
-	 * The number up to which the worker may forget ends. The next incarnation would forget its own first ends, which
-	 * have not been received, so ends are acknowledged only just after a list of this incarnation: the next one can't
-	 * have ended a run by then.
+	 * The number up to which the worker may forget ends. The next incarnation would forget its own
+	 * first ends, which have not been received, so ends are acknowledged only just after a list of
+	 * this incarnation: the next one can't have ended a run by then.
 	 */
 	endsSeen(now: number): number {
 		const isAlive = this.worker.born === undefined || this.liveness.isValid(now)
--- a/packages/jobs/src/lib/leader/workers/crashEvidenceOf.test.ts
+++ b/packages/jobs/src/lib/leader/workers/crashEvidenceOf.test.ts
@@ -1,4 +1,6 @@
-/** Evidence that the loss of a worker gives against the tasks that ran there, and correlated losses. */
+/**
+ * Evidence that the loss of a worker gives against the tasks that ran there, and correlated losses.
+ */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import { CrashEvidence } from '../../state/TaskCrashes'
--- a/packages/jobs/src/lib/leader/workers/crashEvidenceOf.ts
+++ b/packages/jobs/src/lib/leader/workers/crashEvidenceOf.ts
@@ -1,6 +1,7 @@
 /**
- * Rates what the unannounced end of a worker implies about a run there. This is the only place that decides which
- * ends count, and against which of the tasks that shared the worker; the first matching line applies:
+ * Rates what the unannounced end of a worker implies about a run there. This is the only place that
+ * decides which ends count, and against which of the tasks that shared the worker; the first
+ * matching line applies:
  *
  * | the run, at the worker's last answer                                           | evidence |
  * | ------------------------------------------------------------------------------ | -------- |
@@ -14,8 +15,8 @@
  * | other workers of the service were lost at the same time                        | doubtful |
  * | it had just started                                                            | strong   |
  *
- * Time at work is the time on the worker's clock between the answer that confirmed the run and the last list that
- * contained it: a lower bound, however late those answers arrived.
+ * Time at work is the time on the worker's clock between the answer that confirmed the run and the
+ * last list that contained it: a lower bound, however late those answers arrived.
  */
 import { CrashEvidence } from '../../state/TaskCrashes'
 import type { Run } from '../runs/Run'
@@ -24,8 +25,8 @@
 /** Time after the confirmation of a suspected task's run from which its worker is probed. */
 const PROBE_AFTER_MS = 200
 /**
- * Time at work after which a lasting run has shown that it does not crash its worker. Such a run may see many workers
- * fail.
+ * Time at work after which a lasting run has shown that it does not crash its worker. Such a run
+ * may see many workers fail.
  */
 const HARMLESS_AFTER_MS = 5000
 
@@ -54,8 +55,8 @@
 }
 
 /**
- * A worker that refused the order, or restarted before it arrived, has started nothing; an order without an answer may
- * have been carried out.
+ * A worker that refused the order, or restarted before it arrived, has started nothing; an order
+ * without an answer may have been carried out.
  */
 function mayHaveStarted({
 	ordered,
@@ -69,8 +70,9 @@
 }
 
 /**
- * @returns whether a suspected task has started on a worker and no later answer has shown yet that the worker
- *   survived it. The sooner the worker is probed, the fewer unrelated failures count against the task.
+ * @returns whether a suspected task has started on a worker and no later answer has shown yet that
+ * the worker survived it. The sooner the worker is probed, the fewer unrelated failures count
+ * against the task.
  * @internal
  */
 export function hasUnconfirmedSurvival(view: WorkerView, now: number): boolean {
--- a/packages/jobs/src/lib/leader/workers/isSameWorker.ts
+++ b/packages/jobs/src/lib/leader/workers/isSameWorker.ts
@@ -12,7 +12,11 @@
 	)
 }
 
-/** @returns whether two descriptions have the same service and place, which an incarnation never changes. @internal */
+/**
+ * @returns whether two descriptions have the same service and place, which an incarnation never
+ * changes.
+ * @internal
+ */
 export function isSamePlace(left: Worker, right: Worker): boolean {
 	return (
 		left.address === right.address &&
--- a/packages/jobs/src/lib/records/Cell.ts
+++ b/packages/jobs/src/lib/records/Cell.ts
@@ -3,61 +3,67 @@
 import type { Finding } from '@rillrudder/utils'
 import { checkAccounts, type ClientAccount } from '../accounts/ClientAccount'
 
-/** How the service that knows a queue's policy answers. @public */
+/** Response times of the service that holds a queue's placement policy. @public */
 export interface AdviceTerms {
-	/** Milliseconds that each answer takes. */
+	/** Fixed time of each answer in milliseconds. */
 	readonly base: number
-	/** Milliseconds more for each worker asked about. */
+	/** Additional milliseconds per worker in the request. */
 	readonly each: number
-	/** Milliseconds for which a ticket holds. */
+	/** Milliseconds for which a ticket is valid. */
 	readonly valid: number
 }
 
-/** A queue: where jobs come in and which workers run them. @public */
+/**
+ * A queue: the host and path at which jobs are submitted, and the service that runs them.
+ * @public
+ */
 export interface Queue {
 	readonly name: string
 	readonly host: string
-	/** What the path of its jobs begins with. */
+	/** Path prefix of requests that submit its jobs. */
 	readonly prefix: string
-	/** 0 goes first. */
+	/** 0 is the highest priority. */
 	readonly priority: number
 	/** The service whose workers run its tasks. */
 	readonly service: string
-	/** Runs of a task that may fail before its job has failed. */
+	/** Number of failed runs of a task at which its job fails. */
 	readonly maxAttempts: number
-	/** Milliseconds: the least time that a job is expected to take. */
+	/** Least time in milliseconds that a job may take; `stretch` times its critical path is added. */
 	readonly latencyTarget: number
-	/** How many times its longest chain of work a job may take, besides `latencyTarget`. */
+	/**
+	 * Multiple of its critical path (the longest chain of expected times) that a job may take, added
+	 * to `latencyTarget`.
+	 */
 	readonly stretch: number
-	/** Milliseconds that a caller's request may take. */
+	/** Timeout of a caller's request in milliseconds. */
 	readonly timeout: number
-	/** Whether callers need no key, and jobs belong to no account. */
+	/** Whether callers need no key and jobs belong to no account. */
 	readonly open?: boolean
-	/** Set when only some workers may run a step, and which ones must be asked. */
+	/** Set when only some workers may run a step and the advice service must be asked which ones. */
 	readonly advice?: AdviceTerms
 }
 
 /** A service: a pool of workers. @public */
 export interface Service {
 	readonly name: string
-	/** Whether its workers refuse what they have no room for. */
+	/** Whether its workers refuse tasks that exceed their free capacity. */
 	readonly enforcesCapacity: boolean
 }
 
-/** One version of the whole configuration. @public */
+/** One version of the configuration of a cell. @public */
 export interface CellConfiguration {
 	readonly version: number
 	readonly queues: readonly Queue[]
 	readonly services: readonly Service[]
-	/** Absent in a cell without accounts, where callers need no keys. */
+	/** Absent in a cell without accounts, where callers need no key. */
 	readonly accounts?: readonly ClientAccount[]
-	/** The document as the operator sent it, given back when it is read. */
+	/** The document as the operator sent it, returned when the configuration is read. */
 	readonly document: string
 }
 
 /**
  * @param configuration - a configuration whose fields have the right types.
- * @returns everything that is wrong with it.
+ * @returns the findings; empty for a valid configuration.
  * @public
  */
 export function checkCellConfiguration(configuration: CellConfiguration): Finding[] {
@@ -80,11 +86,14 @@
 	return findings
 }
 
-/** What is known of one incarnation of a worker. @public */
+/** The description of one incarnation of a worker. @public */
 export interface Worker {
-	/** Of the incarnation, so new at every start of the worker; see `Incarnation`. */
+	/** Id of the incarnation, new at every start of the worker; see `Incarnation`. */
 	readonly id: string
-	/** When it started, milliseconds since the epoch; absent where workers do not say, and in records of before they did. */
+	/**
+	 * When it started, milliseconds since the epoch; absent where workers do not report it and in
+	 * older records.
+	 */
 	readonly born?: number
 	readonly service: string
 	/** Host and port for orders. */
@@ -93,18 +102,18 @@
 	readonly rack: string
 	readonly labels: readonly string[]
 	readonly capacity: Resources
-	/** Requests that it takes at the same time. */
+	/** Requests that it serves concurrently. */
 	readonly slots: number
 }
 
 /** A worker's heartbeat. @public */
 export interface Heartbeat {
 	readonly worker: Worker
-	/** Rises with each heartbeat of an incarnation, so that a late one can be told. */
+	/** Increases with each heartbeat of an incarnation, so that a late one is recognised. */
 	readonly sequence: number
 	readonly draining: boolean
-	/** Milliseconds that a draining worker still serves at least; absent when it did not say. */
+	/** Milliseconds for which a draining worker still serves at least; absent when not reported. */
 	readonly remaining?: number
-	/** Milliseconds on the worker's own steady clock. */
+	/** Reading of the worker's own monotonic clock in milliseconds. */
 	readonly clock?: number
 }
--- a/packages/jobs/src/lib/records/Incarnation.test.ts
+++ b/packages/jobs/src/lib/records/Incarnation.test.ts
@@ -1,4 +1,4 @@
-/** Lives of workers as text, and told apart. */
+/** Ids of incarnations, and their comparison. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import {
@@ -8,14 +8,14 @@
 	workerNameOf,
 } from './Incarnation'
 
-test('an id is read back as the life that it names', () => {
+test('an id is parsed back to the incarnation that it was formatted from', () => {
 	for (const life of [{ name: 'i-7f' }, { name: 'i-7f', born: 0 }, { name: 'i-7f', born: 17e11 }]) {
 		assert.deepEqual(parseIncarnation(formatIncarnation(life)), life)
 		assert.equal(workerNameOf(formatIncarnation(life)), 'i-7f')
 	}
 })
 
-test('two lives are told apart whichever started first by the calendar, and not where one does not say', () => {
+test('incarnations differ by their start times in either order, and not where one is unknown', () => {
 	assert.ok(isOtherIncarnation(5, 4))
 	assert.ok(isOtherIncarnation(4, 5))
 	assert.ok(!isOtherIncarnation(5, 5))
--- a/packages/jobs/src/lib/records/Incarnation.ts
+++ b/packages/jobs/src/lib/records/Incarnation.ts
@@ -1,41 +1,46 @@
 /**
- * One life of a worker. A worker may start again under the name that it had; it then knows nothing of before, and all that it
- * counts starts anew. So whatever is kept of a worker is kept by its incarnation, never by its name alone. Its id as text is
- * made here and nowhere else; people find the worker by the name that the id begins with.
+ * Incarnations of workers. A worker may restart under the same name; it then has lost its state,
+ * and all of its counters start again. So everything stored about a worker is keyed by its
+ * incarnation, never by its name alone. Incarnation ids are formatted and parsed only here; they
+ * start with the worker's name, so that operators recognise the worker.
  */
 
-/** One life of a worker. @public */
+/** One incarnation of a worker: the time from its start to its end. @public */
 export interface Incarnation {
-	/** What it calls itself, the same in each life. */
+	/** Name of the worker, the same in each incarnation. */
 	readonly name: string
-	/** When it started, milliseconds since the epoch by its own calendar; absent where workers do not say. */
+	/**
+	 * When it started, milliseconds since the epoch by its own wall clock; absent where workers do
+	 * not report it.
+	 */
 	readonly born?: number
 }
 
-/** Between name and moment of start; no name of a worker has it. @public */
+/** Separates the name from the start time; never part of a worker name. @public */
 export const INCARNATION_SEPARATOR = '@'
 
-/** @returns the id of a life as text; `parseIncarnation` reads it back. @public */
+/** @returns the id of an incarnation; `parseIncarnation` is the inverse. @public */
 export function formatIncarnation({ name, born }: Incarnation): string {
 	return born === undefined ? name : `${name}${INCARNATION_SEPARATOR}${born}`
 }
 
-/** @returns the life that an id names. @public */
+/** @returns the incarnation that an id names. @public */
 export function parseIncarnation(id: string): Incarnation {
 	const at = id.indexOf(INCARNATION_SEPARATOR)
 	if (at < 0) return { name: id }
 	return { name: id.slice(0, at), born: Number(id.slice(at + 1)) }
 }
 
-/** @returns what the worker of an id calls itself. @public */
+/** @returns the worker's name in the id of an incarnation. @public */
 export function workerNameOf(id: string): string {
 	return parseIncarnation(id).name
 }
 
 /**
- * @param expected - when the worker that was meant started; undefined when that is not known.
- * @param answered - when the one that answered did; undefined when it did not say.
- * @returns whether another life answered. Which of two is the later one can't be told from these moments: calendars are set.
+ * @param expected - start time of the incarnation that was addressed; undefined when unknown.
+ * @param answered - start time of the one that answered; undefined when it was not reported.
+ * @returns whether another incarnation answered. The times do not show which of two is the later
+ * one, since wall clocks can be changed.
  * @public
  */
 export function isOtherIncarnation(
--- a/packages/jobs/src/lib/records/Job.ts
+++ b/packages/jobs/src/lib/records/Job.ts
@@ -1,43 +1,43 @@
-/** Jobs as their owners hand them in: steps in a graph, each of a number of tasks. */
+/** Jobs as they are submitted: a graph of steps, each of which has a number of tasks. */
 import type { Resources } from '@rillrudder/scheduler'
 
 /** One step of a job. @public */
 export interface Step {
 	/** How many tasks it has; at least 1. */
 	readonly count: number
-	/** What each task takes. */
+	/** Resources of each task. */
 	readonly need: Resources
-	/** Milliseconds that a task may take; a rough hint, 0 for none. */
+	/** Expected run time of a task in milliseconds; a rough hint, 0 for none. */
 	readonly expectedTime: number
-	/** Numbers of earlier steps, from 0, all tasks of which must be done first. */
+	/** Indices of earlier steps, all tasks of which must be done first. */
 	readonly dependsOn: readonly number[]
-	/** Whether its tasks can go on from a checkpoint. */
+	/** Whether its tasks can resume from a checkpoint. */
 	readonly checkpoints: boolean
-	/** Whether its tasks work only together, under one attempt. */
+	/** Whether its tasks run only all together, under one attempt number. */
 	readonly gang: boolean
-	/** Whether a gang works much slower on more than one rack. */
+	/** Whether a gang runs much slower when spread over several racks. */
 	readonly sameRack: boolean
-	/** A label that the worker must have; empty for any worker. */
+	/** A label that its workers must have; empty for any worker. */
 	readonly requires: string
-	/** The rack where the data is; empty for none. */
+	/** The rack of its input data; empty for none. */
 	readonly rack: string
-	/** Most tasks of this step on one worker at a time; 0 for no limit. */
+	/** Largest number of its tasks on one worker at a time; 0 for no limit. */
 	readonly mostPerWorker: number
-	/** Whether copies of a task may run side by side. */
+	/** Whether copies of a task may run at the same time. */
 	readonly copies: boolean
-	/** Whether its tasks run until the job is cancelled, and are started again however they end. */
+	/** Whether its tasks run until the job is cancelled, and are restarted however they end. */
 	readonly lasting: boolean
-	/** What its tasks run; tasks of one image behave alike. */
+	/** Image that its tasks run; tasks of one image behave alike. */
 	readonly image: string
-	/** Milliseconds under which the tail latency of a lasting task's own callers should stay; 0 for none. */
+	/** Target for the tail latency of a lasting task's own callers in milliseconds; 0 for none. */
 	readonly latencyTarget: number
-	/** Whether its tasks use processor time that others leave, and reserve none. */
+	/** Whether its tasks reserve no processor time and use only what others leave idle. */
 	readonly bestEffort: boolean
-	/** Disruption budget: lasting tasks that may be away at once by the system's doing. */
+	/** Disruption budget: number of lasting tasks that the system may take down at a time. */
 	readonly disruptionBudget: number
 }
 
-/** What a step is unless its description says otherwise. @public */
+/** Default values of the fields of a step. @public */
 export const DEFAULT_STEP: Step = {
 	count: 1,
 	need: { cpu: 0, memory: 0, accelerators: 0 },
@@ -57,27 +57,27 @@
 	disruptionBudget: 0,
 }
 
-/** When a job's steps run again and again. @public */
+/** How often and when the steps of a job are repeated. @public */
 export interface Repeat {
-	/** How many times. */
+	/** Number of repeats. */
 	readonly count: number
-	/** When the first one is due, milliseconds since the epoch. */
+	/** When the first repeat is due, milliseconds since the epoch. */
 	readonly first: number
-	/** Milliseconds between two. */
+	/** Milliseconds between two repeats. */
 	readonly interval: number
 }
 
-/** A job as it is handed in. @public */
+/** A job as it is submitted. @public */
 export interface JobRequest {
-	/** Opaque text that each task is started with. */
+	/** Opaque text that is passed to each task when it starts. */
 	readonly spec: string
 	readonly steps: readonly Step[]
 	readonly repeat?: Repeat
 }
 
-/** Where a job is in its life. @public */
+/** State of a job. @public */
 export const JobState = {
-	/** Accepted; no task has begun. */
+	/** Accepted; no task has started. */
 	Queued: 'queued',
 	Running: 'running',
 	Completed: 'completed',
@@ -85,31 +85,34 @@
 	Failed: 'failed',
 	Cancelled: 'cancelled',
 } as const
-/** One of the states. @public */
+/** One of the values of `JobState`. @public */
 export type JobState = (typeof JobState)[keyof typeof JobState]
 
 /** How a run of a task ended. @public */
 export const RunEnd = {
 	Done: 'done',
-	/** By its own fault or its worker's. */
+	/** It failed, by its own fault or that of its worker. */
 	Failed: 'failed',
-	/** By an order. */
+	/** It was stopped by an order. */
 	Stopped: 'stopped',
-	/** Its worker's lease ran out. */
+	/** Its worker's lease expired. */
 	LeaseExpired: 'lapsed',
 	/** Another member of its gang ended. */
 	GangMemberEnded: 'broken',
-	/** It waited too long for the other members of its gang. */
+	/** It timed out waiting for the other members of its gang. */
 	GangTimeout: 'alone',
-	/** Its worker is gone, or its lease is certainly over, and nothing was heard of it. */
+	/** Its worker has ended or its lease is certainly over, and no end of the run was reported. */
 	Lost: 'lost',
 	/** Its worker refused to start it, and never will. */
 	Refused: 'refused',
 } as const
-/** One of the endings. @public */
+/** One of the values of `RunEnd`. @public */
 export type RunEnd = (typeof RunEnd)[keyof typeof RunEnd]
 
-/** Names one task: the job, the number of the repeat, the step and the index in the step. @public */
+/**
+ * Identifies a task: job id, index of the repeat, index of the step and index within the step.
+ * @public
+ */
 export interface TaskName {
 	readonly job: string
 	readonly repeat: number
@@ -117,12 +120,12 @@
 	readonly index: number
 }
 
-/** @returns the name as text; `parseTaskName` reads it back. @public */
+/** @returns the name in text form; `parseTaskName` is the inverse. @public */
 export function formatTaskName(name: TaskName): string {
 	return `${name.job}.${name.repeat}.${name.step}.${name.index}`
 }
 
-/** @returns the name, or undefined when the text is none. @public */
+/** @returns the name; undefined when the text is not a task name. @public */
 export function parseTaskName(text: string): TaskName | undefined {
 	const parts = text.split('.')
 	if (parts.length !== 4) return undefined
--- a/packages/jobs/src/lib/records/checkJob.ts
+++ b/packages/jobs/src/lib/records/checkJob.ts
@@ -1,19 +1,22 @@
-/** Checks a job as a whole, beyond the types of its fields. */
+/** Validates a job beyond the types of its fields. */
 import type { Finding } from '@rillrudder/utils'
 import type { JobRequest, Step } from './Job'
 
-/** Bytes of the text that a task is started with. @public */
+/** Limit of `JobRequest.spec` in bytes. @public */
 export const MAX_SPEC_BYTES = 4000
-/** Steps of one job; bounds what one submission can make a leader keep. @public */
+/** Limit of the steps of a job; bounds the state that one submission can create. @public */
 export const MAX_STEPS = 64
-/** Tasks of one step, for the same reason. @public */
+/** Limit of the tasks of a step, for the same reason. @public */
 export const MAX_TASKS_PER_STEP = 2000
-/** Times that a job may repeat, for the same reason. @public */
+/** Limit of the repeats of a job, for the same reason. @public */
 export const MAX_REPEATS = 1000
-/** Tasks of all steps and repeats of a job together; a kept task takes about 100 bytes. @public */
+/**
+ * Limit of the tasks of a job in all steps and repeats; a stored task takes about 100 bytes.
+ * @public
+ */
 export const MAX_TASKS_PER_JOB = 20_000
 
-/** @returns how many tasks a job has in all its steps and repeats. @public */
+/** @returns the number of tasks of a job in all steps and repeats. @public */
 export function countTasks({ steps, repeat }: JobRequest): number {
 	const once = steps.reduce((sum, step) => sum + step.count, 0)
 	return once * Math.max(1, repeat?.count ?? 1)
@@ -21,7 +24,7 @@
 
 /**
  * @param job - a job whose fields have the right types.
- * @returns everything that is wrong with it; empty when it can be accepted.
+ * @returns the findings; empty when the job can be accepted.
  * @public
  */
 export function checkJob(job: JobRequest): Finding[] {
--- a/packages/jobs/src/lib/state/CellState.test.ts
+++ b/packages/jobs/src/lib/state/CellState.test.ts
@@ -25,12 +25,12 @@
 const SUBMIT: CellCommand = { kind: 'submit', id: ID, queue: QUEUE, job: jobOf({}), at: 0 }
 const JOIN: CellCommand = { kind: 'worker', worker: workerNamed('w1') }
 
-test('a run begins on a worker that is there', () => {
+test('a run starts on a known worker', () => {
 	const { state } = stateWith(SUBMIT, JOIN, BEGIN)
 	assert.equal(state.jobs.locate(`${ID}.0.0.0`)?.task.status, TaskStatus.Placed)
 })
 
-test('a run that was decided for a worker that has ended meanwhile does not begin', () => {
+test('a run on a worker that was removed in the meantime does not start', () => {
 	const gone: CellCommand = { kind: 'gone', worker: 'w1', at: 1 }
 	const { state, changes } = stateWith(SUBMIT, JOIN, gone, BEGIN)
 	assert.equal(state.jobs.locate(`${ID}.0.0.0`)?.task.status, TaskStatus.Waiting)
@@ -49,7 +49,7 @@
 	return suspicionOf(state.jobs.locate(TASK)!.task)
 }
 
-test('a crash that is reported late counts for the task whose run had been given up there', () => {
+test('a crash that is reported late counts against the task whose run was abandoned on that worker', () => {
 	const { state } = stateWith(SUBMIT, JOIN, BEGIN, lost(1))
 	const again = new CellState()
 	again.restore(state.snapshot())
@@ -60,7 +60,7 @@
 	assert.equal(silent, undefined)
 })
 
-test('a worker that answers again has not crashed, and one that left has not either', () => {
+test('a worker that answers again or announced its end has not crashed', () => {
 	const answered: CellCommand = { kind: 'answered', worker: 'w1' }
 	const left: CellCommand = { kind: 'gone', worker: 'w1', at: 2 }
 	for (const end of [answered, left]) {
@@ -70,7 +70,7 @@
 	}
 })
 
-test('a job whose task crashes its workers has failed at once, also while another run of it goes on', () => {
+test('a job whose task crashes its workers fails at once, also while another run of the task is running', () => {
 	const commands: CellCommand[] = [SUBMIT, JOIN, BEGIN, lost(1)]
 	for (const attempt of [2, 3, 4]) {
 		const worker = `w${attempt}`
@@ -85,7 +85,7 @@
 	assert.ok(changes.some(({ kind }) => kind === 'job-ended'))
 })
 
-test('snapshots and commands of the version before crashes were counted are read', () => {
+test('snapshots and commands from before crashes were counted are read', () => {
 	const { state } = stateWith(SUBMIT, JOIN, BEGIN)
 	const snapshot = JSON.parse(Buffer.from(state.snapshot()).toString()) as { version: number }
 	const older = new CellState()
@@ -99,7 +99,7 @@
 	)
 })
 
-test('of two lives under one name that were decided on at the same time only the first is known', () => {
+test('of two incarnations of one name that were proposed at the same time only the first is added', () => {
 	const first = workerNamed('w1@5', { address: 'h:1', born: 5 })
 	const second = workerNamed('w1@9', { address: 'h:1', born: 9 })
 	const { state } = stateWith({ kind: 'worker', worker: first }, { kind: 'worker', worker: second })
@@ -113,7 +113,7 @@
 	assert.equal(state.workers.findByAddress('h:1')?.worker.id, 'w1@9')
 })
 
-test('a snapshot of before workers said when they started is read, and its workers have no birth', () => {
+test('a snapshot from before workers reported their start time is read, and its workers have none', () => {
 	const { state } = stateWith(JOIN)
 	const snapshot = JSON.parse(Buffer.from(state.snapshot()).toString()) as object
 	const older = new CellState()
@@ -124,7 +124,7 @@
 	assert.throws(() => older.restore(Buffer.from(JSON.stringify(later))))
 })
 
-test('what accounts had outlives a snapshot; a state that knows nothing of it is written as before', () => {
+test('shares of accounts are restored from a snapshot; without them the earlier version is written', () => {
 	const { state } = stateWith(JOIN)
 	const versionOf = (bytes: Uint8Array): unknown =>
 		(JSON.parse(Buffer.from(bytes).toString()) as { version: number }).version
--- a/packages/jobs/src/lib/state/CellState.ts
+++ b/packages/jobs/src/lib/state/CellState.ts
@@ -1,4 +1,7 @@
-/** The replicated state of a cell: configuration, workers and jobs, changed only by committed commands. */
+/**
+ * The replicated state of a cell: configuration, workers and jobs, changed only by committed
+ * commands.
+ */
 import { StateMachine } from '@rillrudder/group'
 import { exhaustive } from '@rillrudder/utils'
 import { VError } from 'verror'
@@ -12,8 +15,9 @@
 import { KnownWorkers, type KnownWorkersSnapshot } from './KnownWorkers'
 
 /**
- * Newest version of the snapshot format. All earlier versions are read: version 1 lacks crashes of workers, version 2
- * the start times of workers, version 3 the shares that accounts had; the missing fields are absent.
+ * Newest version of the snapshot format. All earlier versions are read: version 1 lacks crashes of
+ * workers, version 2 the start times of workers, version 3 the shares that accounts had; the
+ * missing fields are absent.
  *
  * @internal
  */
@@ -42,7 +46,9 @@
 	readonly workers = new KnownWorkers()
 	/** The newest configuration; undefined before the first. */
 	configuration: CellConfiguration | undefined
-	/** The shares that accounts recently had, as last recorded by a leader; undefined where none did. */
+	/**
+	 * The shares that accounts recently had, as last recorded by a leader; undefined where none did.
+	 */
 	shares: HadShares | undefined
 	/** Called with each change, if set. */
 	observer: ((change: Change) => void) | undefined
@@ -117,7 +123,9 @@
 		this.jobs.submit({ id, queue, request: job, account, beyondRate, submitted: at })
 	}
 
-	/** Applies a configuration; one with a version that is not above the current one changes nothing. */
+	/**
+	 * Applies a configuration; one with a version that is not above the current one changes nothing.
+	 */
 	private configure(configuration: CellConfiguration): void {
 		if (configuration.version <= (this.configuration?.version ?? 0)) return
 		this.configuration = configuration
@@ -126,15 +134,18 @@
 
 	private addWorker(worker: Worker, sequence: number, at?: number): void {
 		if (this.workers.isGone(worker.id)) return
-		// Two incarnations may have been proposed at the same time. Which one has ended is determined when the other one
-		// reports again.
+		// Two incarnations may have been proposed at the same time. Which one has ended is determined
+		// when the other one reports again.
 		const named = this.workers.findByName(workerNameOf(worker.id))
 		if (named && named.worker.id !== worker.id) return
 		this.workers.join(worker, sequence, at)
 		this.notifyObserver({ kind: 'worker-joined', worker })
 	}
 
-	/** Starts a run. Its worker may have been removed since the command was proposed; the run is void then. */
+	/**
+	 * Starts a run. Its worker may have been removed since the command was proposed; the run is void
+	 * then.
+	 */
 	private readonly startRun = (run: RunStart): void => {
 		if (this.workers.find(run.worker)) this.jobs.start(run)
 		else this.jobs.reportVoid(run)
--- a/packages/jobs/src/lib/state/Change.ts
+++ b/packages/jobs/src/lib/state/Change.ts
@@ -37,9 +37,14 @@
 			readonly worker: string
 			readonly crashed: readonly LostWorker[]
 	  }
-	/** The fate of a worker that a task had lost is known, so the task may be allowed to start again. */
+	/**
+	 * The fate of a worker that a task had lost is known, so the task may be allowed to start again.
+	 */
 	| { readonly kind: 'task-cleared'; readonly task: TaskName }
-	/** An abandoned run turned out to be done, which counts for its task. A later run may still be running. */
+	/**
+	 * An abandoned run turned out to be done, which counts for its task. A later run may still be
+	 * running.
+	 */
 	| { readonly kind: 'task-done'; readonly task: TaskName }
 	| { readonly kind: 'worker-joined'; readonly worker: Worker }
 	| { readonly kind: 'worker-draining'; readonly worker: string }
--- a/packages/jobs/src/lib/state/JobRecord.ts
+++ b/packages/jobs/src/lib/state/JobRecord.ts
@@ -25,9 +25,15 @@
 	/** Number of runs that ended by a fault of the task or its worker. */
 	failures: number
 	checkpoint: string
-	/** Whether an earlier run turned out to be done while this one is running; the task is done once this one ends. */
+	/**
+	 * Whether an earlier run turned out to be done while this one is running; the task is done once
+	 * this one ends.
+	 */
 	finished?: boolean
-	/** The attempt that was seen at work after its start; recorded only for tasks that have lost workers. */
+	/**
+	 * The attempt that was seen at work after its start; recorded only for tasks that have lost
+	 * workers.
+	 */
 	seenAtWork?: number
 	/** Attempts that were abandoned without a reported end; that end may still arrive. */
 	lost?: number[]
@@ -47,7 +53,10 @@
 /** The stored record of a job. @public */
 export interface JobRecord {
 	readonly id: string
-	/** Its queue as configured when the job was accepted, so that jobs outlive the removal of their queue. */
+	/**
+	 * Its queue as configured when the job was accepted, so that jobs outlive the removal of their
+	 * queue.
+	 */
 	readonly queue: Queue
 	readonly request: JobRequest
 	/** Its account, with the quota terms configured when the job was accepted; absent for none. */
--- a/packages/jobs/src/lib/state/JobTable.test.ts
+++ b/packages/jobs/src/lib/state/JobTable.test.ts
@@ -1,4 +1,4 @@
-/** What the table makes of runs and their ends. */
+/** Starts and ends of runs in the job table, and what they change. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import { JobState, RunEnd, type JobRequest } from '../records/Job'
@@ -34,7 +34,7 @@
 	}
 }
 
-test('the last end of a step is counted before it is told', () => {
+test('the last end of a step is counted before it is reported', () => {
 	const subject = new Subject(jobOf({}, { dependsOn: [0] }))
 	let ready = false
 	const table = new JobTable((change) => {
@@ -90,7 +90,7 @@
 	assert.equal(subject.job.state, JobState.Running)
 })
 
-test('a run that was given up and then turns out done is told, so that the next step opens', () => {
+test('an abandoned run that turns out to be done is reported, so that the next step becomes ready', () => {
 	const subject = new Subject(jobOf({}, { dependsOn: [0] }))
 	subject.begin('0.0')
 	subject.end('0.0', RunEnd.Lost)
@@ -101,7 +101,7 @@
 	assert.equal(subject.kinds.at(-1), 'run-void')
 })
 
-test('the late failure of a run that was given up counts as an attempt, once', () => {
+test('the late failure of an abandoned run counts as an attempt, once', () => {
 	const subject = new Subject(jobOf({}))
 	subject.begin('0.0')
 	subject.end('0.0', RunEnd.Lost)
@@ -113,7 +113,7 @@
 	assert.equal(subject.job.state, JobState.Failed)
 })
 
-test('a late end leaves a later run in place until that has ended too', () => {
+test('a late end leaves a later run in place until the later one has ended too', () => {
 	const subject = new Subject(jobOf({}))
 	subject.begin('0.0')
 	subject.end('0.0', RunEnd.Lost)
@@ -123,7 +123,7 @@
 	assert.deepEqual([...subject.table.placedOn('w2')], [`${ID}.0.0.0`])
 })
 
-test('a task whose earlier run turned out done begins no more, however its later run ends', () => {
+test('a task whose earlier run turned out to be done is not restarted, however its later run ends', () => {
 	for (const how of [RunEnd.Stopped, RunEnd.Failed, RunEnd.Lost, RunEnd.LeaseExpired]) {
 		const subject = new Subject(jobOf({}))
 		subject.begin('0.0')
@@ -136,7 +136,7 @@
 	}
 })
 
-test('a run does not begin for a job that was cancelled, nor under an attempt that was used', () => {
+test('a run does not start for a cancelled job or under a used attempt number', () => {
 	const subject = new Subject(jobOf({ count: 2 }))
 	subject.begin('0.0')
 	subject.end('0.0', RunEnd.Stopped)
@@ -147,7 +147,7 @@
 	assert.equal(subject.kinds.at(-1), 'run-void')
 })
 
-test('one member of a gang that is done stands for all, also for one whose worker is lost', () => {
+test('one done member of a gang counts for all, also for one whose worker is lost', () => {
 	const subject = new Subject(jobOf({ count: 2, gang: true }))
 	subject.begin('0.0', 1, 'w1')
 	subject.begin('0.1', 1, 'w2')
@@ -165,7 +165,7 @@
 	assert.equal(subject.job.state, JobState.Running)
 })
 
-test('lasting tasks begin again however they end, and never end their job', () => {
+test('lasting tasks are restarted however they end, and never end their job', () => {
 	const subject = new Subject(jobOf({ lasting: true }))
 	for (let attempt = 1; attempt < 6; attempt++) {
 		subject.begin('0.0', attempt)
@@ -174,7 +174,7 @@
 	assert.equal(subject.job.state, JobState.Running)
 })
 
-test('a checkpoint is kept for the next run, and gone once the task is done', () => {
+test('a checkpoint is kept for the next run and dropped once the task is done', () => {
 	const subject = new Subject(jobOf({ checkpoints: true }, {}))
 	subject.begin('0.0')
 	subject.end('0.0', RunEnd.Stopped, 1, 'half')
@@ -184,7 +184,7 @@
 	assert.equal(subject.table.locate(`${ID}.0.0.0`)?.task.checkpoint, '')
 })
 
-test('a snapshot brings back jobs and what is placed where', () => {
+test('a snapshot restores the jobs and the placement of their tasks', () => {
 	const subject = new Subject(jobOf({ count: 2 }))
 	subject.begin('0.1', 1, 'w7')
 	const copy = new JobTable()
--- a/packages/jobs/src/lib/state/JobTable.ts
+++ b/packages/jobs/src/lib/state/JobTable.ts
@@ -76,7 +76,10 @@
 		return this.placedByWorker.get(worker) ?? new Set()
 	}
 
-	/** @returns whether runs on a worker were abandoned while it was unreachable and its fate is not recorded yet. */
+	/**
+	 * @returns whether runs on a worker were abandoned while it was unreachable and its fate is not
+	 * recorded yet.
+	 */
 	hasUnresolvedRuns(worker: string): boolean {
 		return this.silentWorkers.has(worker)
 	}
@@ -148,7 +151,8 @@
 	/**
 	 * Ends all runs on a worker that has ended.
 	 *
-	 * @param crash - evidence against the tasks that ran there; undefined when the worker announced its end.
+	 * @param crash - evidence against the tasks that ran there; undefined when the worker announced
+	 * its end.
 	 */
 	endAllOn(worker: string, at: number, crash?: CrashFindings): void {
 		for (const text of this.silentWorkers.take(worker))
@@ -164,7 +168,10 @@
 		this.placedByWorker.delete(worker)
 	}
 
-	/** An unreachable worker answers again: none of the tasks whose runs on it were abandoned has crashed it. */
+	/**
+	 * An unreachable worker answers again: none of the tasks whose runs on it were abandoned has
+	 * crashed it.
+	 */
 	onWorkerAnswered(worker: string): void {
 		for (const text of this.silentWorkers.take(worker)) {
 			const place = this.locate(text)
@@ -182,7 +189,10 @@
 		}
 	}
 
-	/** Records that a run was at work after its start: it is unlikely to be the cause if its worker crashes later. */
+	/**
+	 * Records that a run was at work after its start: it is unlikely to be the cause if its worker
+	 * crashes later.
+	 */
 	recordAtWork({ task: text, attempt }: RunRef): void {
 		const task = this.locate(text)?.task
 		if (task?.status === TaskStatus.Placed && task.attempt === attempt) task.seenAtWork = attempt
@@ -240,7 +250,9 @@
 		if (!isActive(job)) task.checkpoint = ''
 	}
 
-	/** Records that a run was abandoned on an unreachable worker, which may turn out to have crashed. */
+	/**
+	 * Records that a run was abandoned on an unreachable worker, which may turn out to have crashed.
+	 */
 	private recordSilent({ task }: LocatedTask, text: string, evidence: CrashEvidence): void {
 		addSilentWorker(task, { worker: task.worker, evidence })
 		this.silentWorkers.add(task.worker, text)
@@ -262,7 +274,9 @@
 		this.report({ kind: 'task-cleared', task: place.name })
 	}
 
-	/** Records the reported end of an abandoned run: a failure counts, and so does a run that is done. */
+	/**
+	 * Records the reported end of an abandoned run: a failure counts, and so does a run that is done.
+	 */
 	private endLost(place: LocatedTask, run: RunOutcome, at: number): void {
 		const { name, task } = place
 		if (!task.lost?.includes(run.attempt)) return
@@ -276,7 +290,9 @@
 		this.endIfFinished(place, at)
 	}
 
-	/** Ends the job once all its tasks are done, or one has failed too often or crashes its workers. */
+	/**
+	 * Ends the job once all its tasks are done, or one has failed too often or crashes its workers.
+	 */
 	private endIfFinished({ name, job, step, task }: LocatedTask, at: number): void {
 		if (!isActive(job)) return
 		const { gang } = job.request.steps[name.step]
@@ -304,7 +320,10 @@
 	}
 }
 
-/** Marks a task as done; for a gang, all members, of which those still running are done once they end. */
+/**
+ * Marks a task as done; for a gang, all members, of which those still running are done once they
+ * end.
+ */
 function markRunDone({ name, job, step, task }: LocatedTask): void {
 	const { gang, lasting } = job.request.steps[name.step]
 	if (lasting) return
--- a/packages/jobs/src/lib/state/SilentWorkerIndex.ts
+++ b/packages/jobs/src/lib/state/SilentWorkerIndex.ts
@@ -1,6 +1,6 @@
 /**
- * An index over the task records: which tasks had a run abandoned on an unreachable worker of which is not known yet
- * whether it crashed.
+ * An index over the task records: which tasks had a run abandoned on an unreachable worker of which
+ * is not known yet whether it crashed.
  */
 import { formatTaskName } from '../records/Job'
 import type { JobRecord } from './JobRecord'
--- a/packages/jobs/src/lib/state/TaskCrashes.test.ts
+++ b/packages/jobs/src/lib/state/TaskCrashes.test.ts
@@ -1,4 +1,4 @@
-/** When a task is isolated, held and given up for the workers that it has lost. */
+/** When a task is isolated, held and no longer started because of the workers that it has lost. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import {
@@ -19,7 +19,7 @@
 	return task
 }
 
-test('three strong crashes, five early ones or ten of any kind prove that a task does it', () => {
+test('three strong, five strong or doubtful or ten crashes of any kind prove that a task is the cause', () => {
 	const cases: readonly [CrashEvidence[], Suspicion][] = [
 		[[], Suspicion.None],
 		[[Weak, Weak, Weak], Suspicion.None],
@@ -44,7 +44,7 @@
 	assert.deepEqual(task.crashed, [{ worker: 'w0', evidence: Strong }])
 })
 
-test('a task waits while it is not known what became of two workers that it has lost', () => {
+test('a task is held while the fate of a second lost worker is unknown', () => {
 	const task: TaskCrashes = {}
 	addSilentWorker(task, { worker: 'w1', evidence: Strong })
 	assert.equal(suspicionOf(task), Suspicion.Isolated)
--- a/packages/jobs/src/lib/state/TaskCrashes.ts
+++ b/packages/jobs/src/lib/state/TaskCrashes.ts
@@ -1,13 +1,18 @@
 /**
- * The workers that a task has lost: those that crashed while it ran there, and those that became unreachable and of
- * which is not known yet whether they crashed. A task that crashes every worker that starts it must not be restarted
- * for ever, so this record is replicated with the task: it outlives leaders, restarts and snapshots.
+ * The workers that a task has lost: those that crashed while it ran there, and those that became
+ * unreachable and of which is not known yet whether they crashed. A task that crashes every worker
+ * that starts it must not be restarted for ever, so this record is replicated with the task: it
+ * outlives leaders, restarts and snapshots.
  *
- * One crash proves little, since several tasks share a worker and workers fail by themselves. So each crash is kept with
- * the strength of its evidence. `docs/design/crashes.md` explains the numbers below.
+ * One crash proves little, since several tasks share a worker and workers fail by themselves. So
+ * each crash is kept with the strength of its evidence. `docs/design/crashes.md` explains the
+ * numbers below.
  */
 
-/** Strength of the evidence that a crash of a worker gives against a task that ran there. @public */
+/**
+ * Strength of the evidence that a crash of a worker gives against a task that ran there.
+ * @public
+ */
 export const CrashEvidence = {
 	/** The worker was alive when the task started, and crashed just after. */
 	Strong: 'strong',
@@ -42,7 +47,10 @@
 	Suspected: 'suspected',
 	/** Like `Suspected`, and no task of another job starts on its worker meanwhile. */
 	Isolated: 'isolated',
-	/** It does not start until it is known whether the unreachable workers that it has lost have crashed. */
+	/**
+	 * It does not start until it is known whether the unreachable workers that it has lost have
+	 * crashed.
+	 */
 	Held: 'held',
 	/** It crashes its workers, and is never started again. */
 	Proven: 'proven',
@@ -50,23 +58,29 @@
 /** One of the values of `Suspicion`. @public */
 export type Suspicion = (typeof Suspicion)[keyof typeof Suspicion]
 
-/** Crashes with strong evidence that prove that a task is the cause; two happen to innocent tasks. */
+/**
+ * Crashes with strong evidence that prove that a task is the cause; two happen to innocent tasks.
+ */
 const MIN_STRONG_FOR_PROOF = 3
 /**
- * Crashes with strong or doubtful evidence that prove it: a sixth start could be the third after the third crash. Five
- * unrelated failures just after the starts of one task are too rare to allow for.
+ * Crashes with strong or doubtful evidence that prove it: a sixth start could be the third after
+ * the third crash. Five unrelated failures just after the starts of one task are too rare to allow
+ * for.
  */
 const MIN_EARLY_FOR_PROOF = 5
-/** Crashes with any evidence that prove it, so that a task that crashes its workers late is bounded too. */
+/**
+ * Crashes with any evidence that prove it, so that a task that crashes its workers late is bounded
+ * too.
+ */
 const MIN_ANY_FOR_PROOF = 10
 /**
- * Lost workers with strong evidence from which a task is isolated: waiting for a second one costs the other tasks on its
- * worker more work than isolation costs an innocent task.
+ * Lost workers with strong evidence from which a task is isolated: waiting for a second one costs
+ * the other tasks on its worker more work than isolation costs an innocent task.
  */
 const MIN_STRONG_FOR_ISOLATION = 1
 /**
- * Lost workers with strong or doubtful evidence from which a task is isolated, and held until the fate of each of them
- * is known.
+ * Lost workers with strong or doubtful evidence from which a task is isolated, and held until the
+ * fate of each of them is known.
  */
 const MIN_EARLY_FOR_ISOLATION = 2
 
@@ -88,9 +102,11 @@
 }
 
 /**
- * Records a worker that crashed while the task ran there; a second report of the same crash changes nothing.
+ * Records a worker that crashed while the task ran there; a second report of the same crash changes
+ * nothing.
  *
- * @param evidence - evidence against the task; that recorded when the worker became unreachable takes precedence.
+ * @param evidence - evidence against the task; that recorded when the worker became unreachable
+ * takes precedence.
  * @public
  */
 export function addCrash(task: TaskCrashes, worker: string, evidence: CrashEvidence): void {
@@ -106,7 +122,10 @@
 	else delete task.silent
 }
 
-/** Drops the crashes of a task that was at work for long without harm: it did not cause them. @public */
+/**
+ * Drops the crashes of a task that was at work for long without harm: it did not cause them.
+ * @public
+ */
 export function clearCrashes(task: TaskCrashes): void {
 	delete task.crashed
 }
