--- a/packages/jobs/src/lib/state/TaskCrashes.ts
+++ b/packages/jobs/src/lib/state/TaskCrashes.ts
@@ -72,7 +72,7 @@
  * Crashes with any evidence that prove it, so that a task that crashes its workers late is bounded
  * too.
  */
-const MIN_ANY_FOR_PROOF = 10
+const MIN_FOR_PROOF = 10
 /**
  * Lost workers with strong evidence from which a task is isolated: waiting for a second one costs
  * the other tasks on its worker more work than isolation costs an innocent task.
@@ -132,9 +132,7 @@
 
 function isProof(crashed: readonly LostWorker[]): boolean {
 	if (countStrong(crashed) >= MIN_STRONG_FOR_PROOF) return true
-	return (
-		crashed.filter(isEarly).length >= MIN_EARLY_FOR_PROOF || crashed.length >= MIN_ANY_FOR_PROOF
-	)
+	return crashed.filter(isEarly).length >= MIN_EARLY_FOR_PROOF || crashed.length >= MIN_FOR_PROOF
 }
 
 function withLostWorker(list: readonly LostWorker[] = [], lost: LostWorker): readonly LostWorker[] {
