--- a/packages/jobs/src/index.ts
+++ b/packages/jobs/src/index.ts
@@ -3,10 +3,10 @@
 	COMMAND_VERSION,
 	decodeCommands,
 	encodeCommands,
-	type RunStart as Begin,
-	type RunRef as RunName,
+	type RunStart,
+	type RunRef,
 	type CellCommand,
-	type RunOutcome as End,
+	type RunOutcome,
 } from './lib/commands/CellCommand'
 export { digestOf, type ClientAccount } from './lib/accounts/ClientAccount'
 export type { AdviserStanding } from './lib/leader/advice/AdviserStanding'
@@ -18,7 +18,7 @@
 export { JobController } from './lib/leader/JobController'
 export * from './lib/leader/ports'
 export { QueueTable } from './lib/leader/callers/QueueTable'
-export { isSameWorker as sameWorker } from './lib/leader/workers/isSameWorker'
+export { isSameWorker } from './lib/leader/workers/isSameWorker'
 export * from './lib/records/Cell'
 export * from './lib/records/checkJob'
 export * from './lib/records/Incarnation'
--- a/packages/member/src/lib/GatheredHeartbeats.ts
+++ b/packages/member/src/lib/GatheredHeartbeats.ts
@@ -3,7 +3,7 @@
  * call. Each by itself would cost the leader a call and its answer, and there are hundreds a second.
  */
 import {
-	sameWorker,
+	isSameWorker,
 	type CellReply,
 	type HeardWorker,
 	type Heartbeat,
@@ -81,7 +81,7 @@
 		const { workers } = this.parts
 		const known = workers.find(worker.id)
 		if (!known || draining || known.draining) return false
-		return workers.findByAddress(worker.address) === known && sameWorker(known.worker, worker)
+		return workers.findByAddress(worker.address) === known && isSameWorker(known.worker, worker)
 	}
 
 	private setRefusing(active: boolean): void {
--- a/packages/runs/src/lib/jobs/jobRun.test.ts
+++ b/packages/runs/src/lib/jobs/jobRun.test.ts
@@ -293,7 +293,7 @@
 	{
 		rule: /a task that crashes its workers begins no more/,
 		without: 'waiting to hear of the workers that fell silent',
-		breaks: () => [[jobsClass('state', 'JobTable'), 'noteSilent', () => () => undefined]],
+		breaks: () => [[jobsClass('state', 'JobTable'), 'recordSilent', () => () => undefined]],
 	},
 	{
 		rule: /a failed job has failed for a cause/,
