--- a/packages/jobs/src/lib/commands/CellCommand.ts
+++ b/packages/jobs/src/lib/commands/CellCommand.ts
@@ -141,5 +141,9 @@
 	const batch = JSON.parse(Buffer.from(bytes).toString()) as Batch
 	if (batch.version >= 1 && batch.version <= COMMAND_VERSION) return batch.commands
 	const info = { written: batch.version, known: COMMAND_VERSION }
-	throw new VError({ name: 'RecordInvalid', info }, 'commands of version %d', batch.version)
+	throw new VError(
+		{ name: 'RecordInvalid', info },
+		'command version %d is not supported',
+		batch.version
+	)
 }
--- a/packages/jobs/src/lib/leader/workers/IncarnationChanges.ts
+++ b/packages/jobs/src/lib/leader/workers/IncarnationChanges.ts
@@ -19,10 +19,7 @@
 import { WorkerEnd } from './WorkerEnd'
 import type { WorkerView } from './WorkerView'
 
-/**
- * Interval of polls while the worker still has runs of its earlier incarnation; a stop takes 200 ms
- * or more.
- */
+/** Poll interval while the worker still has runs to stop; a stop takes 200 ms or more. */
 const STOP_RETRY_MS = 100
 
 /** Which incarnation is at an address. @internal */
@@ -84,8 +81,8 @@
 	 *
 	 * @param known - the worker that is known there.
 	 * @param claimant - the worker that reports.
-	 * @param done - called with the result; with `unclear` at once while the address is already being
-	 * polled.
+	 * @param done - called with the result; with `Occupant.Unclear` at once while the address is
+	 * being polled already.
 	 */
 	resolveOccupant(known: WorkerView, claimant: Worker, done: (occupant: Occupant) => void): void {
 		const { address, dataCentre } = claimant
--- a/packages/jobs/src/lib/leader/workers/WorkerPolls.ts
+++ b/packages/jobs/src/lib/leader/workers/WorkerPolls.ts
@@ -10,7 +10,7 @@
 
 /**
  * Number of workers from which polls wait longer. A third of all polls return nothing new, and with
- * hundreds of workers they are most of the load on the cell's instances.
+ * hundreds of workers polls are most of the load on the cell's instances.
  */
 const LONG_POLL_MIN_WORKERS = 100
 
@@ -26,7 +26,7 @@
 
 /** What `WorkerPolls` needs of the worker registry. @internal */
 export interface PollDelegate {
-	/** @returns whether the state of a worker is unknown, so that it is polled without delay. */
+	/** @returns whether the state of a worker is unknown, so that it is polled without waiting. */
 	needsProbe(view: WorkerView, now: number): boolean
 	/**
 	 * A poll has ended.
@@ -53,15 +53,15 @@
 	 * change of leader would keep the instance from sending its heartbeats for longer than its lease.
 	 */
 	sendDue(views: Iterable<WorkerView>, now: number): void {
-		const unclear: WorkerView[] = []
+		const unknown: WorkerView[] = []
 		for (const view of views) {
 			if (view.isEnding) continue
-			if (this.delegate.needsProbe(view, now)) unclear.push(view)
+			if (this.delegate.needsProbe(view, now)) unknown.push(view)
 			else if (isDueForPoll(view, now)) this.poll(view, now)
 			else if (isDueForProbe(view, now) && this.needsProbeBesidePoll(view, now))
 				this.probe(view, now)
 		}
-		const due = unclear.filter((view) => isDueForPoll(view, now) || isDueForProbe(view, now))
+		const due = unknown.filter((view) => isDueForPoll(view, now) || isDueForProbe(view, now))
 		const limit = this.context.orders.firstPolls
 		if (due.length > limit) due.sort((left, right) => left.lastAskedAt - right.lastAskedAt)
 		for (const view of due.slice(0, limit)) {
@@ -71,7 +71,7 @@
 		}
 	}
 
-	/** Whether the pending poll may return too late with something that matters. */
+	/** Whether the pending poll may report too late that a run has ended or the worker survived. */
 	private needsProbeBesidePoll(view: WorkerView, now: number): boolean {
 		return hasOverdueRun(view, now) || hasUnconfirmedSurvival(view, now)
 	}
@@ -102,12 +102,12 @@
 		leaseUntil: number | undefined,
 		wait: number,
 		sentAt: number,
-		onAnswered: () => void
+		onDone: () => void
 	): void {
 		const { orders } = this.context
 		const order = { fence: view.fence, endsSeen: view.endsSeen(sentAt), leaseUntil, wait }
 		orders.poll(view.worker, order, (result) => {
-			onAnswered()
+			onDone()
 			this.delegate.onPolled(view, result, sentAt)
 		})
 	}
--- a/packages/jobs/src/lib/leader/workers/WorkerRegistry.ts
+++ b/packages/jobs/src/lib/leader/workers/WorkerRegistry.ts
@@ -149,8 +149,8 @@
 	onWorkerJoined(worker: Worker): void {
 		const known = this.views.has(worker.id)
 		const view = this.add(worker)
-		// A worker without a start time that is new to the cell has no orders of an earlier leader, so
-		// its list need not be read first.
+		// No earlier leader knew a new worker, so none has ordered anything there. One with a start
+		// time may be a restart under a known name, so its list is read first.
 		if (!known && worker.born === undefined) view.isListed = true
 	}
 
@@ -207,8 +207,8 @@
 		const { name, born } = parseIncarnation(id)
 		const view = this.views.get(this.context.state.workers.findByName(name)?.worker.id ?? '')
 		if (!view || isOtherIncarnation(view.worker.born, born)) return undefined
-		const unclear = view.worker.born !== undefined && born === undefined
-		return unclear && !view.isDraining ? undefined : view
+		const isAmbiguous = view.worker.born !== undefined && born === undefined
+		return isAmbiguous && !view.isDraining ? undefined : view
 	}
 
 	/**
--- a/packages/jobs/src/lib/state/CellState.ts
+++ b/packages/jobs/src/lib/state/CellState.ts
@@ -72,7 +72,11 @@
 		const kept = JSON.parse(Buffer.from(data).toString()) as CellSnapshot
 		if (!(kept.version >= 1 && kept.version <= SNAPSHOT_VERSION)) {
 			const info = { written: kept.version, known: SNAPSHOT_VERSION }
-			throw new VError({ name: 'RecordInvalid', info }, 'snapshot of version %d', kept.version)
+			throw new VError(
+				{ name: 'RecordInvalid', info },
+				'snapshot version %d is not supported',
+				kept.version
+			)
 		}
 		this.configuration = kept.configuration
 		this.workers.restore(kept.workers)
--- a/packages/jobs/src/lib/state/SilentWorkerIndex.ts
+++ b/packages/jobs/src/lib/state/SilentWorkerIndex.ts
@@ -25,7 +25,11 @@
 		this.tasks.set(worker, tasks)
 	}
 
-	/** Removes the entries of a worker. @returns the names of its tasks. */
+	/**
+	 * Removes the entries of a worker.
+	 *
+	 * @returns the names of its tasks.
+	 */
 	take(worker: string): string[] {
 		const tasks = [...(this.tasks.get(worker) ?? [])]
 		this.tasks.delete(worker)
