--- a/packages/jobs/src/lib/leader/workers/SilentWorkerRecorder.ts
+++ b/packages/jobs/src/lib/leader/workers/SilentWorkerRecorder.ts
@@ -30,19 +30,22 @@
 		if (now < this.dueAt || this.pending > 0) return
 		this.dueAt = now + RECORD_INTERVAL_MS
 		const { state, timing } = this.context
-		const changed: { readonly [silent in 'true' | 'false']: string[] } = { true: [], false: [] }
+		const changed: { readonly [isSilent in 'true' | 'false']: string[] } = { true: [], false: [] }
 		for (const view of views) {
 			const known = state.workers.find(view.id)
-			const silent = !view.hasHeartbeat || view.heartbeatAge(now) > timing.workerQuiet
-			if (known && silent !== (known.silent ?? false)) changed[`${silent}`].push(view.id)
+			const isSilent = !view.hasHeartbeat || view.heartbeatAge(now) > timing.workerQuiet
+			if (known && isSilent !== (known.silent ?? false)) changed[`${isSilent}`].push(view.id)
 		}
 		this.propose(changed.true, true)
 		this.propose(changed.false, false)
 	}
 
-	private propose(workers: readonly string[], silent: boolean): void {
+	private propose(workers: readonly string[], isSilent: boolean): void {
 		if (workers.length === 0) return
 		this.pending += 1
-		this.context.proposals.propose({ kind: 'silent', workers, silent }, () => (this.pending -= 1))
+		this.context.proposals.propose(
+			{ kind: 'silent', workers, silent: isSilent },
+			() => (this.pending -= 1)
+		)
 	}
 }
--- a/packages/jobs/src/lib/leader/workers/WorkerView.ts
+++ b/packages/jobs/src/lib/leader/workers/WorkerView.ts
@@ -117,10 +117,14 @@
 	 */
 	heartbeatAge(now: number): number {
 		const since = now - this.heartbeatAt
-		const { clockReading: clockRead, heartbeatClock } = this
-		if (!clockRead || heartbeatClock === undefined || now - clockRead.at > CLOCK_READING_VALID_MS)
+		const { clockReading, heartbeatClock } = this
+		if (
+			!clockReading ||
+			heartbeatClock === undefined ||
+			now - clockReading.at > CLOCK_READING_VALID_MS
+		)
 			return since
-		return Math.max(since, clockRead.value + (now - clockRead.at) - heartbeatClock)
+		return Math.max(since, clockReading.value + (now - clockReading.at) - heartbeatClock)
 	}
 
 	/**
--- a/packages/jobs/src/lib/leader/workers/crashEvidenceOf.test.ts
+++ b/packages/jobs/src/lib/leader/workers/crashEvidenceOf.test.ts
@@ -78,7 +78,7 @@
 	},
 ]
 
-for (const { what, run, view, isCorrelated: isCorrelated = false, expected } of CASES) {
+for (const { what, run, view, isCorrelated = false, expected } of CASES) {
 	test(`evidence against a run when its worker is lost and ${what}: ${expected ?? 'none'}`, () => {
 		assert.equal(crashEvidenceOf({ ...RUN, ...run }, { ...VIEW, ...view }, isCorrelated), expected)
 	})
--- a/packages/jobs/src/lib/state/JobTable.ts
+++ b/packages/jobs/src/lib/state/JobTable.ts
@@ -110,19 +110,19 @@
 
 	/** @returns whether a task may still start under an attempt number. */
 	canStart({ task: text, attempt }: RunStart): boolean {
-		const place = this.locate(text)
-		if (!place || !isActive(place.job)) return false
-		const { task } = place
+		const located = this.locate(text)
+		if (!located || !isActive(located.job)) return false
+		const { task } = located
 		return task.status === TaskStatus.Waiting && attempt > task.attempt
 	}
 
 	/** Starts a run; reports it as void if the task may not start any more. */
 	start(run: RunStart): void {
 		const { task: text, attempt, worker } = run
-		const place = this.locate(text)
-		if (!place) return
+		const located = this.locate(text)
+		if (!located) return
 		if (!this.canStart(run)) return this.reportVoid(run)
-		const { name, job, task } = place
+		const { name, job, task } = located
 		task.status = TaskStatus.Placed
 		task.attempt = attempt
 		task.worker = worker
@@ -133,19 +133,19 @@
 
 	/** Reports that a committed run does not start. */
 	reportVoid({ task: text, attempt, worker }: RunStart): void {
-		const place = this.locate(text)
-		if (place) this.report({ kind: 'run-void', task: place.name, attempt, worker })
+		const located = this.locate(text)
+		if (located) this.report({ kind: 'run-void', task: located.name, attempt, worker })
 	}
 
 	/** Records the end of a run. */
 	end(run: RunOutcome, at: number): void {
-		const place = this.locate(run.task)
-		if (!place) return
-		const { task } = place
+		const located = this.locate(run.task)
+		if (!located) return
+		const { task } = located
 		const isCurrent = task.status === TaskStatus.Placed && task.attempt === run.attempt
-		if (!isCurrent) return this.endLost(place, run, at)
-		if (run.evidence) this.recordSilent(place, run.task, run.evidence)
-		this.endCurrent(place, run, at)
+		if (!isCurrent) return this.endLost(located, run, at)
+		if (run.evidence) this.recordSilent(located, run.task, run.evidence)
+		this.endCurrent(located, run, at)
 	}
 
 	/**
@@ -158,12 +158,12 @@
 		for (const text of this.silentWorkers.take(worker))
 			this.resolveSilent(text, worker, at, crash !== undefined)
 		for (const text of [...this.placedOn(worker)]) {
-			const place = this.locate(text)
-			if (!place) continue
+			const located = this.locate(text)
+			if (!located) continue
 			const evidence = crash?.[text]
-			if (evidence) this.countCrash(place, worker, evidence)
-			const { attempt } = place.task
-			this.endCurrent(place, { task: text, attempt, how: RunEnd.Lost, checkpoint: '' }, at)
+			if (evidence) this.countCrash(located, worker, evidence)
+			const { attempt } = located.task
+			this.endCurrent(located, { task: text, attempt, how: RunEnd.Lost, checkpoint: '' }, at)
 		}
 		this.placedByWorker.delete(worker)
 	}
@@ -174,18 +174,18 @@
 	 */
 	onWorkerAnswered(worker: string): void {
 		for (const text of this.silentWorkers.take(worker)) {
-			const place = this.locate(text)
-			if (!place) continue
-			removeSilentWorker(place.task, worker)
-			this.report({ kind: 'task-cleared', task: place.name })
+			const located = this.locate(text)
+			if (!located) continue
+			removeSilentWorker(located.task, worker)
+			this.report({ kind: 'task-cleared', task: located.name })
 		}
 	}
 
 	/** Drops the crashes counted against tasks that have been at work for long without harm. */
 	clearCrashes(tasks: readonly string[]): void {
 		for (const text of tasks) {
-			const place = this.locate(text)
-			if (place) clearCrashes(place.task)
+			const located = this.locate(text)
+			if (located) clearCrashes(located.task)
 		}
 	}
 
@@ -198,7 +198,7 @@
 		if (task?.status === TaskStatus.Placed && task.attempt === attempt) task.seenAtWork = attempt
 	}
 
-	/** Removes jobs. */
+	/** Removes jobs that have ended. */
 	forget(ids: readonly string[]): void {
 		for (const id of ids) {
 			const job = this.jobs.get(id)
@@ -234,19 +234,19 @@
 		this.tasks += countTasks(job.request)
 	}
 
-	private endCurrent(place: LocatedTask, run: RunOutcome, at: number): void {
-		const { name, job, task } = place
+	private endCurrent(located: LocatedTask, run: RunOutcome, at: number): void {
+		const { name, job, task } = located
 		const { worker } = task
 		this.placedByWorker.get(worker)?.delete(run.task)
 		task.worker = ''
 		task.status = TaskStatus.Waiting
 		if (run.checkpoint !== '') task.checkpoint = run.checkpoint
 		if (run.how === RunEnd.Lost) rememberLost(task, run.attempt)
-		const isDone = run.how === RunEnd.Done || task.finished || place.step.gangDone
-		if (isDone) markRunDone(place)
-		else if (run.how === RunEnd.Failed) countFailure(place, run.attempt)
+		const isDone = run.how === RunEnd.Done || task.finished || located.step.gangDone
+		if (isDone) markRunDone(located)
+		else if (run.how === RunEnd.Failed) countFailure(located, run.attempt)
 		this.report({ kind: 'run-ended', task: name, attempt: run.attempt, worker, how: run.how })
-		this.endIfFinished(place, at)
+		this.endIfFinished(located, at)
 		if (!isActive(job)) task.checkpoint = ''
 	}
 
@@ -265,29 +265,29 @@
 
 	/** Updates a task once the fate of a worker is known on which a run of it was abandoned. */
 	private resolveSilent(text: string, worker: string, at: number, crashed: boolean): void {
-		const place = this.locate(text)
-		if (!place) return
+		const located = this.locate(text)
+		if (!located) return
 		// The evidence recorded when the run was abandoned takes precedence over this one.
-		if (crashed) this.countCrash(place, worker, CrashEvidence.Weak)
-		else removeSilentWorker(place.task, worker)
-		this.endIfFinished(place, at)
-		this.report({ kind: 'task-cleared', task: place.name })
+		if (crashed) this.countCrash(located, worker, CrashEvidence.Weak)
+		else removeSilentWorker(located.task, worker)
+		this.endIfFinished(located, at)
+		this.report({ kind: 'task-cleared', task: located.name })
 	}
 
 	/**
 	 * Records the reported end of an abandoned run: a failure counts, and so does a run that is done.
 	 */
-	private endLost(place: LocatedTask, run: RunOutcome, at: number): void {
-		const { name, task } = place
+	private endLost(located: LocatedTask, run: RunOutcome, at: number): void {
+		const { name, task } = located
 		if (!task.lost?.includes(run.attempt)) return
 		task.lost = task.lost.filter((attempt) => attempt !== run.attempt)
-		if (run.how === RunEnd.Failed) countFailure(place, run.attempt)
+		if (run.how === RunEnd.Failed) countFailure(located, run.attempt)
 		if (run.how === RunEnd.Done && task.status !== TaskStatus.Done) {
-			if (task.status === TaskStatus.Waiting) markRunDone(place)
+			if (task.status === TaskStatus.Waiting) markRunDone(located)
 			else task.finished = true
 			this.report({ kind: 'task-done', task: name })
 		}
-		this.endIfFinished(place, at)
+		this.endIfFinished(located, at)
 	}
 
 	/**
