--- a/packages/cell/src/lib/state/WorkerTable.ts
+++ b/packages/cell/src/lib/state/WorkerTable.ts
@@ -1,6 +1,6 @@
 /** The workers of a data centre, and the request slots lent to entry instances. */
 import type { Resources } from '@rillrudder/scheduler'
-import { fits, minus, NOTHING, plus } from '@rillrudder/scheduler'
+import { fits, minus, NO_RESOURCES, plus } from '@rillrudder/scheduler'
 import { invariant } from '@rillrudder/utils'
 import type { CommandOf } from '../commands/DataCentreCommand'
 
@@ -63,7 +63,7 @@
 	set(command: CommandOf<'worker'>): boolean {
 		const known = this.workers.get(command.id)
 		const { id, address, rack, capacity, slots, state, reason } = command
-		const { reserved, lent, taken } = known ?? { reserved: NOTHING, lent: 0, taken: 0 }
+		const { reserved, lent, taken } = known ?? { reserved: NO_RESOURCES, lent: 0, taken: 0 }
 		if (state === 'gone' && isIdle(reserved, lent, taken)) return this.workers.delete(id)
 		this.workers.set(id, {
 			id,
@@ -126,7 +126,7 @@
 		const worker = this.workers.get(id)
 		if (!worker) return
 		worker.reserved = minus(worker.reserved, amount)
-		invariant(fits(NOTHING, worker.reserved), 'no more is given back than was taken', { id })
+		invariant(fits(NO_RESOURCES, worker.reserved), 'no more is given back than was taken', { id })
 	}
 
 	/** @returns the table for a snapshot. */
@@ -158,5 +158,5 @@
 }
 
 function isIdle(reserved: Resources, lent: number, taken: number): boolean {
-	return fits(reserved, NOTHING) && lent === 0 && taken === 0
+	return fits(reserved, NO_RESOURCES) && lent === 0 && taken === 0
 }
--- a/packages/jobs/src/lib/placement/RoomForecast.ts
+++ b/packages/jobs/src/lib/placement/RoomForecast.ts
@@ -1,5 +1,5 @@
 /** When room is expected on a worker: what its runs have, and when they are expected to end. */
-import { NOTHING, plus, type LedgerWorker, type Resources } from '@rillrudder/scheduler'
+import { NO_RESOURCES, plus, type LedgerWorker, type Resources } from '@rillrudder/scheduler'
 import type { Option } from '../leader/steps/chooseForStep'
 import { RunPhase, type Run } from '../leader/runs/Run'
 
@@ -42,7 +42,7 @@
 			.map((run) => ({ run, at: endOf(run, now) }))
 			.filter(({ at }) => Number.isFinite(at))
 			.sort((left, right) => left.at - right.at)
-		let freed = NOTHING
+		let freed = NO_RESOURCES
 		this.releases = ends.map(({ run, at }) => {
 			freed = plus(freed, run.need)
 			return { at, freed }
@@ -51,7 +51,7 @@
 
 	/** @returns what is expected to be free at a moment. */
 	freeAt(moment: number): Resources {
-		let freed = NOTHING
+		let freed = NO_RESOURCES
 		for (const release of this.releases) {
 			if (release.at > moment) break
 			freed = release.freed
--- a/packages/jobs/src/lib/shares/AccountShares.test.ts
+++ b/packages/jobs/src/lib/shares/AccountShares.test.ts
@@ -1,7 +1,7 @@
 /** Shares of scarce room: accounts that press beside others, bursts after a pause, and what the next leader goes on with. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
-import { NOTHING, QuotaAccount, type Resources } from '@rillrudder/scheduler'
+import { NO_RESOURCES, QuotaAccount, type Resources } from '@rillrudder/scheduler'
 import fc from 'fast-check'
 import { AccountShares, type ServiceStanding } from './AccountShares'
 
@@ -27,7 +27,7 @@
 	holds(name: string, cpu: number): void {
 		const account = this.account(name)
 		account.release(SERVICE, account.reservedAt(SERVICE))
-		account.reserve(SERVICE, { ...NOTHING, cpu })
+		account.reserve(SERVICE, { ...NO_RESOURCES, cpu })
 	}
 
 	waits(name: string, cpu = TOTAL): void {
@@ -62,7 +62,7 @@
 }
 
 function cpuOf(cpu: number): Resources {
-	return { ...NOTHING, cpu }
+	return { ...NO_RESOURCES, cpu }
 }
 
 test('one account that presses has more than its share while another waits, and is back in it with less', () => {
--- a/packages/jobs/src/lib/shares/ServiceRoom.ts
+++ b/packages/jobs/src/lib/shares/ServiceRoom.ts
@@ -1,6 +1,6 @@
 /** The room of one service's workers, and parts of it. */
 import {
-	NOTHING,
+	NO_RESOURCES,
 	type LedgerWorker,
 	type QuotaAccount,
 	type Resources,
@@ -35,8 +35,8 @@
 
 /** @returns the room of workers, as what each has and what of it is free. @internal */
 export function roomOf(workers: readonly LedgerWorker[]): ServiceRoom {
-	const total = { ...NOTHING }
-	const free = { ...NOTHING }
+	const total = { ...NO_RESOURCES }
+	const free = { ...NO_RESOURCES }
 	for (const worker of workers) {
 		for (const resource of RESOURCES) {
 			total[resource] += worker.capacity[resource]
--- a/packages/jobs/src/lib/shares/ServiceShares.ts
+++ b/packages/jobs/src/lib/shares/ServiceShares.ts
@@ -5,7 +5,7 @@
 import {
 	dominantShare,
 	maxMinLevel,
-	NOTHING,
+	NO_RESOURCES,
 	plus,
 	type Contender,
 	type QuotaAccount,
@@ -40,7 +40,7 @@
  */
 export class ServiceShares {
 	private readonly members = new Map<string, Member>()
-	private room: ServiceRoom = { total: NOTHING, free: NOTHING }
+	private room: ServiceRoom = { total: NO_RESOURCES, free: NO_RESOURCES }
 	/** What each account that waits may count on for a weight of 1, as of the last look. */
 	private level = 0
 
@@ -83,15 +83,15 @@
 			const held = this.heldBy(member, member.kept)
 			member.had += (held - member.had) * weight
 			if (member.had < LEAST_HAD && held === 0) this.members.delete(name)
-			member.wanted = NOTHING
-			member.kept = NOTHING
+			member.wanted = NO_RESOURCES
+			member.kept = NO_RESOURCES
 			member.share = undefined
 		}
 	}
 
 	/** An account that holds something here is looked at from now on. */
 	note(account: QuotaAccount): void {
-		if (account.reservedAt(this.service) !== NOTHING) this.memberOf(account)
+		if (account.reservedAt(this.service) !== NO_RESOURCES) this.memberOf(account)
 	}
 
 	/** Tasks of an account wait for room of this much. */
@@ -120,7 +120,7 @@
 	}
 
 	/** @returns whether an account has more than its share here while others wait, beside what is kept for steps that go before. */
-	isOver(account: QuotaAccount, kept = NOTHING): boolean {
+	isOver(account: QuotaAccount, kept = NO_RESOURCES): boolean {
 		const member = this.members.get(account.terms.name)
 		if (!member || !this.othersWait(member)) return false
 		const held = this.heldBy(member, kept)
@@ -198,13 +198,13 @@
 		const { name } = account.terms
 		const known = this.members.get(name)
 		if (known) return known
-		const wanted = NOTHING
-		const member = { account, had: 0, over: false, wanted, kept: NOTHING, share: undefined }
+		const wanted = NO_RESOURCES
+		const member = { account, had: 0, over: false, wanted, kept: NO_RESOURCES, share: undefined }
 		this.members.set(name, member)
 		return member
 	}
 }
 
 function waits({ wanted }: Member): boolean {
-	return wanted !== NOTHING
+	return wanted !== NO_RESOURCES
 }
--- a/packages/jobs/src/lib/shares/StepShares.ts
+++ b/packages/jobs/src/lib/shares/StepShares.ts
@@ -1,6 +1,6 @@
 /** Tells waiting steps of how much use they still are, and whether their accounts have more than their shares. */
 import {
-	NOTHING,
+	NO_RESOURCES,
 	plus,
 	times,
 	type LedgerWorker,
@@ -130,7 +130,7 @@
 	}
 
 	of(account: QuotaAccount, service: string): Resources {
-		return this.rooms.get(keyOf(account, service)) ?? NOTHING
+		return this.rooms.get(keyOf(account, service)) ?? NO_RESOURCES
 	}
 }
 
--- a/packages/runs/src/lib/jobs/JobInvariants.ts
+++ b/packages/runs/src/lib/jobs/JobInvariants.ts
@@ -3,7 +3,7 @@
  * only what was handed in and what workers did, never what the controller believes.
  */
 import { parseTaskName, RunEnd, type JobRequest, type Queue, type Step } from '@rillrudder/jobs'
-import { fits, NOTHING, plus, type Resources } from '@rillrudder/scheduler'
+import { fits, NO_RESOURCES, plus, type Resources } from '@rillrudder/scheduler'
 import { invariant } from '@rillrudder/utils'
 
 /** Milliseconds after an acknowledged cancellation from which nothing of the job may begin. */
@@ -243,7 +243,7 @@
 	}
 
 	private checkRoom(worker: WitnessedWorker, where: Where): void {
-		let taken = NOTHING
+		let taken = NO_RESOURCES
 		for (const text of this.runsOn(worker.id)) {
 			const { need, bestEffort } = this.locate(text).step.step
 			taken = plus(taken, bestEffort ? { ...need, cpu: 0 } : need)
--- a/packages/runs/src/lib/jobs/RunAccounts.ts
+++ b/packages/runs/src/lib/jobs/RunAccounts.ts
@@ -4,7 +4,14 @@
  * their course.
  */
 import { digestOf, parseTaskName, type ClientAccount, type JobRequest } from '@rillrudder/jobs'
-import { isWithin, minus, NOTHING, plus, type Quota, type Resources } from '@rillrudder/scheduler'
+import {
+	isWithin,
+	minus,
+	NO_RESOURCES,
+	plus,
+	type Quota,
+	type Resources,
+} from '@rillrudder/scheduler'
 import { invariant, Random } from '@rillrudder/utils'
 import { CallerAccounts } from './CallerAccounts'
 import type { WitnessedRun } from './JobInvariants'
@@ -111,7 +118,7 @@
 
 	/** A start takes no account above the highest quota that may be in force and one task more. */
 	private check(owner: number, amount: Resources, now: number, task: string): void {
-		let used = NOTHING
+		let used = NO_RESOURCES
 		for (const run of this.live.values()) if (run.owner === owner) used = plus(used, run.amount)
 		const inForce = this.terms[owner].filter(({ until }) => now - until <= OBEYED_WITHIN)
 		const within = inForce.some(({ quota }) => isWithin(minus(used, amount), quota))
--- a/packages/scheduler/src/index.ts
+++ b/packages/scheduler/src/index.ts
@@ -1,7 +1,7 @@
 /** Ledger, placement, queues and limits as pure decisions. */
 export { Ledger } from './lib/capacity/Ledger'
 export { LedgerWorker, type WorkerOffer } from './lib/capacity/LedgerWorker'
-export { fits, minus, NOTHING, plus, times, type Resources } from './lib/capacity/Resources'
+export { fits, minus, NO_RESOURCES, plus, times, type Resources } from './lib/capacity/Resources'
 export { WorkerHealth } from './lib/health/WorkerHealth'
 export { chooseWorker, NOWHERE, type Whereabouts } from './lib/placement/chooseWorker'
 export { Estimator } from './lib/placement/Estimator'
--- a/packages/scheduler/src/lib/capacity/Ledger.ts
+++ b/packages/scheduler/src/lib/capacity/Ledger.ts
@@ -2,7 +2,7 @@
 import { invariant, type Random } from '@rillrudder/utils'
 import { CapacityIndex } from './CapacityIndex'
 import { LedgerWorker, type WorkerOffer } from './LedgerWorker'
-import { fits, minus, NOTHING, plus, type Resources } from './Resources'
+import { fits, minus, NO_RESOURCES, plus, type Resources } from './Resources'
 
 /**
  * The account of all workers of a data centre.
@@ -18,7 +18,7 @@
 export class Ledger {
 	private readonly workers = new Map<string, LedgerWorker>()
 	private readonly index: CapacityIndex
-	private capacityTotal: Resources = NOTHING
+	private capacityTotal: Resources = NO_RESOURCES
 	private releaseCount = 0
 	private released = new Set<string>()
 
--- a/packages/scheduler/src/lib/capacity/Resources.ts
+++ b/packages/scheduler/src/lib/capacity/Resources.ts
@@ -11,7 +11,7 @@
 }
 
 /** Nothing of anything. @public */
-export const NOTHING: Resources = { cpu: 0, memory: 0, accelerators: 0 }
+export const NO_RESOURCES: Resources = { cpu: 0, memory: 0, accelerators: 0 }
 
 /**
  * @param need - an amount.
--- a/packages/scheduler/src/lib/placement/QuotaAccount.ts
+++ b/packages/scheduler/src/lib/placement/QuotaAccount.ts
@@ -1,5 +1,5 @@
 /** What one holder of a quota has reserved, against its quota and its weight. */
-import { minus, NOTHING, plus, type Resources } from '../capacity/Resources'
+import { minus, NO_RESOURCES, plus, type Resources } from '../capacity/Resources'
 
 /** Stands for a weight of nothing, so that a share against it is a number. */
 const LEAST_WEIGHT = 0.001
@@ -22,7 +22,7 @@
  * @public
  */
 export class QuotaAccount {
-	used: Resources = NOTHING
+	used: Resources = NO_RESOURCES
 	/** What it has reserved at each service, where that is told. */
 	private readonly reserved = new Map<string, Resources>()
 
@@ -40,7 +40,7 @@
 
 	/** @returns what it has reserved at a service. */
 	reservedAt(service: string): Resources {
-		return this.reserved.get(service) ?? NOTHING
+		return this.reserved.get(service) ?? NO_RESOURCES
 	}
 
 	/** Notes that it has reserved an amount at a service. */
