--- a/packages/jobs/src/lib/gangs/learnWorkers.ts
+++ b/packages/jobs/src/lib/gangs/learnWorkers.ts
@@ -81,5 +81,5 @@
 }
 
 function wholeOf({ account }: Option): Resources {
-	return account.most
+	return account.maxCapacity
 }
--- a/packages/jobs/src/lib/leader/advice/workersToAsk.ts
+++ b/packages/jobs/src/lib/leader/advice/workersToAsk.ts
@@ -135,5 +135,5 @@
 }
 
 function capacityOf({ account }: Option): Resources {
-	return account.most
+	return account.maxCapacity
 }
--- a/packages/jobs/src/lib/placement/Reservations.ts
+++ b/packages/jobs/src/lib/placement/Reservations.ts
@@ -183,7 +183,9 @@
 /** Whether a step's tasks find no room by themselves. */
 function needsReservation(work: StepWork, options: readonly Option[]): boolean {
 	if (work.step.gang) return true
-	return options.some(({ account: { most } }) => largestShare(work.need, most) >= LARGE_SHARE)
+	return options.some(
+		({ account: { maxCapacity: most } }) => largestShare(work.need, most) >= LARGE_SHARE
+	)
 }
 
 function largestShare(need: Resources, capacity: Resources): number {
--- a/packages/jobs/src/lib/placement/UrgentRoom.ts
+++ b/packages/jobs/src/lib/placement/UrgentRoom.ts
@@ -52,7 +52,7 @@
 			const use = this.useOf(view.worker.service)
 			use.reserved += account.capacity.cpu - account.free.cpu
 			use.capacity += account.capacity.cpu
-			use.urgent += account.urgent
+			use.urgent += account.urgentCpu
 		}
 		for (const [service, { urgent }] of this.uses) this.notePeak(service, urgent)
 	}
--- a/packages/jobs/src/lib/shares/ServiceRoom.ts
+++ b/packages/jobs/src/lib/shares/ServiceRoom.ts
@@ -41,7 +41,7 @@
 		for (const resource of RESOURCES) {
 			total[resource] += worker.capacity[resource]
 			// A worker whose room has shrunk under what it runs has nothing free.
-			if (worker.open) free[resource] += Math.max(0, worker.free[resource])
+			if (worker.isOpen) free[resource] += Math.max(0, worker.free[resource])
 		}
 	}
 	return { total, free }
--- a/packages/scheduler/src/lib/capacity/CapacityIndex.ts
+++ b/packages/scheduler/src/lib/capacity/CapacityIndex.ts
@@ -38,30 +38,30 @@
 	add(worker: LedgerWorker): void {
 		const cell = cellOf(worker.free)
 		const list = this.cells[cell]
-		worker.cell = cell
-		worker.position = list.length
+		worker.indexCell = cell
+		worker.indexPosition = list.length
 		list.push(worker)
 		this.occupied[Math.floor(cell / LEVELS)] |= 1 << (cell % LEVELS)
 	}
 
 	/** Takes a worker out. */
 	remove(worker: LedgerWorker): void {
-		if (worker.cell < 0) return
-		const list = this.cells[worker.cell]
+		if (worker.indexCell < 0) return
+		const list = this.cells[worker.indexCell]
 		const last = list.pop() as LedgerWorker
 		if (last !== worker) {
-			list[worker.position] = last
-			last.position = worker.position
+			list[worker.indexPosition] = last
+			last.indexPosition = worker.indexPosition
 		}
 		if (list.length === 0) {
-			this.occupied[Math.floor(worker.cell / LEVELS)] &= ~(1 << (worker.cell % LEVELS))
+			this.occupied[Math.floor(worker.indexCell / LEVELS)] &= ~(1 << (worker.indexCell % LEVELS))
 		}
-		worker.cell = -1
+		worker.indexCell = -1
 	}
 
 	/** Files a worker anew after its free amounts have changed. */
 	refresh(worker: LedgerWorker): void {
-		if (worker.cell === cellOf(worker.free)) return
+		if (worker.indexCell === cellOf(worker.free)) return
 		this.remove(worker)
 		this.add(worker)
 	}
--- a/packages/scheduler/src/lib/capacity/Ledger.ts
+++ b/packages/scheduler/src/lib/capacity/Ledger.ts
@@ -73,9 +73,9 @@
 		} else {
 			this.capacityTotal = plus(minus(this.capacityTotal, known.capacity), offer.capacity)
 			known.free = plus(known.free, minus(offer.capacity, known.capacity))
-			known.offer(offer.capacity)
+			known.updateCapacity(offer.capacity)
 			known.slots = offer.slots
-			if (known.open) this.index.refresh(known)
+			if (known.isOpen) this.index.refresh(known)
 		}
 		this.noteRelease(offer.id)
 	}
@@ -93,8 +93,8 @@
 	/** Opens a worker for new work, or closes it; what it has goes on. */
 	setOpen(id: string, open: boolean): void {
 		const worker = this.workers.get(id)
-		if (!worker || worker.open === open) return
-		worker.open = open
+		if (!worker || worker.isOpen === open) return
+		worker.isOpen = open
 		if (open) this.index.add(worker)
 		else this.index.remove(worker)
 		if (open) this.noteRelease(id)
@@ -108,9 +108,9 @@
 	 */
 	reserve(id: string, need: Resources, urgent = false): boolean {
 		const worker = this.workers.get(id)
-		if (!worker || !worker.open || !fits(need, worker.free)) return false
+		if (!worker || !worker.isOpen || !fits(need, worker.free)) return false
 		this.take(worker, need, urgent)
-		invariant(!worker.isOver, 'no worker is given more than it has', { id, need })
+		invariant(!worker.isOvercommitted, 'no worker is given more than it has', { id, need })
 		return true
 	}
 
@@ -127,11 +127,11 @@
 	release(id: string, amount: Resources, urgent = false): void {
 		const worker = this.workers.get(id)
 		if (!worker) return
-		if (urgent) worker.urgent -= amount.cpu
+		if (urgent) worker.urgentCpu -= amount.cpu
 		worker.free = plus(worker.free, amount)
 		invariant(fits(worker.free, worker.capacity), 'no more is given back than was taken', { id })
 		this.noteRelease(id)
-		if (worker.open) this.index.refresh(worker)
+		if (worker.isOpen) this.index.refresh(worker)
 	}
 
 	/**
@@ -149,8 +149,8 @@
 	}
 
 	private take(worker: LedgerWorker, need: Resources, urgent: boolean): void {
-		if (urgent) worker.urgent += need.cpu
+		if (urgent) worker.urgentCpu += need.cpu
 		worker.free = minus(worker.free, need)
-		if (worker.open) this.index.refresh(worker)
+		if (worker.isOpen) this.index.refresh(worker)
 	}
 }
--- a/packages/scheduler/src/lib/capacity/LedgerWorker.ts
+++ b/packages/scheduler/src/lib/capacity/LedgerWorker.ts
@@ -21,40 +21,40 @@
 	readonly rack: string
 	capacity: Resources
 	/** The most of each that it has offered; what has shrunk may grow again. */
-	most: Resources
+	maxCapacity: Resources
 	/** Below 0 where its room has shrunk under what is reserved. */
 	free: Resources
 	slots: number
 	/** Thousandths of processors that work of the highest priority has of what is reserved. */
-	urgent = 0
+	urgentCpu = 0
 	/** Whether new work may go there. */
-	open = true
+	isOpen = true
 	/** Where the index has filed it; -1 for nowhere. */
-	cell = -1
-	position = 0
+	indexCell = -1
+	indexPosition = 0
 
 	/** @param offer - what it offers. */
 	constructor(offer: WorkerOffer) {
 		this.id = offer.id
 		this.rack = offer.rack
 		this.capacity = offer.capacity
-		this.most = offer.capacity
+		this.maxCapacity = offer.capacity
 		this.free = offer.capacity
 		this.slots = offer.slots
 	}
 
 	/** Takes up what it offers from now on. */
-	offer(capacity: Resources): void {
+	updateCapacity(capacity: Resources): void {
 		this.capacity = capacity
-		this.most = {
-			cpu: Math.max(this.most.cpu, capacity.cpu),
-			memory: Math.max(this.most.memory, capacity.memory),
-			accelerators: Math.max(this.most.accelerators, capacity.accelerators),
+		this.maxCapacity = {
+			cpu: Math.max(this.maxCapacity.cpu, capacity.cpu),
+			memory: Math.max(this.maxCapacity.memory, capacity.memory),
+			accelerators: Math.max(this.maxCapacity.accelerators, capacity.accelerators),
 		}
 	}
 
 	/** Whether more is reserved there than it has room for. */
-	get isOver(): boolean {
+	get isOvercommitted(): boolean {
 		const { cpu, memory, accelerators } = this.free
 		return cpu < 0 || memory < 0 || accelerators < 0
 	}
--- a/packages/scheduler/src/lib/placement/Preemption.ts
+++ b/packages/scheduler/src/lib/placement/Preemption.ts
@@ -86,7 +86,7 @@
 	/** The gentlest set that frees enough on a worker; empty when there is none. */
 	private optionsOn(id: string, need: Resources, there: Running[]): Option[] {
 		const worker = this.ledger.find(id)
-		if (!worker?.open) return []
+		if (!worker?.isOpen) return []
 		const options = there.flatMap(waysToRelieve).sort((a, b) => COST[a.how] - COST[b.how])
 		let free = worker.free
 		const chosen = new Map<string, Option>()
