--- a/apps/bench/src/lib/policy/OurPolicy.ts
+++ b/apps/bench/src/lib/policy/OurPolicy.ts
@@ -51,9 +51,9 @@
 
 	override ended(task: Task, worker: string, failed: boolean, runTime: number, now: number): void {
 		this.placement.ended(task.id)
-		if (failed) this.health.failed(worker, task.intent, now)
+		if (failed) this.health.onFailure(worker, task.intent, now)
 		else {
-			this.health.succeeded(worker)
+			this.health.onSuccess(worker)
 			this.placement.estimator.ended(task, runTime)
 		}
 		if (!this.closed.has(worker)) this.ledger.setOpen(worker, this.health.isOpen(worker, now))
--- a/packages/cell/src/lib/leader/DataCentreController.ts
+++ b/packages/cell/src/lib/leader/DataCentreController.ts
@@ -127,8 +127,9 @@
 		if (replaced) this.requests.holderGone(replaced.life, moment)
 		for (const sign of beat.signs) {
 			if (sign.leaving) this.workers.leaving(sign.worker, 'it refused work', moment)
-			for (const customer of sign.failedFor) this.health.failed(sign.worker, customer, moment.now)
-			for (let count = sign.succeeded; count > 0; count--) this.health.succeeded(sign.worker)
+			for (const customer of sign.failedFor)
+				this.health.onFailure(sign.worker, customer, moment.now)
+			for (let count = sign.succeeded; count > 0; count--) this.health.onSuccess(sign.worker)
 		}
 		this.loans.beat(holder, beat, moment)
 	}
@@ -160,8 +161,8 @@
 		this.tasks.reply(worker, reply, moment)
 		for (const one of reply.ended) {
 			const intent = this.parts.state.tasks.find(one.task)?.task.intent ?? one.task
-			if (one.result === 'failed') this.health.failed(worker, intent, moment.now)
-			else if (one.result === 'done') this.health.succeeded(worker)
+			if (one.result === 'failed') this.health.onFailure(worker, intent, moment.now)
+			else if (one.result === 'done') this.health.onSuccess(worker)
 		}
 	}
 
--- a/packages/jobs/src/lib/leader/runs/RunController.ts
+++ b/packages/jobs/src/lib/leader/runs/RunController.ts
@@ -211,8 +211,8 @@
 		unclaim(this.context.ledger, worker, run)
 		const { health, clock, meter } = this.context
 		meter.count(Measure.RunsEnded, { how })
-		if (how === RunEnd.Done) health.succeeded(worker)
-		if (how === RunEnd.Failed) health.failed(worker, name.job, clock.now())
+		if (how === RunEnd.Done) health.onSuccess(worker)
+		if (how === RunEnd.Failed) health.onFailure(worker, name.job, clock.now())
 		if (how === RunEnd.Failed || how === RunEnd.Lapsed)
 			this.workers.losses.reliability.failed(worker, clock.now())
 		this.noteGangEnds(run)
--- a/packages/jobs/src/lib/leader/runs/RunOrders.ts
+++ b/packages/jobs/src/lib/leader/runs/RunOrders.ts
@@ -212,7 +212,7 @@
 			return
 		}
 		if (reason === Refusal.Ticket) this.host.ticketRefused(run)
-		if (reason === Refusal.Unhealthy) health.failed(worker, run.name.job, clock.now())
+		if (reason === Refusal.Unhealthy) health.onFailure(worker, run.name.job, clock.now())
 		// An earlier copy of the order may still be on its way; a stop makes sure that it does nothing.
 		if (run.isInDoubt) this.host.beginStop(run, StopReason.Withdrawn)
 		else this.host.proposeEnd(run, RunEnd.Refused)
--- a/packages/scheduler/src/lib/health/WorkerHealth.ts
+++ b/packages/scheduler/src/lib/health/WorkerHealth.ts
@@ -42,7 +42,7 @@
 	}
 
 	/** A worker has done what it was given. */
-	succeeded(worker: string): void {
+	onSuccess(worker: string): void {
 		const record = this.of(worker)
 		record.successes = record.successes * DECAY + 1
 		record.failures *= DECAY
@@ -58,7 +58,7 @@
 	 * @param source - the customer or intent whose work it was.
 	 * @param now - the moment, in milliseconds.
 	 */
-	failed(worker: string, source: string, now: number): void {
+	onFailure(worker: string, source: string, now: number): void {
 		const record = this.of(worker)
 		record.failures = record.failures * DECAY + 1
 		record.successes *= DECAY
--- a/packages/scheduler/src/lib/scheduler.test.ts
+++ b/packages/scheduler/src/lib/scheduler.test.ts
@@ -124,23 +124,23 @@
 
 test('a worker that fails for several customers is closed, tried again, and comes back', () => {
 	const health = new WorkerHealth()
-	for (let count = 0; count < 20; count++) for (const id of ['w1', 'w2', 'w3']) health.succeeded(id)
-	for (let count = 0; count < 40; count++) health.failed('w1', `c${count % 3}`, 0)
+	for (let count = 0; count < 20; count++) for (const id of ['w1', 'w2', 'w3']) health.onSuccess(id)
+	for (let count = 0; count < 40; count++) health.onFailure('w1', `c${count % 3}`, 0)
 	assert.equal(health.isOpen('w1', 1), false)
 	assert.equal(health.isOpen('w1', 1_000_000), true)
-	for (let count = 0; count < 3; count++) health.succeeded('w1')
+	for (let count = 0; count < 3; count++) health.onSuccess('w1')
 	assert.equal(health.isOnProbe('w1'), false)
 	assert.equal(health.closed, 0)
 })
 
 test('one customer whose requests fail closes no worker, and never are most workers closed', () => {
 	const health = new WorkerHealth()
-	for (let count = 0; count < 50; count++) health.failed('w1', 'one customer', 0)
+	for (let count = 0; count < 50; count++) health.onFailure('w1', 'one customer', 0)
 	assert.equal(health.isOpen('w1', 1), true)
 	const workers = Array.from({ length: 10 }, (_, number) => `x${number}`)
-	for (const id of workers) for (let count = 0; count < 30; count++) health.succeeded(id)
+	for (const id of workers) for (let count = 0; count < 30; count++) health.onSuccess(id)
 	for (let round = 0; round < 40; round++) {
-		for (const id of workers.slice(0, 6)) health.failed(id, `c${round % 4}`, 0)
+		for (const id of workers.slice(0, 6)) health.onFailure(id, `c${round % 4}`, 0)
 	}
 	const closed = workers.filter((id) => !health.isOpen(id, 1))
 	assert.ok(closed.length <= 2)
