--- a/packages/intake/src/lib/RepeatableForwarder.ts
+++ b/packages/intake/src/lib/RepeatableForwarder.ts
@@ -4,7 +4,7 @@
  */
 import { Outcome, Problem } from '@rillrudder/cell'
 import type { Loans, WorkerSign } from '@rillrudder/protocol'
-import { RetryBudget, SlotPool, type TakenSlot } from '@rillrudder/scheduler'
+import { RetryBudget, SlotPool, type AcquiredSlot } from '@rillrudder/scheduler'
 import { Metric, type Metrics } from '@rillrudder/telemetry'
 import type { Clock, Random, Timer } from '@rillrudder/utils'
 import type { CallerRequest } from './CallerRequest'
@@ -103,7 +103,7 @@
 			return
 		}
 		const run: Run = { request, attempts: 0, started: false }
-		this.budget.attempted()
+		this.budget.onFirstAttempt()
 		request.onGone(() => this.leave(run))
 		if (!this.tryStart(run)) this.enqueue(run)
 	}
@@ -121,7 +121,7 @@
 		this.asked = false
 		if (loans.grant >= this.grant) {
 			this.grant = loans.grant
-			this.pool.set(loans.loans)
+			this.pool.update(loans.loans)
 		}
 		this.drain()
 	}
@@ -157,13 +157,13 @@
 	private tryStart(run: Run): boolean {
 		if (run.request.isAnswered) return true
 		if (!this.mayUseLoan()) return false
-		const slot = this.pool.take(run.avoid)
+		const slot = this.pool.acquire(run.avoid)
 		if (!slot) return false
 		this.start(run, slot)
 		return true
 	}
 
-	private start(run: Run, slot: TakenSlot): void {
+	private start(run: Run, slot: AcquiredSlot): void {
 		const { clock, workers, metrics } = this.parts
 		const { request } = run
 		const begun = clock.now()
@@ -181,10 +181,10 @@
 		this.attempts.add(attempt)
 	}
 
-	private ended(run: Run, slot: TakenSlot, result: AttemptResult, span: number): void {
+	private ended(run: Run, slot: AcquiredSlot, result: AttemptResult, span: number): void {
 		const { request } = run
 		const answer = result.end === End.Answered ? result.answer : undefined
-		this.pool.free(slot.worker, answer ? span : undefined)
+		this.pool.release(slot.worker, answer ? span : undefined)
 		this.note(slot.worker, request.customer, result)
 		if (answer) {
 			this.serviceTime += (span - this.serviceTime) * SERVICE_TIME_WEIGHT
@@ -203,7 +203,7 @@
 		const now = this.parts.clock.now()
 		const free = result.end === End.NotStarted
 		const may = now < request.deadline && run.attempts < MOST_ATTEMPTS
-		if (may && (free || this.budget.spend())) {
+		if (may && (free || this.budget.trySpend())) {
 			if (!this.tryStart(run)) this.enqueue(run)
 			return
 		}
@@ -257,7 +257,7 @@
 		this.busiest = Math.max(this.busiest, this.pool.used + this.waiting.length)
 		if (now - this.busiestSince < IDLE_FOR) return
 		const idle = this.pool.size - this.busiest - KEEP_IDLE
-		if (idle > 0) this.pool.giveBack(idle)
+		if (idle > 0) this.pool.returnIdle(idle)
 		this.busiest = 0
 		this.busiestSince = now
 	}
--- a/packages/scheduler/src/index.ts
+++ b/packages/scheduler/src/index.ts
@@ -27,4 +27,4 @@
 	type QuotaTerms,
 } from './lib/placement/QuotaAccount'
 export { RetryBudget } from './lib/requests/RetryBudget'
-export { SlotPool, type LentSlots, type TakenSlot } from './lib/requests/SlotPool'
+export { SlotPool, type LentSlots, type AcquiredSlot } from './lib/requests/SlotPool'
--- a/packages/scheduler/src/lib/requests/RetryBudget.ts
+++ b/packages/scheduler/src/lib/requests/RetryBudget.ts
@@ -14,12 +14,12 @@
 	constructor(public share: number) {}
 
 	/** A first attempt was made. */
-	attempted(): void {
+	onFirstAttempt(): void {
 		this.saved = Math.min(MOST_SAVED, this.saved + this.share)
 	}
 
 	/** @returns whether a retry may be made; if so, it is spent. */
-	spend(): boolean {
+	trySpend(): boolean {
 		if (this.saved < 1) return false
 		this.saved -= 1
 		return true
--- a/packages/scheduler/src/lib/requests/SlotPool.ts
+++ b/packages/scheduler/src/lib/requests/SlotPool.ts
@@ -15,7 +15,7 @@
 }
 
 /** A slot that was taken. @public */
-export interface TakenSlot {
+export interface AcquiredSlot {
 	readonly worker: string
 	readonly address: string
 }
@@ -66,7 +66,7 @@
 	}
 
 	/** @param lent - all slots that are lent from now on; what is in use above that runs to its end. */
-	set(lent: readonly LentSlots[]): void {
+	update(lent: readonly LentSlots[]): void {
 		const named = new Set(lent.map((one) => one.worker))
 		for (const id of this.closed) if (!named.has(id)) this.closed.delete(id)
 		for (const one of lent) {
@@ -110,7 +110,7 @@
 	 *
 	 * @param most - how many to give back.
 	 */
-	giveBack(most: number): void {
+	returnIdle(most: number): void {
 		let left = most
 		for (const worker of this.workers.values()) {
 			const idle = Math.min(left, worker.slots - worker.used)
@@ -127,7 +127,7 @@
 	 * @param avoid - a worker that has just failed this request.
 	 * @returns the slot, or undefined when none is free.
 	 */
-	take(avoid?: string): TakenSlot | undefined {
+	acquire(avoid?: string): AcquiredSlot | undefined {
 		const best = this.best(avoid) ?? this.firstFree(avoid)
 		if (!best) return undefined
 		best.used += 1
@@ -140,7 +140,7 @@
 	 * @param worker - its worker.
 	 * @param latency - how long the request took in milliseconds; absent when it failed.
 	 */
-	free(worker: string, latency?: number): void {
+	release(worker: string, latency?: number): void {
 		const known = this.workers.get(worker)
 		if (!known) return
 		known.used -= 1
--- a/packages/scheduler/src/lib/scheduler.test.ts
+++ b/packages/scheduler/src/lib/scheduler.test.ts
@@ -149,28 +149,28 @@
 test('slots in use are held until they are free, also when the loan shrinks', () => {
 	const pool = new SlotPool(new Random(1))
 	const lent = (slots: number) => [{ worker: 'w1', address: 'a', slots }]
-	pool.set(lent(2))
-	const taken = [pool.take(), pool.take()]
+	pool.update(lent(2))
+	const taken = [pool.acquire(), pool.acquire()]
 	assert.ok(taken.every((slot) => slot?.worker === 'w1'))
-	assert.equal(pool.take(), undefined)
-	pool.set(lent(0))
+	assert.equal(pool.acquire(), undefined)
+	pool.update(lent(0))
 	assert.deepEqual(
 		pool.held().map((one) => one.slots),
 		[2]
 	)
-	pool.free('w1', 5)
-	assert.equal(pool.take(), undefined)
-	pool.free('w1', 5)
+	pool.release('w1', 5)
+	assert.equal(pool.acquire(), undefined)
+	pool.release('w1', 5)
 	assert.deepEqual(pool.held(), [])
 })
 
 test('a worker that has refused work gets none until it is lent anew', () => {
 	const pool = new SlotPool(new Random(1))
-	pool.set([{ worker: 'w1', address: 'a', slots: 2 }])
+	pool.update([{ worker: 'w1', address: 'a', slots: 2 }])
 	pool.close('w1')
-	pool.set([{ worker: 'w1', address: 'a', slots: 2 }])
-	assert.equal(pool.take(), undefined)
-	pool.set([])
-	pool.set([{ worker: 'w1', address: 'a', slots: 2 }])
-	assert.equal(pool.take()?.worker, 'w1')
+	pool.update([{ worker: 'w1', address: 'a', slots: 2 }])
+	assert.equal(pool.acquire(), undefined)
+	pool.update([])
+	pool.update([{ worker: 'w1', address: 'a', slots: 2 }])
+	assert.equal(pool.acquire()?.worker, 'w1')
 })
