--- a/packages/cell/src/lib/leader/PlanController.ts
+++ b/packages/cell/src/lib/leader/PlanController.ts
@@ -1,7 +1,7 @@
 /** Turns an intent into a plan that a person can read, without moving anything. */
 import {
 	chooseWorker,
-	Siblings,
+	SiblingCounts,
 	times,
 	whyImpossible,
 	type Ledger,
@@ -75,12 +75,12 @@
 	private tryOut(intent: Intent, most: number): Tried[] {
 		const ledger = this.ledger()
 		const tried: Tried[] = []
-		const siblings = new Siblings()
+		const siblings = new SiblingCounts()
 		while (tried.length < most) {
-			const there = siblings.of(intent.name)
+			const there = siblings.countsOf(intent.name)
 			const worker = chooseWorker(ledger, intent.each, intent.kind, there)
 			if (!worker || !ledger.reserve(worker.id, intent.each)) break
-			siblings.change(intent.name, worker.id, worker.rack, 1)
+			siblings.adjust(intent.name, worker.id, worker.rack, 1)
 			tried.push({ worker: worker.id, rack: worker.rack })
 		}
 		for (const { worker } of tried) ledger.release(worker, intent.each)
--- a/packages/scheduler/src/index.ts
+++ b/packages/scheduler/src/index.ts
@@ -3,11 +3,11 @@
 export { LedgerWorker, type WorkerOffer } from './lib/capacity/LedgerWorker'
 export { fits, minus, NO_RESOURCES, plus, times, type Resources } from './lib/capacity/Resources'
 export { WorkerHealth } from './lib/health/WorkerHealth'
-export { chooseWorker, NOWHERE, type Whereabouts } from './lib/placement/chooseWorker'
+export { chooseWorker, NO_TASKS, type TaskCounts } from './lib/placement/chooseWorker'
 export { Estimator } from './lib/placement/Estimator'
 export { whyImpossible } from './lib/placement/feasibility'
 export { Placement } from './lib/placement/Placement'
-export { Siblings } from './lib/placement/Siblings'
+export { SiblingCounts } from './lib/placement/SiblingCounts'
 export {
 	Relief,
 	Waiting,
--- a/packages/scheduler/src/lib/placement/GangHold.ts
+++ b/packages/scheduler/src/lib/placement/GangHold.ts
@@ -5,7 +5,7 @@
 import { IntentKind } from '@rillrudder/settings'
 import type { Ledger } from '../capacity/Ledger'
 import type { Resources } from '../capacity/Resources'
-import { chooseWorker, NOWHERE } from './chooseWorker'
+import { chooseWorker, NO_TASKS } from './chooseWorker'
 import type { Pending } from './TeamAccount'
 
 /** How long a gang waits for its chance before it holds, in milliseconds. @internal */
@@ -101,7 +101,7 @@
 	}
 
 	private reserveOne(need: Resources, workers: string[]): boolean {
-		const worker = chooseWorker(this.ledger, need, IntentKind.Gang, NOWHERE)
+		const worker = chooseWorker(this.ledger, need, IntentKind.Gang, NO_TASKS)
 		if (!worker || !this.ledger.reserve(worker.id, need)) return false
 		workers.push(worker.id)
 		return true
--- a/packages/scheduler/src/lib/placement/Placement.ts
+++ b/packages/scheduler/src/lib/placement/Placement.ts
@@ -13,7 +13,7 @@
 import { Estimator } from './Estimator'
 import { GangHold } from './GangHold'
 import { Preemption } from './Preemption'
-import { Siblings } from './Siblings'
+import { SiblingCounts } from './SiblingCounts'
 import { Waiting, type Decision, type Running, type Start, type Task } from './Task'
 import type { QuotaTerms } from './QuotaAccount'
 import { giveWay, latestStart, TeamAccount, type Pending } from './TeamAccount'
@@ -37,7 +37,7 @@
 	private readonly teams = new Map<string, TeamAccount>()
 	private readonly pending = new Map<string, Pending>()
 	private readonly running = new Map<string, Running>()
-	private readonly siblings = new Siblings()
+	private readonly siblings = new SiblingCounts()
 	private readonly shapes = new Map<string, number>()
 	/** For each shape the release count at which it last did not fit. */
 	private readonly failedAt: number[] = []
@@ -123,7 +123,7 @@
 		this.account(gone.task.team).giveBack(gone.reserved)
 		this.preemption.left(gone)
 		const rack = this.ledger.find(gone.worker)?.rack ?? ''
-		this.siblings.change(gone.task.intent, gone.worker, rack, -1)
+		this.siblings.adjust(gone.task.intent, gone.worker, rack, -1)
 	}
 
 	/**
@@ -250,7 +250,7 @@
 
 	private find(task: Task, need: Resources, shape: number) {
 		if (this.failedAt[shape] === this.ledger.releases) return undefined
-		const worker = chooseWorker(this.ledger, need, task.kind, this.siblings.of(task.intent))
+		const worker = chooseWorker(this.ledger, need, task.kind, this.siblings.countsOf(task.intent))
 		if (!worker) this.failedAt[shape] = this.ledger.releases
 		return worker
 	}
@@ -310,7 +310,9 @@
 		this.pending.delete(task.id)
 		this.preemption.placed(task.id)
 		this.enter({ task, worker, reserved, since: now, leaving: false })
-		const count = this.siblings.of(task.intent).countInRack(this.ledger.find(worker)?.rack ?? '')
+		const count = this.siblings
+			.countsOf(task.intent)
+			.countInRack(this.ledger.find(worker)?.rack ?? '')
 		return { kind: 'start', task, worker, reason: reasonFor(task, count) }
 	}
 
@@ -318,7 +320,7 @@
 		const { task, worker, reserved } = running
 		this.running.set(task.id, running)
 		this.account(task.team).take(reserved)
-		this.siblings.change(task.intent, worker, this.ledger.find(worker)?.rack ?? '', 1)
+		this.siblings.adjust(task.intent, worker, this.ledger.find(worker)?.rack ?? '', 1)
 	}
 
 	private live(item: Pending): Task[] {
--- a/packages/scheduler/src/lib/placement/Siblings.ts
+++ b/packages/scheduler/src/lib/placement/SiblingCounts.ts
@@ -1,7 +1,7 @@
 /** Counts where the running tasks of each intent are. */
-import { NOWHERE, type Whereabouts } from './chooseWorker'
+import { NO_TASKS, type TaskCounts } from './chooseWorker'
 
-class Counts implements Whereabouts {
+class IntentCounts implements TaskCounts {
 	private readonly workers = new Map<string, number>()
 	private readonly racks = new Map<string, number>()
 
@@ -13,12 +13,12 @@
 		return this.racks.get(rack) ?? 0
 	}
 
-	change(worker: string, rack: string, by: number): void {
-		bump(this.workers, worker, by)
-		bump(this.racks, rack, by)
+	adjust(worker: string, rack: string, by: number): void {
+		addTo(this.workers, worker, by)
+		addTo(this.racks, rack, by)
 	}
 
-	get empty(): boolean {
+	get isEmpty(): boolean {
 		return this.workers.size === 0
 	}
 }
@@ -28,27 +28,27 @@
  *
  * @public
  */
-export class Siblings {
-	private readonly intents = new Map<string, Counts>()
+export class SiblingCounts {
+	private readonly intents = new Map<string, IntentCounts>()
 
 	/** Where an intent's tasks are. */
-	of(intent: string): Whereabouts {
-		return this.intents.get(intent) ?? NOWHERE
+	countsOf(intent: string): TaskCounts {
+		return this.intents.get(intent) ?? NO_TASKS
 	}
 
 	/** A task has come to a worker, or with -1 has gone. */
-	change(intent: string, worker: string, rack: string, by: 1 | -1): void {
+	adjust(intent: string, worker: string, rack: string, by: 1 | -1): void {
 		let counts = this.intents.get(intent)
 		if (!counts) {
-			counts = new Counts()
+			counts = new IntentCounts()
 			this.intents.set(intent, counts)
 		}
-		counts.change(worker, rack, by)
-		if (counts.empty) this.intents.delete(intent)
+		counts.adjust(worker, rack, by)
+		if (counts.isEmpty) this.intents.delete(intent)
 	}
 }
 
-function bump(counts: Map<string, number>, key: string, by: number): void {
+function addTo(counts: Map<string, number>, key: string, by: number): void {
 	const count = (counts.get(key) ?? 0) + by
 	if (count === 0) counts.delete(key)
 	else counts.set(key, count)
--- a/packages/scheduler/src/lib/placement/chooseWorker.ts
+++ b/packages/scheduler/src/lib/placement/chooseWorker.ts
@@ -12,13 +12,13 @@
 const IDLE_ACCELERATOR_PENALTY = 2
 
 /** Where the tasks of one intent already are. @public */
-export interface Whereabouts {
+export interface TaskCounts {
 	countOnWorker(worker: string): number
 	countInRack(rack: string): number
 }
 
 /** An intent that has no tasks yet. @public */
-export const NOWHERE: Whereabouts = { countOnWorker: () => 0, countInRack: () => 0 }
+export const NO_TASKS: TaskCounts = { countOnWorker: () => 0, countInRack: () => 0 }
 
 /**
  * Chooses the worker for one task: services away from their siblings, everything else where the least
@@ -35,7 +35,7 @@
 	ledger: Ledger,
 	need: Resources,
 	kind: IntentKind,
-	siblings: Whereabouts
+	siblings: TaskCounts
 ): LedgerWorker | undefined {
 	const spread = kind === IntentKind.Service
 	const candidates = ledger.candidates(need, spread ? CANDIDATES_SPREAD : CANDIDATES_PACKED)
@@ -64,7 +64,7 @@
 	)
 }
 
-function crowding(worker: LedgerWorker, siblings: Whereabouts): number {
+function crowding(worker: LedgerWorker, siblings: TaskCounts): number {
 	return (
 		siblings.countOnWorker(worker.id) * SAME_WORKER_PENALTY +
 		siblings.countInRack(worker.rack) * SAME_RACK_PENALTY
