--- a/packages/cell/src/lib/leader/PlanController.ts
+++ b/packages/cell/src/lib/leader/PlanController.ts
@@ -3,7 +3,7 @@
 	chooseWorker,
 	SiblingCounts,
 	times,
-	whyImpossible,
+	explainInfeasibility,
 	type Ledger,
 	type Resources,
 } from '@rillrudder/scheduler'
@@ -43,7 +43,7 @@
 	 */
 	draft(intent: Intent, name: string): DraftPlan {
 		const quota = this.configuration().teams.find((team) => team.name === intent.team)?.quota
-		const impossible = whyImpossible(this.ledger(), intent, quota)
+		const impossible = explainInfeasibility(this.ledger(), intent, quota)
 		if (impossible.length > 0) return { steps: [], impossible }
 		const allowed = this.allowedByQuota(intent, quota)
 		const tried = this.tryOut(intent, Math.min(intent.tasks, allowed, MOST_TRIED))
--- a/packages/scheduler/src/index.ts
+++ b/packages/scheduler/src/index.ts
@@ -5,7 +5,7 @@
 export { WorkerHealth } from './lib/health/WorkerHealth'
 export { chooseWorker, NO_TASKS, type TaskCounts } from './lib/placement/chooseWorker'
 export { Estimator } from './lib/placement/Estimator'
-export { whyImpossible } from './lib/placement/feasibility'
+export { explainInfeasibility } from './lib/placement/explainInfeasibility'
 export { Placement } from './lib/placement/Placement'
 export { SiblingCounts } from './lib/placement/SiblingCounts'
 export {
--- a/packages/scheduler/src/lib/placement/feasibility.ts
+++ b/packages/scheduler/src/lib/placement/explainInfeasibility.ts
@@ -12,7 +12,7 @@
  * @returns reasons why it can never run; empty when it can.
  * @public
  */
-export function whyImpossible(ledger: Ledger, intent: Intent, quota?: Resources): string[] {
+export function explainInfeasibility(ledger: Ledger, intent: Intent, quota?: Resources): string[] {
 	const reasons: string[] = []
 	let room = 0
 	for (const worker of ledger.all()) room += copiesThatFit(intent.each, worker.capacity)
