--- a/packages/cell/src/lib/leader/TaskController.ts
+++ b/packages/cell/src/lib/leader/TaskController.ts
@@ -3,12 +3,12 @@
 import {
 	Ledger,
 	Placement,
-	Relief,
+	PreemptionMethod,
 	type Decision,
 	type Estimator,
-	type Relieve,
+	type PreemptionDecision,
 	type Resources,
-	type Waiting,
+	type WaitingReason,
 } from '@rillrudder/scheduler'
 import type { Random } from '@rillrudder/utils'
 import type { CommandOf } from '../commands/DataCentreCommand'
@@ -178,7 +178,7 @@
 	}
 
 	/** @returns why a task waits. */
-	whyWaiting(task: string): Waiting | undefined {
+	whyWaiting(task: string): WaitingReason | undefined {
 		return this.placement.whyWaiting(task)
 	}
 
@@ -201,16 +201,16 @@
 		this.effects.commands.push({ kind: 'place', task: task.id, worker, reserved, reason, at })
 	}
 
-	private relieve(decision: Relieve): void {
+	private relieve(decision: PreemptionDecision): void {
 		const record = this.state.tasks.find(decision.task.id)
 		if (!record) return
 		this.leaving.set(decision.task.id, `made room for ${decision.for}`)
 		switch (decision.how) {
-			case Relief.Throttle:
+			case PreemptionMethod.Throttle:
 				return this.leases.orderThrottle(record, decision.task.throttleTo ?? 0)
-			case Relief.Checkpoint:
+			case PreemptionMethod.Checkpoint:
 				return this.leases.orderCheckpoint(record)
-			case Relief.Stop:
+			case PreemptionMethod.Stop:
 				return this.leases.orderStop(record)
 		}
 	}
--- a/packages/scheduler/src/index.ts
+++ b/packages/scheduler/src/index.ts
@@ -9,12 +9,12 @@
 export { Placement } from './lib/placement/Placement'
 export { SiblingCounts } from './lib/placement/SiblingCounts'
 export {
-	Relief,
-	Waiting,
+	PreemptionMethod,
+	WaitingReason,
 	type Decision,
-	type Relieve,
-	type Running,
-	type Start,
+	type PreemptionDecision,
+	type RunningTask,
+	type StartDecision,
 	type Task,
 } from './lib/placement/Task'
 export { maxMinLevel, type Contender } from './lib/placement/maxMinLevel'
--- a/packages/scheduler/src/lib/placement/Placement.ts
+++ b/packages/scheduler/src/lib/placement/Placement.ts
@@ -14,7 +14,13 @@
 import { GangHold } from './GangHold'
 import { Preemption } from './Preemption'
 import { SiblingCounts } from './SiblingCounts'
-import { Waiting, type Decision, type Running, type Start, type Task } from './Task'
+import {
+	WaitingReason,
+	type Decision,
+	type RunningTask,
+	type StartDecision,
+	type Task,
+} from './Task'
 import type { QuotaTerms } from './QuotaAccount'
 import { giveWay, latestStart, TeamAccount, type Pending } from './TeamAccount'
 
@@ -36,7 +42,7 @@
 	readonly estimator = new Estimator()
 	private readonly teams = new Map<string, TeamAccount>()
 	private readonly pending = new Map<string, Pending>()
-	private readonly running = new Map<string, Running>()
+	private readonly running = new Map<string, RunningTask>()
 	private readonly siblings = new SiblingCounts()
 	private readonly shapes = new Map<string, number>()
 	/** For each shape the release count at which it last did not fit. */
@@ -83,7 +89,7 @@
 			latestStart: latestStart(first, this.estimator.runTime(first) || undefined),
 			shape: this.shapeOf(first),
 			late: false,
-			waiting: Waiting.New,
+			waiting: WaitingReason.New,
 			cancelled: 0,
 		}
 		for (const task of tasks) this.pending.set(task.id, item)
@@ -107,7 +113,7 @@
 	/** Takes up a task that a leader before this one has started. */
 	restore(task: Task, worker: string, reserved: Resources, since: number): void {
 		this.ledger.restore(worker, reserved)
-		this.enter({ task, worker, reserved, since, leaving: false })
+		this.enter({ task, worker, reserved, since, isBeingPreempted: false })
 	}
 
 	/**
@@ -137,7 +143,7 @@
 		if (!slowed || cpu >= slowed.reserved.cpu) return
 		const freed = { cpu: slowed.reserved.cpu - cpu, memory: 0, accelerators: 0 }
 		slowed.reserved = { ...slowed.reserved, cpu }
-		slowed.leaving = false
+		slowed.isBeingPreempted = false
 		this.ledger.release(slowed.worker, freed)
 		this.account(slowed.task.team).giveBack(freed)
 		this.preemption.slowed(slowed)
@@ -163,12 +169,12 @@
 	 * @param id - a task.
 	 * @returns why it waits, or undefined when it does not.
 	 */
-	whyWaiting(id: string): Waiting | undefined {
+	whyWaiting(id: string): WaitingReason | undefined {
 		return this.pending.get(id)?.waiting
 	}
 
 	/** @returns the running task, if it runs. */
-	runningTask(id: string): Running | undefined {
+	runningTask(id: string): RunningTask | undefined {
 		return this.running.get(id)
 	}
 
@@ -234,7 +240,7 @@
 		const tasks = this.live(item)
 		const need = this.estimator.need(tasks[0])
 		if (!account.allows(times(need, tasks.length))) {
-			item.waiting = Waiting.Quota
+			item.waiting = WaitingReason.Quota
 			return false
 		}
 		if (tasks[0].kind === IntentKind.Gang) return this.attemptGang(item, tasks, now, decisions)
@@ -256,20 +262,20 @@
 	}
 
 	private makeRoom(item: Pending, task: Task, need: Resources, decisions: Decision[]): void {
-		item.waiting = Waiting.Capacity
+		item.waiting = WaitingReason.Capacity
 		if (!task.urgent) return
 		if (this.preemption.awaits(task.id)) {
-			item.waiting = Waiting.Preempting
+			item.waiting = WaitingReason.Preempting
 			return
 		}
 		const relief = this.preemption.plan(task, need, this.running)
 		if (relief.length === 0) return
-		item.waiting = Waiting.Preempting
+		item.waiting = WaitingReason.Preempting
 		decisions.push(...relief)
 	}
 
 	private attemptGang(item: Pending, tasks: Task[], now: number, decisions: Decision[]): boolean {
-		item.waiting = Waiting.Gang
+		item.waiting = WaitingReason.Gang
 		if (this.gang.holdsFor(item)) return false
 		const need = this.estimator.need(tasks[0])
 		if (this.failedAt[item.shape] === this.ledger.releases && !this.gang.free) return false
@@ -306,17 +312,17 @@
 		})
 	}
 
-	private start(task: Task, worker: string, reserved: Resources, now: number): Start {
+	private start(task: Task, worker: string, reserved: Resources, now: number): StartDecision {
 		this.pending.delete(task.id)
 		this.preemption.placed(task.id)
-		this.enter({ task, worker, reserved, since: now, leaving: false })
+		this.enter({ task, worker, reserved, since: now, isBeingPreempted: false })
 		const count = this.siblings
 			.countsOf(task.intent)
 			.countInRack(this.ledger.find(worker)?.rack ?? '')
 		return { kind: 'start', task, worker, reason: reasonFor(task, count) }
 	}
 
-	private enter(running: Running): void {
+	private enter(running: RunningTask): void {
 		const { task, worker, reserved } = running
 		this.running.set(task.id, running)
 		this.account(task.team).take(reserved)
--- a/packages/scheduler/src/lib/placement/Preemption.ts
+++ b/packages/scheduler/src/lib/placement/Preemption.ts
@@ -3,14 +3,14 @@
 import { IntentKind } from '@rillrudder/settings'
 import type { Ledger } from '../capacity/Ledger'
 import { fits, minus, plus, type Resources } from '../capacity/Resources'
-import { Relief, type Relieve, type Running, type Task } from './Task'
+import { PreemptionMethod, type PreemptionDecision, type RunningTask, type Task } from './Task'
 
 const WORKERS_LOOKED_AT = 64
-const COST: Record<Relief, number> = { throttle: 1, checkpoint: 10, stop: 100 }
+const COST: Record<PreemptionMethod, number> = { throttle: 1, checkpoint: 10, stop: 100 }
 
 interface Option {
-	readonly running: Running
-	readonly how: Relief
+	readonly running: RunningTask
+	readonly how: PreemptionMethod
 	readonly freed: Resources
 }
 
@@ -41,17 +41,17 @@
 	}
 
 	/** A task has gone. */
-	left(running: Running): void {
+	left(running: RunningTask): void {
 		this.done(running.task.id)
 	}
 
 	/** A task has been throttled. */
-	slowed(running: Running): void {
+	slowed(running: RunningTask): void {
 		this.done(running.task.id)
 	}
 
 	/** Chooses the worker, among some, where making room costs the least. */
-	plan(task: Task, need: Resources, running: Map<string, Running>): Relieve[] {
+	plan(task: Task, need: Resources, running: Map<string, RunningTask>): PreemptionDecision[] {
 		const byWorker = this.sample(running)
 		let best: Option[] = []
 		let bestCost = Number.POSITIVE_INFINITY
@@ -66,8 +66,8 @@
 		return best.map((option) => this.relieve(task, option))
 	}
 
-	private sample(running: Map<string, Running>): Map<string, Running[]> {
-		const byWorker = new Map<string, Running[]>()
+	private sample(running: Map<string, RunningTask>): Map<string, RunningTask[]> {
+		const byWorker = new Map<string, RunningTask[]>()
 		const movable = [...running.values()].filter(isMovable)
 		if (movable.length === 0) return byWorker
 		const wanted = new Set<string>()
@@ -84,7 +84,7 @@
 	}
 
 	/** The gentlest set that frees enough on a worker; empty when there is none. */
-	private optionsOn(id: string, need: Resources, there: Running[]): Option[] {
+	private optionsOn(id: string, need: Resources, there: RunningTask[]): Option[] {
 		const worker = this.ledger.find(id)
 		if (!worker?.isOpen) return []
 		const options = there.flatMap(waysToRelieve).sort((a, b) => COST[a.how] - COST[b.how])
@@ -100,9 +100,9 @@
 		return fits(need, free) ? [...chosen.values()] : []
 	}
 
-	private relieve(task: Task, option: Option): Relieve {
+	private relieve(task: Task, option: Option): PreemptionDecision {
 		const victim = option.running.task
-		option.running.leaving = true
+		option.running.isBeingPreempted = true
 		this.beneficiary.set(victim.id, task.id)
 		const awaited = this.awaited.get(task.id) ?? new Set()
 		awaited.add(victim.id)
@@ -125,19 +125,19 @@
 }
 
 /** Only batch work moves: services stay up, and a gang would have to move whole. */
-function isMovable(running: Running): boolean {
+function isMovable(running: RunningTask): boolean {
 	const { kind, urgent } = running.task
-	return kind === IntentKind.Batch && !urgent && !running.leaving
+	return kind === IntentKind.Batch && !urgent && !running.isBeingPreempted
 }
 
-function waysToRelieve(running: Running): Option[] {
+function waysToRelieve(running: RunningTask): Option[] {
 	const { task, reserved } = running
 	const options: Option[] = []
 	if (task.throttleTo !== undefined && task.throttleTo < reserved.cpu) {
 		const freed = { cpu: reserved.cpu - task.throttleTo, memory: 0, accelerators: 0 }
-		options.push({ running, how: Relief.Throttle, freed })
+		options.push({ running, how: PreemptionMethod.Throttle, freed })
 	}
-	const how = task.checkpoints ? Relief.Checkpoint : Relief.Stop
+	const how = task.checkpoints ? PreemptionMethod.Checkpoint : PreemptionMethod.Stop
 	options.push({ running, how, freed: reserved })
 	return options
 }
--- a/packages/scheduler/src/lib/placement/Task.ts
+++ b/packages/scheduler/src/lib/placement/Task.ts
@@ -25,7 +25,7 @@
 }
 
 /** Why a task waits. @public */
-export const Waiting = {
+export const WaitingReason = {
 	/** Nobody has looked at it yet. */
 	New: 'new',
 	/** Its team has used up its quota. */
@@ -38,19 +38,19 @@
 	Preempting: 'preempting',
 } as const
 /** One of the reasons. @public */
-export type Waiting = (typeof Waiting)[keyof typeof Waiting]
+export type WaitingReason = (typeof WaitingReason)[keyof typeof WaitingReason]
 
 /** How work is moved out of the way of urgent work, gentlest first. @public */
-export const Relief = {
+export const PreemptionMethod = {
 	Throttle: 'throttle',
 	Checkpoint: 'checkpoint',
 	Stop: 'stop',
 } as const
 /** One of the ways. @public */
-export type Relief = (typeof Relief)[keyof typeof Relief]
+export type PreemptionMethod = (typeof PreemptionMethod)[keyof typeof PreemptionMethod]
 
 /** A task that runs. @public */
-export interface Running {
+export interface RunningTask {
 	readonly task: Task
 	readonly worker: string
 	/** What is reserved for it. */
@@ -58,11 +58,11 @@
 	/** When it was placed, milliseconds since the epoch. */
 	readonly since: number
 	/** Set while it is being moved out of the way. */
-	leaving: boolean
+	isBeingPreempted: boolean
 }
 
 /** A task starts on a worker. @public */
-export interface Start {
+export interface StartDecision {
 	readonly kind: 'start'
 	readonly task: Task
 	readonly worker: string
@@ -71,13 +71,13 @@
 }
 
 /** A task makes room for another. @public */
-export interface Relieve {
+export interface PreemptionDecision {
 	readonly kind: 'relieve'
 	readonly task: Task
 	readonly worker: string
-	readonly how: Relief
+	readonly how: PreemptionMethod
 	readonly for: string
 }
 
 /** What the placement decides. @public */
-export type Decision = Start | Relieve
+export type Decision = StartDecision | PreemptionDecision
--- a/packages/scheduler/src/lib/placement/TeamAccount.ts
+++ b/packages/scheduler/src/lib/placement/TeamAccount.ts
@@ -1,7 +1,7 @@
 /** What a team uses and may use, and its tasks that wait. */
 import Heap from 'heap-js'
 import { QuotaAccount } from './QuotaAccount'
-import { Waiting, type Task } from './Task'
+import { WaitingReason, type Task } from './Task'
 
 const DEFAULT_RUN_TIME = 600_000
 /** Batch without a deadline counts as due this long after it was submitted, so that it can not starve. */
@@ -18,7 +18,7 @@
 	late: boolean
 	/** Tasks of the same need have the same number. */
 	readonly shape: number
-	waiting: Waiting
+	waiting: WaitingReason
 	/** Tasks of it that were cancelled while it waited. */
 	cancelled: number
 }
--- a/packages/scheduler/src/lib/scheduler.test.ts
+++ b/packages/scheduler/src/lib/scheduler.test.ts
@@ -7,7 +7,7 @@
 import { Ledger } from './capacity/Ledger'
 import { WorkerHealth } from './health/WorkerHealth'
 import { Placement } from './placement/Placement'
-import { Waiting, type Task } from './placement/Task'
+import { WaitingReason, type Task } from './placement/Task'
 import { SlotPool } from './requests/SlotPool'
 
 const CAPACITY = { cpu: 8000, memory: 8192, accelerators: 0 }
@@ -73,7 +73,7 @@
 	)
 	placement.submit(gang)
 	assert.equal(placement.decide(1000, 100).length, 0)
-	assert.equal(placement.whyWaiting(gang[0].id), Waiting.Gang)
+	assert.equal(placement.whyWaiting(gang[0].id), WaitingReason.Gang)
 	// Small work goes on arriving; without a hold it would take what comes free for ever.
 	let started = 0
 	for (let now = 31_000; now < 60_000 && started === 0; now += 1000) {
@@ -111,7 +111,7 @@
 	for (const one of tasks) placement.submit([one])
 	placement.submit([task({ team: 'other' })])
 	assert.equal(placement.decide(0, 100).length, 2)
-	assert.equal(placement.whyWaiting(tasks[2].id), Waiting.Quota)
+	assert.equal(placement.whyWaiting(tasks[2].id), WaitingReason.Quota)
 })
 
 test('services keep away from their siblings', () => {
