--- a/packages/jobs/src/lib/accounts/AccountUsage.ts
+++ b/packages/jobs/src/lib/accounts/AccountUsage.ts
@@ -1,9 +1,9 @@
 /** What each client account has running, so that none has more than its quota. */
 import {
-	isWithin,
+	isWithinQuota,
 	minus,
 	QuotaAccount,
-	scaled,
+	scaleQuota,
 	times,
 	type QuotaTerms,
 	type Resources,
@@ -61,7 +61,7 @@
 	mayGoOn(account: QuotaAccount | undefined, step: Step): boolean {
 		if (!account) return true
 		const others = minus(account.used, begunAtATime(step))
-		return isWithin(others, account.terms.quota)
+		return isWithinQuota(others, account.terms.quota)
 	}
 
 	/** Counts a run that is given up and may still go on, or is found where it should not be. */
@@ -69,7 +69,7 @@
 		const account = place && this.of(place.job)
 		if (!account) return undefined
 		const amount = countedFor(place.job.request.steps[place.name.step])
-		account.take(amount)
+		account.addUsage(amount)
 		return { account, amount }
 	}
 
@@ -114,7 +114,7 @@
 /** Whether what a step begins at a time may run by itself; a single task always may. */
 function fitsAlone(step: Step, { quota }: QuotaTerms, tolerance: number): boolean {
 	if (!step.gang || !quota) return true
-	return isWithin(times(countedFor(step), step.count - 1), scaled(quota, 1 + tolerance))
+	return isWithinQuota(times(countedFor(step), step.count - 1), scaleQuota(quota, 1 + tolerance))
 }
 
 /** What a step begins at a time: one task, or all of a gang. */
--- a/packages/jobs/src/lib/accounts/listAccounts.ts
+++ b/packages/jobs/src/lib/accounts/listAccounts.ts
@@ -37,7 +37,7 @@
 				name,
 				weight,
 				quota,
-				share: account.share(total),
+				share: account.weightedShareOf(total),
 				used: account.used,
 				jobs: jobs.length,
 				beyondRate: jobs.filter((job) => job.beyondRate).length,
--- a/packages/jobs/src/lib/leader/runs/SuspectRuns.ts
+++ b/packages/jobs/src/lib/leader/runs/SuspectRuns.ts
@@ -72,5 +72,5 @@
 }
 
 function uncount({ counted }: SuspectRun): void {
-	counted?.account.giveBack(counted.amount)
+	counted?.account.subtractUsage(counted.amount)
 }
--- a/packages/runs/src/lib/jobs/RunAccounts.ts
+++ b/packages/runs/src/lib/jobs/RunAccounts.ts
@@ -5,7 +5,7 @@
  */
 import { digestOf, parseTaskName, type ClientAccount, type JobRequest } from '@rillrudder/jobs'
 import {
-	isWithin,
+	isWithinQuota,
 	minus,
 	NO_RESOURCES,
 	plus,
@@ -121,7 +121,7 @@
 		let used = NO_RESOURCES
 		for (const run of this.live.values()) if (run.owner === owner) used = plus(used, run.amount)
 		const inForce = this.terms[owner].filter(({ until }) => now - until <= OBEYED_WITHIN)
-		const within = inForce.some(({ quota }) => isWithin(minus(used, amount), quota))
+		const within = inForce.some(({ quota }) => isWithinQuota(minus(used, amount), quota))
 		const where = { account: NAMES[owner], task, used: used.cpu }
 		invariant(within, 'no account has more running than its quota', where)
 	}
--- a/packages/runs/src/lib/jobs/accountRun.test.ts
+++ b/packages/runs/src/lib/jobs/accountRun.test.ts
@@ -50,7 +50,7 @@
 		rule: COUNTED,
 		without: 'counting what accounts have',
 		breaks: () => [
-			[innerClass('@rillrudder/scheduler', 'QuotaAccount'), 'take', () => () => undefined],
+			[innerClass('@rillrudder/scheduler', 'QuotaAccount'), 'addUsage', () => () => undefined],
 		],
 	},
 	{
--- a/packages/scheduler/src/index.ts
+++ b/packages/scheduler/src/index.ts
@@ -20,9 +20,9 @@
 export { maxMinLevel, type Contender } from './lib/placement/maxMinLevel'
 export {
 	dominantShare,
-	isWithin,
+	isWithinQuota,
 	QuotaAccount,
-	scaled,
+	scaleQuota,
 	type Quota,
 	type QuotaTerms,
 } from './lib/placement/QuotaAccount'
--- a/packages/scheduler/src/lib/placement/Placement.ts
+++ b/packages/scheduler/src/lib/placement/Placement.ts
@@ -126,7 +126,7 @@
 		if (!gone) return
 		this.running.delete(id)
 		this.ledger.release(gone.worker, gone.reserved)
-		this.account(gone.task.team).giveBack(gone.reserved)
+		this.account(gone.task.team).subtractUsage(gone.reserved)
 		this.preemption.left(gone)
 		const rack = this.ledger.find(gone.worker)?.rack ?? ''
 		this.siblings.adjust(gone.task.intent, gone.worker, rack, -1)
@@ -145,7 +145,7 @@
 		slowed.reserved = { ...slowed.reserved, cpu }
 		slowed.isBeingPreempted = false
 		this.ledger.release(slowed.worker, freed)
-		this.account(slowed.task.team).giveBack(freed)
+		this.account(slowed.task.team).subtractUsage(freed)
 		this.preemption.slowed(slowed)
 	}
 
@@ -204,7 +204,7 @@
 		for (const account of this.teams.values()) {
 			const head = account.waiting.peek()
 			if (!head || blocked.has(account) || (urgent && !head.tasks[0].urgent)) continue
-			const share = account.share(this.ledger.total)
+			const share = account.weightedShareOf(this.ledger.total)
 			if (share >= bestShare) continue
 			best = account
 			bestShare = share
@@ -325,7 +325,7 @@
 	private enter(running: RunningTask): void {
 		const { task, worker, reserved } = running
 		this.running.set(task.id, running)
-		this.account(task.team).take(reserved)
+		this.account(task.team).addUsage(reserved)
 		this.siblings.adjust(task.intent, worker, this.ledger.find(worker)?.rack ?? '', 1)
 	}
 
--- a/packages/scheduler/src/lib/placement/QuotaAccount.test.ts
+++ b/packages/scheduler/src/lib/placement/QuotaAccount.test.ts
@@ -1,32 +1,32 @@
 /** What holders of quotas may use, and their shares. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
-import { isWithin, QuotaAccount, scaled } from './QuotaAccount'
+import { isWithinQuota, QuotaAccount, scaleQuota } from './QuotaAccount'
 
 const TOTAL = { cpu: 10_000, memory: 1000, accelerators: 0 }
 const SOME = { cpu: 1000, memory: 500, accelerators: 0 }
 
 test('a resource that a quota leaves out is not limited', () => {
-	assert.ok(isWithin(SOME, undefined))
-	assert.ok(isWithin(SOME, { cpu: 1000 }))
-	assert.ok(!isWithin(SOME, { cpu: 999 }))
-	assert.ok(isWithin(SOME, { memory: undefined }))
-	assert.deepEqual({ ...scaled({ cpu: 1000 }, 1.5) }.cpu, 1500)
+	assert.ok(isWithinQuota(SOME, undefined))
+	assert.ok(isWithinQuota(SOME, { cpu: 1000 }))
+	assert.ok(!isWithinQuota(SOME, { cpu: 999 }))
+	assert.ok(isWithinQuota(SOME, { memory: undefined }))
+	assert.deepEqual({ ...scaleQuota({ cpu: 1000 }, 1.5) }.cpu, 1500)
 })
 
 test('what is taken counts until it is given back', () => {
 	const account = new QuotaAccount({ name: 'town', weight: 1, quota: { memory: 900 } })
 	assert.ok(account.allows(SOME))
-	account.take(SOME)
+	account.addUsage(SOME)
 	assert.ok(!account.allows(SOME))
-	account.giveBack(SOME)
+	account.subtractUsage(SOME)
 	assert.ok(account.allows(SOME))
 })
 
 test('the share is that of the scarcest resource, against the weight, and a number without one', () => {
 	const account = new QuotaAccount({ name: 'town', weight: 2 })
-	account.take(SOME)
-	assert.equal(account.share(TOTAL), 0.25)
+	account.addUsage(SOME)
+	assert.equal(account.weightedShareOf(TOTAL), 0.25)
 	account.terms = { name: 'town', weight: 0 }
-	assert.ok(Number.isFinite(account.share(TOTAL)))
+	assert.ok(Number.isFinite(account.weightedShareOf(TOTAL)))
 })
--- a/packages/scheduler/src/lib/placement/QuotaAccount.ts
+++ b/packages/scheduler/src/lib/placement/QuotaAccount.ts
@@ -34,7 +34,7 @@
 	}
 
 	/** The largest share of any resource that it uses, against its weight. */
-	share(total: Resources): number {
+	weightedShareOf(total: Resources): number {
 		return dominantShare(this.used, total) / this.weight
 	}
 
@@ -58,16 +58,16 @@
 
 	/** Whether the quota has room for that much more. */
 	allows(need: Resources): boolean {
-		return isWithin(plus(this.used, need), this.terms.quota)
+		return isWithinQuota(plus(this.used, need), this.terms.quota)
 	}
 
 	/** Takes an amount, whether the quota has room for it or not. */
-	take(need: Resources): void {
+	addUsage(need: Resources): void {
 		this.used = plus(this.used, need)
 	}
 
 	/** Gives an amount back. */
-	giveBack(need: Resources): void {
+	subtractUsage(need: Resources): void {
 		this.used = minus(this.used, need)
 	}
 }
@@ -81,14 +81,14 @@
 }
 
 /** @returns a quota of so many times another. @public */
-export function scaled({ cpu, memory, accelerators }: Quota, factor: number): Quota {
+export function scaleQuota({ cpu, memory, accelerators }: Quota, factor: number): Quota {
 	const scale = (amount: number | undefined): number | undefined =>
 		amount === undefined ? undefined : amount * factor
 	return { cpu: scale(cpu), memory: scale(memory), accelerators: scale(accelerators) }
 }
 
 /** @returns whether an amount is within a quota. @public */
-export function isWithin(amount: Resources, quota: Quota | undefined): boolean {
+export function isWithinQuota(amount: Resources, quota: Quota | undefined): boolean {
 	if (!quota) return true
 	const { cpu = amount.cpu, memory = amount.memory, accelerators = amount.accelerators } = quota
 	return amount.cpu <= cpu && amount.memory <= memory && amount.accelerators <= accelerators
