--- a/apps/bench/src/lib/policy/OurPolicy.ts
+++ b/apps/bench/src/lib/policy/OurPolicy.ts
@@ -50,11 +50,11 @@
 	}
 
 	override ended(task: Task, worker: string, failed: boolean, runTime: number, now: number): void {
-		this.placement.ended(task.id)
+		this.placement.onEnded(task.id)
 		if (failed) this.health.onFailure(worker, task.intent, now)
 		else {
 			this.health.onSuccess(worker)
-			this.placement.estimator.ended(task, runTime)
+			this.placement.estimator.recordRunTime(task, runTime)
 		}
 		if (!this.closed.has(worker)) this.ledger.setOpen(worker, this.health.isOpen(worker, now))
 	}
--- a/packages/cell/src/lib/leader/DataCentreController.ts
+++ b/packages/cell/src/lib/leader/DataCentreController.ts
@@ -66,7 +66,7 @@
 		this.loans = new LoanController(name, state, holders, this.slots, effects)
 		this.tasks = new TaskController(state, effects, random, configuration)
 		this.workers = new WorkerController(state, effects, configuration)
-		const usage = (team: string) => this.tasks.placement.usage(team)
+		const usage = (team: string) => this.tasks.placement.usageOf(team)
 		const plans = new PlanController(() => this.tasks.ledger, configuration, usage)
 		const whyWaiting = (task: string) => this.tasks.whyWaiting(task)
 		this.operators = new OperatorController(state, plans, effects, whyWaiting)
@@ -80,7 +80,7 @@
 	/** Numbers for metrics. */
 	get figures() {
 		const { requests } = this.parts.state
-		const { waitingCount, tasksRunning } = this.tasks.placement
+		const { waitingCount, runningCount: tasksRunning } = this.tasks.placement
 		return {
 			requestsOpen: requests.open,
 			tasksWaiting: waitingCount,
--- a/packages/cell/src/lib/leader/TaskController.ts
+++ b/packages/cell/src/lib/leader/TaskController.ts
@@ -125,7 +125,7 @@
 		this.busy.delete(command.task)
 		const record = this.state.tasks.find(command.task)
 		if (!counted || !record) {
-			this.placement.ended(command.task)
+			this.placement.onEnded(command.task)
 			if (record && !hasEnded(record)) this.submit([record])
 			return
 		}
@@ -137,7 +137,7 @@
 	unplaced(command: CommandOf<'unplace'>): void {
 		this.busy.delete(command.task)
 		this.leaving.delete(command.task)
-		this.placement.ended(command.task)
+		this.placement.onEnded(command.task)
 		const record = this.state.tasks.find(command.task)
 		if (record?.phase === TaskPhase.Waiting) this.submitWhenDue([record], command.at)
 		this.again = true
@@ -147,7 +147,7 @@
 	throttled(command: CommandOf<'throttle'>): void {
 		this.busy.delete(command.task)
 		this.leaving.delete(command.task)
-		this.placement.throttled(command.task, command.cpu)
+		this.placement.onThrottled(command.task, command.cpu)
 		this.again = true
 	}
 
@@ -179,7 +179,7 @@
 
 	/** @returns why a task waits. */
 	whyWaiting(task: string): WaitingReason | undefined {
-		return this.placement.whyWaiting(task)
+		return this.placement.waitingReasonOf(task)
 	}
 
 	private decide(moment: Moment): void {
@@ -240,7 +240,7 @@
 		const record = this.state.tasks.find(one.task)
 		if (!record) return
 		const over = one.result === 'done' && record.task.kind !== IntentKind.Service
-		if (over) this.estimator.ended(record.task, moment.at - record.placedAt)
+		if (over) this.estimator.recordRunTime(record.task, moment.at - record.placedAt)
 		const reason = this.leaving.get(one.task) ?? one.result
 		this.left(worker, one, over, reason, moment)
 	}
@@ -260,7 +260,7 @@
 	private usage(one: ExchangeReply['running'][number]): void {
 		const record = this.state.tasks.find(one.task)
 		if (record?.fence !== one.fence) return
-		this.estimator.used(record.task, one)
+		this.estimator.recordUsage(record.task, one)
 		const slowed = this.leases.throttledTo(record)
 		if (slowed === undefined || this.busy.has(one.task)) return
 		this.busy.add(one.task)
--- a/packages/jobs/src/lib/shares/ServiceShares.ts
+++ b/packages/jobs/src/lib/shares/ServiceShares.ts
@@ -153,7 +153,7 @@
 	private levelWith(account?: QuotaAccount, most = 0): number {
 		const waiting = this.contenders()
 		const contenders = waiting.map((member) => this.contenderOf(member))
-		if (account) contenders.push({ weight: account.weight, most })
+		if (account) contenders.push({ weight: account.weight, maxUse: most })
 		const accounts = [...waiting.map((member) => member.account), ...(account ? [account] : [])]
 		const held = accounts.reduce((sum, one) => sum + this.reservedShare(one), 0)
 		return maxMinLevel(contenders, held + freeShare(this.room))
@@ -167,7 +167,7 @@
 	private contenderOf(member: Member): Contender {
 		const { account, wanted } = member
 		const wish = dominantShare(plus(this.reservedOf(member), wanted), this.room.total)
-		return { weight: account.weight, most: Math.min(wish, quotaShare(account, this.room.total)) }
+		return { weight: account.weight, maxUse: Math.min(wish, quotaShare(account, this.room.total)) }
 	}
 
 	private contenders(): Member[] {
--- a/packages/runs/src/lib/jobs/CompetingAccounts.ts
+++ b/packages/runs/src/lib/jobs/CompetingAccounts.ts
@@ -133,7 +133,7 @@
 export function fairnessOf(served: readonly Served[]): number {
 	const room = served.reduce((sum, { got }) => sum + got, 0)
 	const level = maxMinLevel(
-		served.map(({ asked }) => ({ weight: 1, most: asked })),
+		served.map(({ asked }) => ({ weight: 1, maxUse: asked })),
 		room
 	)
 	const parts = served.map(({ asked, got }) => got / Math.min(asked, level))
--- a/packages/scheduler/src/lib/placement/Estimator.ts
+++ b/packages/scheduler/src/lib/placement/Estimator.ts
@@ -22,20 +22,20 @@
 	private readonly intents = new Map<string, Learned>()
 
 	/** A task has ended after running this long, in milliseconds. */
-	ended(task: Task, runTime: number): void {
+	recordRunTime(task: Task, runTime: number): void {
 		const learned = this.of(task)
 		learned.runTime = blend(learned.runTime, runTime)
 	}
 
 	/** A task has been seen to use this much. */
-	used(task: Task, usage: Resources): void {
+	recordUsage(task: Task, usage: Resources): void {
 		const learned = this.of(task)
 		learned.cpu = Math.max(usage.cpu, blend(learned.cpu, usage.cpu))
 		learned.memory = Math.max(usage.memory, learned.memory ?? 0)
 	}
 
 	/** @returns the expected run time in milliseconds; the declared one until something is learned. */
-	runTime(task: Task): number {
+	expectedRunTime(task: Task): number {
 		return this.intents.get(keyOf(task))?.runTime ?? task.runTime
 	}
 
@@ -43,7 +43,7 @@
 	 * @returns what to reserve for the next task of the intent: more where more was used, less only for
 	 * processors, since a task that lacks memory fails while one that lacks processors is slow.
 	 */
-	need(task: Task): Resources {
+	reservationFor(task: Task): Resources {
 		const learned = this.intents.get(keyOf(task))
 		if (!learned?.cpu || !learned.memory) return task.need
 		const cpu = Math.max(learned.cpu * HEADROOM, task.need.cpu * LEAST_OF_DECLARED)
--- a/packages/scheduler/src/lib/placement/Placement.ts
+++ b/packages/scheduler/src/lib/placement/Placement.ts
@@ -68,7 +68,7 @@
 	}
 
 	/** How many tasks run. */
-	get tasksRunning(): number {
+	get runningCount(): number {
 		return this.running.size
 	}
 
@@ -86,7 +86,7 @@
 		const first = tasks[0]
 		const item: Pending = {
 			tasks,
-			latestStart: latestStart(first, this.estimator.runTime(first) || undefined),
+			latestStart: latestStart(first, this.estimator.expectedRunTime(first) || undefined),
 			shape: this.shapeOf(first),
 			late: false,
 			waiting: WaitingReason.New,
@@ -121,7 +121,7 @@
 	 *
 	 * @param id - the task.
 	 */
-	ended(id: string): void {
+	onEnded(id: string): void {
 		const gone = this.running.get(id)
 		if (!gone) return
 		this.running.delete(id)
@@ -138,7 +138,7 @@
 	 * @param id - the task.
 	 * @param cpu - thousandths of a processor that it keeps.
 	 */
-	throttled(id: string, cpu: number): void {
+	onThrottled(id: string, cpu: number): void {
 		const slowed = this.running.get(id)
 		if (!slowed || cpu >= slowed.reserved.cpu) return
 		const freed = { cpu: slowed.reserved.cpu - cpu, memory: 0, accelerators: 0 }
@@ -169,7 +169,7 @@
 	 * @param id - a task.
 	 * @returns why it waits, or undefined when it does not.
 	 */
-	whyWaiting(id: string): WaitingReason | undefined {
+	waitingReasonOf(id: string): WaitingReason | undefined {
 		return this.pending.get(id)?.waiting
 	}
 
@@ -179,7 +179,7 @@
 	}
 
 	/** @returns what a team uses, and where it stands against its weight. */
-	usage(team: string): Resources {
+	usageOf(team: string): Resources {
 		return this.account(team).used
 	}
 
@@ -238,7 +238,7 @@
 		decisions: Decision[]
 	): boolean {
 		const tasks = this.live(item)
-		const need = this.estimator.need(tasks[0])
+		const need = this.estimator.reservationFor(tasks[0])
 		if (!account.allows(times(need, tasks.length))) {
 			item.waiting = WaitingReason.Quota
 			return false
@@ -277,7 +277,7 @@
 	private attemptGang(item: Pending, tasks: Task[], now: number, decisions: Decision[]): boolean {
 		item.waiting = WaitingReason.Gang
 		if (this.gang.holdsFor(item)) return false
-		const need = this.estimator.need(tasks[0])
+		const need = this.estimator.reservationFor(tasks[0])
 		if (this.failedAt[item.shape] === this.ledger.releases && !this.gang.free) return false
 		const workers = this.gang.reserveAll(need, tasks.length)
 		if (workers) {
--- a/packages/scheduler/src/lib/placement/maxMinLevel.test.ts
+++ b/packages/scheduler/src/lib/placement/maxMinLevel.test.ts
@@ -5,9 +5,9 @@
 import { maxMinLevel, type Contender } from './maxMinLevel'
 
 test('what a modest one leaves goes to the others by weight', () => {
-	const modest = { weight: 1, most: 0.1 }
-	const greedy = { weight: 1, most: Infinity }
-	const heavy = { weight: 2, most: Infinity }
+	const modest = { weight: 1, maxUse: 0.1 }
+	const greedy = { weight: 1, maxUse: Infinity }
+	const heavy = { weight: 2, maxUse: Infinity }
 	assert.ok(Math.abs(maxMinLevel([modest, greedy, heavy], 1) - 0.3) < 1e-9)
 	assert.equal(maxMinLevel([modest], 1), Infinity)
 	assert.equal(maxMinLevel([], 1), Infinity)
@@ -15,16 +15,16 @@
 
 const contender: fc.Arbitrary<Contender> = fc.record({
 	weight: fc.double({ min: 0.1, max: 10, noNaN: true }),
-	most: fc.double({ min: 0, max: 2, noNaN: true }),
+	maxUse: fc.double({ min: 0, max: 2, noNaN: true }),
 })
 
 test('whatever is wanted, all room is given out or all wishes are met, and never more', () => {
 	fc.assert(
 		fc.property(fc.array(contender, { maxLength: 30 }), (contenders) => {
 			const level = maxMinLevel(contenders, 1)
-			const wanted = contenders.reduce((sum, { most }) => sum + most, 0)
+			const wanted = contenders.reduce((sum, { maxUse }) => sum + maxUse, 0)
 			const given = contenders
-				.map(({ weight, most }) => Math.min(most, weight * level))
+				.map(({ weight, maxUse }) => Math.min(maxUse, weight * level))
 				.reduce((sum, part) => sum + part, 0)
 			assert.ok(Math.abs(given - Math.min(1, wanted)) < 1e-6)
 		})
--- a/packages/scheduler/src/lib/placement/maxMinLevel.ts
+++ b/packages/scheduler/src/lib/placement/maxMinLevel.ts
@@ -5,7 +5,7 @@
 	/** Its part against the others' weights, above 0. */
 	readonly weight: number
 	/** The most that it can use, in the unit of the room; infinite for no limit. */
-	readonly most: number
+	readonly maxUse: number
 }
 
 /**
@@ -22,13 +22,13 @@
 	let left = Math.max(0, room)
 	for (const contender of byLevel) {
 		if (levelOf(contender) * weight >= left) return left / weight
-		left -= contender.most
+		left -= contender.maxUse
 		weight -= contender.weight
 	}
 	return Number.POSITIVE_INFINITY
 }
 
 /** The level at which a contender has the most that it can use. */
-function levelOf({ most, weight }: Contender): number {
-	return most / weight
+function levelOf({ maxUse, weight }: Contender): number {
+	return maxUse / weight
 }
--- a/packages/scheduler/src/lib/scheduler.test.ts
+++ b/packages/scheduler/src/lib/scheduler.test.ts
@@ -54,9 +54,9 @@
 				placement.submit([task({ need: { cpu, memory, accelerators: 0 } })])
 				for (const decision of placement.decide(now, 20)) running.push(decision.task.id)
 				const first = ends ? running.shift() : undefined
-				if (first) placement.ended(first)
+				if (first) placement.onEnded(first)
 			})
-			for (const id of running) placement.ended(id)
+			for (const id of running) placement.onEnded(id)
 			for (const worker of ledger.all()) assert.deepEqual(worker.free, CAPACITY)
 		}),
 		{ seed: 7, numRuns: 100 }
@@ -73,12 +73,12 @@
 	)
 	placement.submit(gang)
 	assert.equal(placement.decide(1000, 100).length, 0)
-	assert.equal(placement.whyWaiting(gang[0].id), WaitingReason.Gang)
+	assert.equal(placement.waitingReasonOf(gang[0].id), WaitingReason.Gang)
 	// Small work goes on arriving; without a hold it would take what comes free for ever.
 	let started = 0
 	for (let now = 31_000; now < 60_000 && started === 0; now += 1000) {
 		const gone = small.shift()
-		if (gone) placement.ended(gone.id)
+		if (gone) placement.onEnded(gone.id)
 		placement.submit([task({ submitted: now })])
 		const decisions = placement.decide(now, 100)
 		started = decisions.filter((one) => one.task.intent === 'gang').length
@@ -97,7 +97,7 @@
 	const [relief] = placement.decide(1, 100)
 	assert.ok(relief.kind === 'relieve')
 	assert.equal(relief.how, 'throttle')
-	placement.throttled(relief.task.id, 100)
+	placement.onThrottled(relief.task.id, 100)
 	const [start] = placement.decide(2, 100)
 	assert.equal(start.kind, 'start')
 })
@@ -111,7 +111,7 @@
 	for (const one of tasks) placement.submit([one])
 	placement.submit([task({ team: 'other' })])
 	assert.equal(placement.decide(0, 100).length, 2)
-	assert.equal(placement.whyWaiting(tasks[2].id), WaitingReason.Quota)
+	assert.equal(placement.waitingReasonOf(tasks[2].id), WaitingReason.Quota)
 })
 
 test('services keep away from their siblings', () => {
