--- a/packages/jobs/src/lib/commands/CellCommand.ts
+++ b/packages/jobs/src/lib/commands/CellCommand.ts
@@ -3,7 +3,7 @@
 import { VError } from 'verror'
 import type { CellConfiguration, Queue, Worker } from '../records/Cell'
 import type { JobRequest, RunEnd } from '../records/Job'
-import type { HadShares } from '../shares/HadShares'
+import type { RecentUsage } from '../shares/RecentUsage'
 import type { CrashEvidence } from '../state/TaskCrashes'
 
 /**
@@ -93,7 +93,7 @@
 	| { readonly kind: 'at-work'; readonly runs: readonly RunName[] }
 	| { readonly kind: 'forget'; readonly jobs: readonly string[] }
 	/** What accounts had of late; it takes the place of what was noted before. */
-	| { readonly kind: 'shares'; readonly had: HadShares }
+	| { readonly kind: 'shares'; readonly had: RecentUsage }
 
 interface Batch {
 	readonly version: number
--- a/packages/jobs/src/lib/shares/AccountShares.ts
+++ b/packages/jobs/src/lib/shares/AccountShares.ts
@@ -15,7 +15,7 @@
 }
 
 /** What an account had of a service on the mean of late, as it is replicated. @public */
-export interface HadRoom {
+export interface RecentCapacityShare {
 	readonly account: string
 	readonly service: string
 	/** From 0 to 1, of the largest resource. */
@@ -60,7 +60,7 @@
 	}
 
 	/** Takes up what an account had. */
-	restore(account: QuotaAccount, { service, share }: HadRoom): void {
+	restore(account: QuotaAccount, { service, share }: RecentCapacityShare): void {
 		this.at(service).restore(account, share)
 	}
 
--- a/packages/jobs/src/lib/shares/AdviceShares.ts
+++ b/packages/jobs/src/lib/shares/AdviceShares.ts
@@ -15,7 +15,7 @@
 }
 
 /** The time that an account's questions took of late, as it is replicated. @public */
-export interface HadAdvice {
+export interface RecentAdviceTime {
 	readonly account: string
 	/** Milliseconds, the later ones counted more. */
 	readonly time: number
@@ -33,7 +33,7 @@
 	constructor(private countedAt: number) {}
 
 	/** Takes up what an account had. */
-	restore({ account, time }: HadAdvice): void {
+	restore({ account, time }: RecentAdviceTime): void {
 		this.times.set(account, time)
 	}
 
@@ -55,7 +55,7 @@
 	}
 
 	/** What accounts had, in their order. */
-	had(now: number): HadAdvice[] {
+	had(now: number): RecentAdviceTime[] {
 		this.age(now)
 		return [...this.times].map(([account, time]) => ({ account, time: Math.round(time) }))
 	}
--- a/packages/jobs/src/lib/shares/LeaderShares.ts
+++ b/packages/jobs/src/lib/shares/LeaderShares.ts
@@ -6,9 +6,14 @@
 import type { AccountUsage } from '../accounts/AccountUsage'
 import { epochOf, type LeaderContext } from '../leader/LeaderContext'
 import { LeaderEvent } from '../leader/LeaderEvent'
-import { AccountShares, type HadRoom, type ServiceStanding, type Want } from './AccountShares'
+import {
+	AccountShares,
+	type RecentCapacityShare,
+	type ServiceStanding,
+	type Want,
+} from './AccountShares'
 import { AdviceShares } from './AdviceShares'
-import type { HadShares } from './HadShares'
+import type { RecentUsage } from './RecentUsage'
 import type { OrderByUse } from '../placement/OrderByUse'
 import type { ServiceRoom } from './ServiceRoom'
 
@@ -90,7 +95,7 @@
 		}
 	}
 
-	private restore({ rooms, advice }: HadShares): void {
+	private restore({ rooms, advice }: RecentUsage): void {
 		const known = new Map([...this.accounts.all()].map((account) => [account.terms.name, account]))
 		for (const had of rooms) {
 			const account = known.get(had.account)
@@ -99,7 +104,7 @@
 		for (const had of advice) this.advice.restore(had)
 	}
 
-	private hadRooms(): HadRoom[] {
+	private hadRooms(): RecentCapacityShare[] {
 		return [...this.rooms.all()]
 			.sort((left, right) => right.had - left.had)
 			.slice(0, MOST_NOTED)
--- a/packages/jobs/src/lib/state/CellState.ts
+++ b/packages/jobs/src/lib/state/CellState.ts
@@ -5,7 +5,7 @@
 import { decodeCommands, type Begin, type CellCommand } from '../commands/CellCommand'
 import type { CellConfiguration, Worker } from '../records/Cell'
 import { workerNameOf } from '../records/Incarnation'
-import type { HadShares } from '../shares/HadShares'
+import type { RecentUsage } from '../shares/RecentUsage'
 import type { Change } from './Change'
 import { JobTable } from './JobTable'
 import type { JobRecord } from './JobRecord'
@@ -29,7 +29,7 @@
 	readonly configuration?: CellConfiguration
 	readonly workers: KnownWorkersSnapshot
 	readonly jobs: readonly JobRecord[]
-	readonly shares?: HadShares
+	readonly shares?: RecentUsage
 }
 
 /**
@@ -43,7 +43,7 @@
 	/** The newest configuration; absent before the first. */
 	configuration: CellConfiguration | undefined
 	/** What accounts had of late, as a leader last noted it; absent where none did. */
-	shares: HadShares | undefined
+	shares: RecentUsage | undefined
 	/** Told of each change while set. */
 	observer: ((change: Change) => void) | undefined
 
