--- a/packages/jobs/src/lib/shares/AccountShares.ts
+++ b/packages/jobs/src/lib/shares/AccountShares.ts
@@ -4,7 +4,7 @@
  */
 import { type QuotaAccount, type Resources } from '@rillrudder/scheduler'
 import type { AccountStanding } from './AccountStanding'
-import type { ServiceRoom } from './ServiceRoom'
+import type { ServiceCapacity } from './ServiceCapacity'
 import { ServiceShares } from './ServiceShares'
 
 /** What an account has of one service. @internal */
@@ -27,7 +27,7 @@
 	/** The moment, on the leader's clock. */
 	readonly now: number
 	/** The room of the workers, by service. */
-	readonly rooms: ReadonlyMap<string, ServiceRoom>
+	readonly rooms: ReadonlyMap<string, ServiceCapacity>
 	readonly accounts: Iterable<QuotaAccount>
 	readonly wants: Iterable<Want>
 }
--- a/packages/jobs/src/lib/shares/LeaderShares.ts
+++ b/packages/jobs/src/lib/shares/LeaderShares.ts
@@ -15,7 +15,7 @@
 import { AdviceShares } from './AdviceShares'
 import type { RecentUsage } from './RecentUsage'
 import type { OrderByUse } from '../placement/OrderByUse'
-import type { ServiceRoom } from './ServiceRoom'
+import type { ServiceCapacity } from './ServiceCapacity'
 
 /** Milliseconds between two notes for the next leader: a third of the span over which shares are averaged. */
 const NOTE_EVERY = 3000
@@ -65,7 +65,7 @@
 	}
 
 	/** Looks anew at what accounts hold and want, and tells who has gone over a share or come back. */
-	look(now: number, rooms: ReadonlyMap<string, ServiceRoom>, wants: Iterable<Want>): void {
+	look(now: number, rooms: ReadonlyMap<string, ServiceCapacity>, wants: Iterable<Want>): void {
 		const accounts = this.accounts.all()
 		for (const standing of this.rooms.look({ now, rooms, accounts, wants }))
 			this.tell(standing, now)
--- a/packages/jobs/src/lib/shares/ServiceRoom.ts
+++ b/packages/jobs/src/lib/shares/ServiceCapacity.ts
@@ -9,7 +9,7 @@
 const RESOURCES = ['cpu', 'memory', 'accelerators'] as const
 
 /** The room of a service's workers. @internal */
-export interface ServiceRoom {
+export interface ServiceCapacity {
 	/** Of all that are known: what runs on those that are out of reach still counts as held. */
 	readonly total: Resources
 	/** Of those that are open. */
@@ -17,7 +17,7 @@
 }
 
 /** @returns the largest share of a room that an account's quota allows; infinite without one. @internal */
-export function quotaShare({ terms: { quota = {} } }: QuotaAccount, total: Resources): number {
+export function quotaShareOf({ terms: { quota = {} } }: QuotaAccount, total: Resources): number {
 	const shares = RESOURCES.map((resource) => {
 		const most = quota[resource]
 		return most === undefined ? Number.POSITIVE_INFINITY : most / Math.max(1, total[resource])
@@ -26,7 +26,7 @@
 }
 
 /** @returns the share of a room that is free of every resource that the service has. @internal */
-export function freeShare({ total, free }: ServiceRoom): number {
+export function freeShareOf({ total, free }: ServiceCapacity): number {
 	const shares = RESOURCES.filter((resource) => total[resource] > 0).map(
 		(resource) => Math.max(0, free[resource]) / total[resource]
 	)
@@ -34,7 +34,7 @@
 }
 
 /** @returns the room of workers, as what each has and what of it is free. @internal */
-export function roomOf(workers: readonly LedgerWorker[]): ServiceRoom {
+export function capacityOf(workers: readonly LedgerWorker[]): ServiceCapacity {
 	const total = { ...NO_RESOURCES }
 	const free = { ...NO_RESOURCES }
 	for (const worker of workers) {
--- a/packages/jobs/src/lib/shares/ServiceShares.ts
+++ b/packages/jobs/src/lib/shares/ServiceShares.ts
@@ -12,7 +12,7 @@
 	type Resources,
 } from '@rillrudder/scheduler'
 import type { AccountStanding } from './AccountStanding'
-import { freeShare, quotaShare, type ServiceRoom } from './ServiceRoom'
+import { freeShareOf, quotaShareOf, type ServiceCapacity } from './ServiceCapacity'
 
 /** Milliseconds over which what an account has had is averaged: a burst of a few seconds after a pause stays below its share. */
 const HAD_SPAN = 10_000
@@ -40,7 +40,7 @@
  */
 export class ServiceShares {
 	private readonly members = new Map<string, Member>()
-	private room: ServiceRoom = { total: NO_RESOURCES, free: NO_RESOURCES }
+	private room: ServiceCapacity = { total: NO_RESOURCES, free: NO_RESOURCES }
 	/** What each account that waits may count on for a weight of 1, as of the last look. */
 	private level = 0
 
@@ -74,7 +74,7 @@
 	 * @param room - what there is now.
 	 * @param now - the moment, on the leader's clock.
 	 */
-	begin(room: ServiceRoom, now: number): void {
+	begin(room: ServiceCapacity, now: number): void {
 		const passed = Math.max(0, now - this.lookedAt)
 		this.lookedAt = now
 		this.room = room
@@ -143,7 +143,7 @@
 	/** Its share beside the others that wait: one that does not wait is taken to want all that it can get. */
 	private newShare(account: QuotaAccount): number {
 		const member = this.members.get(account.terms.name)
-		const most = quotaShare(account, this.room.total)
+		const most = quotaShareOf(account, this.room.total)
 		const isWaiting = member !== undefined && waits(member)
 		const level = isWaiting ? this.level : this.levelWith(account, most)
 		return Math.min(1, most, level * account.weight)
@@ -156,7 +156,7 @@
 		if (account) contenders.push({ weight: account.weight, maxUse: most })
 		const accounts = [...waiting.map((member) => member.account), ...(account ? [account] : [])]
 		const held = accounts.reduce((sum, one) => sum + this.reservedShare(one), 0)
-		return maxMinLevel(contenders, held + freeShare(this.room))
+		return maxMinLevel(contenders, held + freeShareOf(this.room))
 	}
 
 	private reservedShare(account: QuotaAccount): number {
@@ -167,7 +167,10 @@
 	private contenderOf(member: Member): Contender {
 		const { account, wanted } = member
 		const wish = dominantShare(plus(this.reservedOf(member), wanted), this.room.total)
-		return { weight: account.weight, maxUse: Math.min(wish, quotaShare(account, this.room.total)) }
+		return {
+			weight: account.weight,
+			maxUse: Math.min(wish, quotaShareOf(account, this.room.total)),
+		}
 	}
 
 	private contenders(): Member[] {
--- a/packages/jobs/src/lib/shares/StepShares.ts
+++ b/packages/jobs/src/lib/shares/StepShares.ts
@@ -17,7 +17,7 @@
 import type { AccountShares, Want } from './AccountShares'
 import { inShareOrder } from './inShareOrder'
 import type { LeaderShares } from './LeaderShares'
-import { roomOf, type ServiceRoom } from './ServiceRoom'
+import { capacityOf, type ServiceCapacity } from './ServiceCapacity'
 
 /** What a pass over the waiting steps knows of them. @internal */
 export interface StepView {
@@ -97,7 +97,7 @@
 	}
 
 	/** The room of all workers, by service. */
-	private roomsOf({ workers }: StepView): Map<string, ServiceRoom> {
+	private roomsOf({ workers }: StepView): Map<string, ServiceCapacity> {
 		const accounts = new Map<string, LedgerWorker[]>()
 		for (const { id, worker } of workers) {
 			const account = this.context.ledger.find(id)
@@ -106,7 +106,7 @@
 			if (others) others.push(account)
 			else accounts.set(worker.service, [account])
 		}
-		return new Map([...accounts].map(([service, each]) => [service, roomOf(each)]))
+		return new Map([...accounts].map(([service, each]) => [service, capacityOf(each)]))
 	}
 
 	/** What waits for room alone: neither for a quota nor for steps before it. */
