--- a/packages/jobs/src/lib/leader/JobController.ts
+++ b/packages/jobs/src/lib/leader/JobController.ts
@@ -254,7 +254,9 @@
 		const { state, ledger } = this.context
 		const work = { jobs: state.jobs.all(), waiting: this.steps.waitingByAccount() }
 		const refused = (name: string): number => this.clients.refusedOf(name)
-		return listAccounts(this.accounts, work, refused, ledger.total, [...this.shares.rooms.all()])
+		return listAccounts(this.accounts, work, refused, ledger.total, [
+			...this.shares.rooms.standings(),
+		])
 	}
 
 	private configure(configuration: CellConfiguration, reply: Reply): void {
--- a/packages/jobs/src/lib/shares/AccountShares.test.ts
+++ b/packages/jobs/src/lib/shares/AccountShares.test.ts
@@ -45,7 +45,7 @@
 	}
 
 	isOver(name: string): boolean {
-		return this.shares.isOver(this.account(name), SERVICE)
+		return this.shares.isOverShare(this.account(name), SERVICE)
 	}
 
 	private look(): ServiceStanding[] {
@@ -57,7 +57,12 @@
 			return { account: this.account(name), service: SERVICE, need: cpuOf(cpu) }
 		})
 		const rooms = new Map([[SERVICE, room]])
-		return this.shares.look({ now: this.now, rooms, accounts: this.accounts.values(), wants })
+		return this.shares.update({
+			now: this.now,
+			capacities: rooms,
+			accounts: this.accounts.values(),
+			demands: wants,
+		})
 	}
 }
 
@@ -132,8 +137,8 @@
 	service.waits('city')
 	service.pass(LONG)
 	const town = service.account('town')
-	assert.ok(!service.shares.isOver(town, SERVICE))
-	assert.ok(service.shares.isOver(town, SERVICE, cpuOf(40_000)))
+	assert.ok(!service.shares.isOverShare(town, SERVICE))
+	assert.ok(service.shares.isOverShare(town, SERVICE, cpuOf(40_000)))
 })
 
 test('use that moves about the share by less than a tenth changes the order at most once', () => {
@@ -156,12 +161,12 @@
 			const service = new FullService()
 			held.forEach((cpu, number) => service.holds(`a${number}`, cpu))
 			service.pass(5000)
-			const before = [...service.shares.all()]
+			const before = [...service.shares.standings()]
 			service.shares = new AccountShares(service.now)
 			for (const { account, had, service: at } of before) {
 				service.shares.restore(account, { account: account.terms.name, service: at, share: had })
 			}
-			const after = [...service.shares.all()]
+			const after = [...service.shares.standings()]
 			assert.deepEqual(
 				after.map(({ account, had }) => [account.terms.name, had]),
 				before.map(({ account, had }) => [account.terms.name, had])
--- a/packages/jobs/src/lib/shares/AccountShares.ts
+++ b/packages/jobs/src/lib/shares/AccountShares.ts
@@ -23,17 +23,17 @@
 }
 
 /** What a look finds. @internal */
-export interface ShareLook {
+export interface ShareInputs {
 	/** The moment, on the leader's clock. */
 	readonly now: number
 	/** The room of the workers, by service. */
-	readonly rooms: ReadonlyMap<string, ServiceCapacity>
+	readonly capacities: ReadonlyMap<string, ServiceCapacity>
 	readonly accounts: Iterable<QuotaAccount>
-	readonly wants: Iterable<Want>
+	readonly demands: Iterable<CapacityDemand>
 }
 
 /** Tasks of an account that wait for room. @internal */
-export interface Want {
+export interface CapacityDemand {
 	readonly account: QuotaAccount
 	readonly service: string
 	/** What they need together. */
@@ -61,20 +61,20 @@
 
 	/** Takes up what an account had. */
 	restore(account: QuotaAccount, { service, share }: RecentCapacityShare): void {
-		this.at(service).restore(account, share)
+		this.sharesOf(service).restore(account, share)
 	}
 
 	/** Looks anew at what accounts hold and want. @returns the accounts that have gone over a share, or have come back. */
-	look({ now, rooms, accounts, wants }: ShareLook): ServiceStanding[] {
+	update({ now, capacities: rooms, accounts, demands: wants }: ShareInputs): ServiceStanding[] {
 		const holders = [...accounts]
 		for (const [service, room] of rooms) {
-			const shares = this.at(service)
+			const shares = this.sharesOf(service)
 			for (const account of holders) shares.note(account)
 			shares.begin(room, now)
 		}
 		this.lookedAt = now
 		for (const { account, service, need } of wants) {
-			if (rooms.has(service)) this.at(service).want(account, need)
+			if (rooms.has(service)) this.sharesOf(service).want(account, need)
 		}
 		return [...this.services].flatMap(([service, shares]) =>
 			shares.settle().map((standing) => this.inService(service, shares, standing))
@@ -82,15 +82,15 @@
 	}
 
 	/** Room is kept for a step of an account, which counts as what it holds. */
-	keep(account: QuotaAccount, service: string, room: Resources): void {
-		this.at(service).keep(account, room)
+	addReservation(account: QuotaAccount, service: string, room: Resources): void {
+		this.sharesOf(service).keep(account, room)
 	}
 
 	/**
 	 * @param kept - room that is kept for steps of the account that go before the one that is asked for.
 	 * @returns whether an account has more than its share of a service while others wait for room there.
 	 */
-	isOver(account: QuotaAccount, service: string, kept?: Resources): boolean {
+	isOverShare(account: QuotaAccount, service: string, kept?: Resources): boolean {
 		return this.services.get(service)?.isOver(account, kept) ?? false
 	}
 
@@ -100,7 +100,7 @@
 	}
 
 	/** What accounts have, by service. */
-	*all(): IterableIterator<ServiceStanding> {
+	*standings(): IterableIterator<ServiceStanding> {
 		for (const [service, shares] of this.services) {
 			for (const standing of shares.all()) yield this.inService(service, shares, standing)
 		}
@@ -114,7 +114,7 @@
 		return { ...standing, service, contenders: shares.waiting }
 	}
 
-	private at(service: string): ServiceShares {
+	private sharesOf(service: string): ServiceShares {
 		const shares = this.services.get(service) ?? new ServiceShares(service, this.lookedAt)
 		this.services.set(service, shares)
 		return shares
--- a/packages/jobs/src/lib/shares/LeaderShares.ts
+++ b/packages/jobs/src/lib/shares/LeaderShares.ts
@@ -10,7 +10,7 @@
 	AccountShares,
 	type RecentCapacityShare,
 	type ServiceStanding,
-	type Want,
+	type CapacityDemand,
 } from './AccountShares'
 import { AdviceShares } from './AdviceShares'
 import type { RecentUsage } from './RecentUsage'
@@ -65,9 +65,13 @@
 	}
 
 	/** Looks anew at what accounts hold and want, and tells who has gone over a share or come back. */
-	look(now: number, rooms: ReadonlyMap<string, ServiceCapacity>, wants: Iterable<Want>): void {
+	look(
+		now: number,
+		rooms: ReadonlyMap<string, ServiceCapacity>,
+		wants: Iterable<CapacityDemand>
+	): void {
 		const accounts = this.accounts.all()
-		for (const standing of this.rooms.look({ now, rooms, accounts, wants }))
+		for (const standing of this.rooms.update({ now, capacities: rooms, accounts, demands: wants }))
 			this.tell(standing, now)
 	}
 
@@ -87,7 +91,7 @@
 	/** Sets the gauges of shares and use. */
 	measure(): void {
 		if (!this.inForce) return
-		for (const { account, service, share, held } of this.rooms.all()) {
+		for (const { account, service, share, held } of this.rooms.standings()) {
 			const labels = { account: account.terms.name, service }
 			if (!this.isMeasured(`${service} ${labels.account}`)) continue
 			this.context.meter.gauge(Measure.AccountShare, share, labels)
@@ -105,7 +109,7 @@
 	}
 
 	private hadRooms(): RecentCapacityShare[] {
-		return [...this.rooms.all()]
+		return [...this.rooms.standings()]
 			.sort((left, right) => right.had - left.had)
 			.slice(0, MOST_NOTED)
 			.map(({ account, service, had }) => {
--- a/packages/jobs/src/lib/shares/StepShares.ts
+++ b/packages/jobs/src/lib/shares/StepShares.ts
@@ -14,7 +14,7 @@
 import type { WorkerView } from '../leader/workers/WorkerView'
 import type { Reservations } from '../placement/Reservations'
 import { Usefulness, usefulnessOf } from '../placement/Usefulness'
-import type { AccountShares, Want } from './AccountShares'
+import type { AccountShares, CapacityDemand } from './AccountShares'
 import { inShareOrder } from './inShareOrder'
 import type { LeaderShares } from './LeaderShares'
 import { capacityOf, type ServiceCapacity } from './ServiceCapacity'
@@ -83,13 +83,13 @@
 	private isOver(work: StepWork, kept?: KeptRooms): boolean {
 		const { account, service } = work
 		if (!account) return false
-		return this.rooms.isOver(account, service, kept?.of(account, service))
+		return this.rooms.isOverShare(account, service, kept?.of(account, service))
 	}
 
 	private keep({ account, service }: StepWork, room: Resources, kept: KeptRooms): void {
 		if (!account) return
 		kept.add(account, service, room)
-		this.rooms.keep(account, service, room)
+		this.rooms.addReservation(account, service, room)
 	}
 
 	private get rooms(): AccountShares {
@@ -110,7 +110,7 @@
 	}
 
 	/** What waits for room alone: neither for a quota nor for steps before it. */
-	private *wantsOf({ steps, waits }: StepView): IterableIterator<Want> {
+	private *wantsOf({ steps, waits }: StepView): IterableIterator<CapacityDemand> {
 		for (const work of steps) {
 			const { account, service, step } = work
 			if (!account || step.lasting || !waits(work)) continue
--- a/packages/runs/src/lib/jobs/shareRun.test.ts
+++ b/packages/runs/src/lib/jobs/shareRun.test.ts
@@ -62,7 +62,7 @@
 })
 
 test('without shares the others are late with the account that presses', () => {
-	const blind: Breakage = [jobsClass('shares', 'AccountShares'), 'isOver', () => () => false]
+	const blind: Breakage = [jobsClass('shares', 'AccountShares'), 'isOverShare', () => () => false]
 	const runs = withBroken([blind], () => play(ONE))
 	assert.ok(inTimeOf(runs, ONE) < calm - MOST_LOSS_BY_TWO)
 })
