--- a/packages/jobs/src/lib/shares/AccountShares.ts
+++ b/packages/jobs/src/lib/shares/AccountShares.ts
@@ -69,21 +69,21 @@
 		const holders = [...accounts]
 		for (const [service, room] of rooms) {
 			const shares = this.sharesOf(service)
-			for (const account of holders) shares.note(account)
-			shares.begin(room, now)
+			for (const account of holders) shares.track(account)
+			shares.beginUpdate(room, now)
 		}
 		this.lookedAt = now
 		for (const { account, service, need } of wants) {
-			if (rooms.has(service)) this.sharesOf(service).want(account, need)
+			if (rooms.has(service)) this.sharesOf(service).addDemand(account, need)
 		}
 		return [...this.services].flatMap(([service, shares]) =>
-			shares.settle().map((standing) => this.inService(service, shares, standing))
+			shares.finishUpdate().map((standing) => this.inService(service, shares, standing))
 		)
 	}
 
 	/** Room is kept for a step of an account, which counts as what it holds. */
 	addReservation(account: QuotaAccount, service: string, room: Resources): void {
-		this.sharesOf(service).keep(account, room)
+		this.sharesOf(service).addReservation(account, room)
 	}
 
 	/**
@@ -91,7 +91,7 @@
 	 * @returns whether an account has more than its share of a service while others wait for room there.
 	 */
 	isOverShare(account: QuotaAccount, service: string, kept?: Resources): boolean {
-		return this.services.get(service)?.isOver(account, kept) ?? false
+		return this.services.get(service)?.isOverShare(account, kept) ?? false
 	}
 
 	/** @returns the share of a service's room that an account may count on now, from 0 to 1. */
@@ -102,7 +102,7 @@
 	/** What accounts have, by service. */
 	*standings(): IterableIterator<ServiceStanding> {
 		for (const [service, shares] of this.services) {
-			for (const standing of shares.all()) yield this.inService(service, shares, standing)
+			for (const standing of shares.standings()) yield this.inService(service, shares, standing)
 		}
 	}
 
@@ -111,7 +111,7 @@
 		shares: ServiceShares,
 		standing: AccountStanding
 	): ServiceStanding {
-		return { ...standing, service, contenders: shares.waiting }
+		return { ...standing, service, contenders: shares.contenderCount }
 	}
 
 	private sharesOf(service: string): ServiceShares {
--- a/packages/jobs/src/lib/shares/ServiceShares.ts
+++ b/packages/jobs/src/lib/shares/ServiceShares.ts
@@ -1,6 +1,6 @@
 /**
- * How the client accounts share the room of one service while some of them wait for it: weighted dominant-resource fairness over
- * what each holds now and has had of late.
+ * How client accounts share the capacity of one service while some of them wait for it: weighted dominant-resource
+ * fairness over what each account holds now and has held recently.
  */
 import {
 	dominantShare,
@@ -14,200 +14,236 @@
 import type { AccountStanding } from './AccountStanding'
 import { freeShareOf, quotaShareOf, type ServiceCapacity } from './ServiceCapacity'
 
-/** Milliseconds over which what an account has had is averaged: a burst of a few seconds after a pause stays below its share. */
-const HAD_SPAN = 10_000
-/** Times its share above which an account counts as over it; it comes back at its share, so that the order does not flip. */
+/**
+ * Time constant, in milliseconds, of the moving average of what an account holds: a burst of a few seconds after a
+ * pause stays below the account's share.
+ */
+const AVERAGING_TIME_MS = 10_000
+/**
+ * Multiple of its share above which an account counts as over it. It counts as within it again only at its share: this
+ * hysteresis keeps the order from flipping.
+ */
 const OVER_FACTOR = 1.1
-/** Share of a service's room below which what an account has had is forgotten. */
-const LEAST_HAD = 0.0005
+/** Share of a service's capacity below which the recent share of an account that holds nothing is dropped. */
+const MIN_RECENT_SHARE = 0.0005
 
-interface Member {
+interface AccountEntry {
 	readonly account: QuotaAccount
-	had: number
-	over: boolean
-	/** What its waiting tasks need. */
-	wanted: Resources
-	/** Room that is kept for it, besides what it has reserved. */
-	kept: Resources
-	/** Computed once for each look. */
+	/** Moving average of the share that the account has held. */
+	recentShare: number
+	isOver: boolean
+	/** What the account's waiting tasks need. */
+	demand: Resources
+	/** Capacity that is reserved for the account's waiting steps, in addition to what its runs hold. */
+	reserved: Resources
+	/** Computed at most once per update. */
 	share: number | undefined
 }
 
 /**
- * The shares of one service's room.
+ * The shares of one service's capacity.
  *
  * @internal
  */
 export class ServiceShares {
-	private readonly members = new Map<string, Member>()
-	private room: ServiceCapacity = { total: NO_RESOURCES, free: NO_RESOURCES }
-	/** What each account that waits may count on for a weight of 1, as of the last look. */
-	private level = 0
+	private readonly entries = new Map<string, AccountEntry>()
+	private capacity: ServiceCapacity = { total: NO_RESOURCES, free: NO_RESOURCES }
+	/** Share that each waiting account may count on per unit of weight, as of the last update. */
+	private fairLevel = 0
 
 	/**
 	 * @param service - its name.
-	 * @param lookedAt - since when what accounts had is to be averaged, on the leader's clock.
+	 * @param updatedAt - the moment from which the recent shares are averaged, on the leader's clock.
 	 */
 	constructor(
 		private readonly service: string,
-		private lookedAt: number
+		private updatedAt: number
 	) {}
 
-	/** Everything that is known of the accounts here. */
-	*all(): IterableIterator<AccountStanding> {
-		for (const member of this.members.values()) yield this.standingOf(member)
+	/** The standings of all accounts that are tracked here. */
+	*standings(): IterableIterator<AccountStanding> {
+		for (const entry of this.entries.values()) yield this.standingOf(entry)
 	}
 
-	/** How many accounts wait for room. */
-	get waiting(): number {
+	/** How many accounts wait for capacity. */
+	get contenderCount(): number {
 		return this.contenders().length
 	}
 
-	/** Takes up what an account had, as an earlier leader noted it. */
-	restore(account: QuotaAccount, had: number): void {
-		this.memberOf(account).had = had
+	/** Restores an account's recent share as an earlier leader recorded it. */
+	restore(account: QuotaAccount, recentShare: number): void {
+		this.entryOf(account).recentShare = recentShare
 	}
 
 	/**
-	 * A new look begins.
+	 * Begins an update: averages what accounts have held since the last one, and clears demands and reservations.
 	 *
-	 * @param room - what there is now.
+	 * @param capacity - the current capacity.
 	 * @param now - the moment, on the leader's clock.
 	 */
-	begin(room: ServiceCapacity, now: number): void {
-		const passed = Math.max(0, now - this.lookedAt)
-		this.lookedAt = now
-		this.room = room
-		const weight = 1 - Math.exp(-passed / HAD_SPAN)
-		for (const [name, member] of this.members) {
-			const held = this.heldBy(member, member.kept)
-			member.had += (held - member.had) * weight
-			if (member.had < LEAST_HAD && held === 0) this.members.delete(name)
-			member.wanted = NO_RESOURCES
-			member.kept = NO_RESOURCES
-			member.share = undefined
+	beginUpdate(capacity: ServiceCapacity, now: number): void {
+		const elapsed = Math.max(0, now - this.updatedAt)
+		this.updatedAt = now
+		this.capacity = capacity
+		const weight = 1 - Math.exp(-elapsed / AVERAGING_TIME_MS)
+		for (const [name, entry] of this.entries) {
+			const held = this.heldShareOf(entry, entry.reserved)
+			entry.recentShare += (held - entry.recentShare) * weight
+			if (entry.recentShare < MIN_RECENT_SHARE && held === 0) this.entries.delete(name)
+			entry.demand = NO_RESOURCES
+			entry.reserved = NO_RESOURCES
+			entry.share = undefined
 		}
 	}
 
-	/** An account that holds something here is looked at from now on. */
-	note(account: QuotaAccount): void {
-		if (account.reservedAt(this.service) !== NO_RESOURCES) this.memberOf(account)
+	/** Tracks an account from now on if it holds anything here. */
+	track(account: QuotaAccount): void {
+		if (account.reservedAt(this.service) !== NO_RESOURCES) this.entryOf(account)
 	}
 
-	/** Tasks of an account wait for room of this much. */
-	want(account: QuotaAccount, need: Resources): void {
-		const member = this.memberOf(account)
-		member.wanted = plus(member.wanted, need)
+	/** Adds what waiting tasks of an account need. */
+	addDemand(account: QuotaAccount, need: Resources): void {
+		const entry = this.entryOf(account)
+		entry.demand = plus(entry.demand, need)
 	}
 
-	/** Room of this much is kept for an account. */
-	keep(account: QuotaAccount, room: Resources): void {
-		const member = this.memberOf(account)
-		member.kept = plus(member.kept, room)
+	/** Adds capacity that is reserved for a waiting step of an account. */
+	addReservation(account: QuotaAccount, reserved: Resources): void {
+		const entry = this.entryOf(account)
+		entry.reserved = plus(entry.reserved, reserved)
 	}
 
-	/** Everything that waits is told. @returns the accounts that have gone over their share, or have come back. */
-	settle(): AccountStanding[] {
-		this.level = this.levelWith()
+	/**
+	 * Ends an update once all demands are added.
+	 *
+	 * @returns the accounts that have gone over their share, or have come back within it.
+	 */
+	finishUpdate(): AccountStanding[] {
+		this.fairLevel = this.computeFairLevel()
 		const changed: AccountStanding[] = []
-		for (const member of this.members.values()) {
-			const over = waits(member) && this.isOver(member.account)
-			if (over === member.over) continue
-			member.over = over
-			changed.push(this.standingOf(member))
+		for (const entry of this.entries.values()) {
+			const isOver = isWaiting(entry) && this.isOverShare(entry.account)
+			if (isOver === entry.isOver) continue
+			entry.isOver = isOver
+			changed.push(this.standingOf(entry))
 		}
 		return changed
 	}
 
-	/** @returns whether an account has more than its share here while others wait, beside what is kept for steps that go before. */
-	isOver(account: QuotaAccount, kept = NO_RESOURCES): boolean {
-		const member = this.members.get(account.terms.name)
-		if (!member || !this.othersWait(member)) return false
-		const held = this.heldBy(member, kept)
-		// What it holds counts as much as what it had: after a pause it may hold twice its share for a while.
-		const use = (held + member.had) / 2
-		return use > this.shareIn(member) * (member.over ? 1 : OVER_FACTOR)
+	/**
+	 * @param reserved - capacity that is reserved for earlier steps of the account; counts as held.
+	 * @returns whether an account has more than its share here while others wait.
+	 */
+	isOverShare(account: QuotaAccount, reserved = NO_RESOURCES): boolean {
+		const entry = this.entries.get(account.terms.name)
+		if (!entry || !this.hasOtherContenders(entry)) return false
+		const held = this.heldShareOf(entry, reserved)
+		// Current and recent shares count equally: after a pause an account may hold twice its share for a while.
+		const use = (held + entry.recentShare) / 2
+		return use > this.cachedShareOf(entry) * (entry.isOver ? 1 : OVER_FACTOR)
 	}
 
-	/** @returns the share of the room that an account may count on now, from 0 to 1. */
+	/** @returns the share of the capacity that an account may count on now, from 0 to 1. */
 	shareOf(account: QuotaAccount): number {
-		const member = this.members.get(account.terms.name)
-		return member ? this.shareIn(member) : this.newShare(account)
+		const entry = this.entries.get(account.terms.name)
+		return entry ? this.cachedShareOf(entry) : this.computeShare(account)
 	}
 
-	private shareIn(member: Member): number {
-		member.share ??= this.newShare(member.account)
-		return member.share
+	private cachedShareOf(entry: AccountEntry): number {
+		entry.share ??= this.computeShare(entry.account)
+		return entry.share
 	}
 
-	/** Its share beside the others that wait: one that does not wait is taken to want all that it can get. */
-	private newShare(account: QuotaAccount): number {
-		const member = this.members.get(account.terms.name)
-		const most = quotaShareOf(account, this.room.total)
-		const isWaiting = member !== undefined && waits(member)
-		const level = isWaiting ? this.level : this.levelWith(account, most)
-		return Math.min(1, most, level * account.weight)
+	/** The account's share beside the waiting accounts; one that does not wait is assumed to want all that it can get. */
+	private computeShare(account: QuotaAccount): number {
+		const entry = this.entries.get(account.terms.name)
+		const maxUse = quotaShareOf(account, this.capacity.total)
+		const isContender = entry !== undefined && isWaiting(entry)
+		const level = isContender ? this.fairLevel : this.computeFairLevel(account, maxUse)
+		return Math.min(1, maxUse, level * account.weight)
 	}
 
-	/** The level of max-min fairness among the accounts that wait, and one more where it is given with the most that it can use. */
-	private levelWith(account?: QuotaAccount, most = 0): number {
+	/**
+	 * The max-min fair level among the waiting accounts.
+	 *
+	 * @param account - one more contender, if given.
+	 * @param maxUse - the largest share that this account can use.
+	 */
+	private computeFairLevel(account?: QuotaAccount, maxUse = 0): number {
 		const waiting = this.contenders()
-		const contenders = waiting.map((member) => this.contenderOf(member))
-		if (account) contenders.push({ weight: account.weight, maxUse: most })
-		const accounts = [...waiting.map((member) => member.account), ...(account ? [account] : [])]
-		const held = accounts.reduce((sum, one) => sum + this.reservedShare(one), 0)
-		return maxMinLevel(contenders, held + freeShareOf(this.room))
+		const contenders = waiting.map((entry) => this.contenderOf(entry))
+		if (account) contenders.push({ weight: account.weight, maxUse })
+		const accounts = [...waiting.map((entry) => entry.account), ...(account ? [account] : [])]
+		const held = accounts.reduce((sum, one) => sum + this.reservedShareOf(one), 0)
+		return maxMinLevel(contenders, held + freeShareOf(this.capacity))
 	}
 
-	private reservedShare(account: QuotaAccount): number {
-		return dominantShare(account.reservedAt(this.service), this.room.total)
+	private reservedShareOf(account: QuotaAccount): number {
+		return dominantShare(account.reservedAt(this.service), this.capacity.total)
 	}
 
-	/** The most that an account can use of the room: what it holds and waits for, within its quota. */
-	private contenderOf(member: Member): Contender {
-		const { account, wanted } = member
-		const wish = dominantShare(plus(this.reservedOf(member), wanted), this.room.total)
+	/** The largest share that an account can use: what it holds and waits for, within its quota. */
+	private contenderOf(entry: AccountEntry): Contender {
+		const { account, demand } = entry
+		const wish = dominantShare(plus(this.reservedBy(entry), demand), this.capacity.total)
 		return {
 			weight: account.weight,
-			maxUse: Math.min(wish, quotaShareOf(account, this.room.total)),
+			maxUse: Math.min(wish, quotaShareOf(account, this.capacity.total)),
 		}
 	}
 
-	private contenders(): Member[] {
-		return [...this.members.values()].filter(waits)
+	private contenders(): AccountEntry[] {
+		return [...this.entries.values()].filter(isWaiting)
 	}
 
-	private othersWait(member: Member): boolean {
-		for (const other of this.members.values()) if (other !== member && waits(other)) return true
+	private hasOtherContenders(entry: AccountEntry): boolean {
+		for (const other of this.entries.values()) if (other !== entry && isWaiting(other)) return true
 		return false
 	}
 
-	private standingOf(member: Member): AccountStanding {
-		const { account, had, over } = member
-		const held = this.reservedShare(account)
-		return { account, share: this.shareIn(member), held, had, over, waits: waits(member) }
+	private standingOf(entry: AccountEntry): AccountStanding {
+		const { account, recentShare, isOver } = entry
+		const held = this.reservedShareOf(account)
+		return {
+			account,
+			share: this.cachedShareOf(entry),
+			held,
+			had: recentShare,
+			over: isOver,
+			waits: isWaiting(entry),
+		}
 	}
 
-	/** Room is kept where others still run, or the account itself: together it may be more than there is. */
-	private heldBy(member: Member, kept: Resources): number {
-		return Math.min(1, dominantShare(plus(this.reservedOf(member), kept), this.room.total))
+	/**
+	 * At most 1: capacity may be reserved where other accounts or the account itself still have runs, so the sum may
+	 * exceed the total.
+	 */
+	private heldShareOf(entry: AccountEntry, reserved: Resources): number {
+		return Math.min(1, dominantShare(plus(this.reservedBy(entry), reserved), this.capacity.total))
 	}
 
-	private reservedOf({ account }: Member): Resources {
+	private reservedBy({ account }: AccountEntry): Resources {
 		return account.reservedAt(this.service)
 	}
 
-	private memberOf(account: QuotaAccount): Member {
+	private entryOf(account: QuotaAccount): AccountEntry {
 		const { name } = account.terms
-		const known = this.members.get(name)
+		const known = this.entries.get(name)
 		if (known) return known
-		const wanted = NO_RESOURCES
-		const member = { account, had: 0, over: false, wanted, kept: NO_RESOURCES, share: undefined }
-		this.members.set(name, member)
-		return member
+		const demand = NO_RESOURCES
+		const entry = {
+			account,
+			recentShare: 0,
+			isOver: false,
+			demand,
+			reserved: NO_RESOURCES,
+			share: undefined,
+		}
+		this.entries.set(name, entry)
+		return entry
 	}
 }
 
-function waits({ wanted }: Member): boolean {
-	return wanted !== NO_RESOURCES
+function isWaiting({ demand }: AccountEntry): boolean {
+	return demand !== NO_RESOURCES
 }
