--- a/packages/jobs/src/lib/leader/runs/RunOrders.ts
+++ b/packages/jobs/src/lib/leader/runs/RunOrders.ts
@@ -77,7 +77,7 @@
 		const { clock, timing, ledger } = this.context
 		if (!this.accounts.mayGoOn(run.account, run.step)) return StartObstacle.Quota
 		// What was free when this was decided may be gone: a worker's room can shrink while its run is on its way.
-		if (ledger.find(run.worker)?.isOvercommitted) return StartObstacle.Room
+		if (ledger.find(run.worker)?.isOverbooked) return StartObstacle.Room
 		// So may be that of a worker which an earlier leader chose and this one has not heard yet.
 		return view.silence(clock.now()) >= timing.workerSilent ? StartObstacle.Unheard : undefined
 	}
--- a/packages/jobs/src/lib/speeds/SpeedWatch.ts
+++ b/packages/jobs/src/lib/speeds/SpeedWatch.ts
@@ -76,9 +76,7 @@
 	/** Whether what a worker's runs show is not its own speed: they stand still, or have more than there is. */
 	private isDisturbed({ id }: WorkerView): boolean {
 		const { ledger, clock } = this.context
-		return (
-			this.workers.stalls.isStalled(id, clock.now()) || ledger.find(id)?.isOvercommitted === true
-		)
+		return this.workers.stalls.isStalled(id, clock.now()) || ledger.find(id)?.isOverbooked === true
 	}
 
 	private note(view: WorkerView, run: Run, milliseconds: number | undefined): void {
--- a/packages/scheduler/src/lib/capacity/Ledger.ts
+++ b/packages/scheduler/src/lib/capacity/Ledger.ts
@@ -110,7 +110,7 @@
 		const worker = this.workers.get(id)
 		if (!worker || !worker.isOpen || !fits(need, worker.free)) return false
 		this.take(worker, need, urgent)
-		invariant(!worker.isOvercommitted, 'no worker is given more than it has', { id, need })
+		invariant(!worker.isOverbooked, 'no worker is given more than it has', { id, need })
 		return true
 	}
 
--- a/packages/scheduler/src/lib/capacity/LedgerWorker.ts
+++ b/packages/scheduler/src/lib/capacity/LedgerWorker.ts
@@ -54,7 +54,7 @@
 	}
 
 	/** Whether more is reserved there than it has room for. */
-	get isOvercommitted(): boolean {
+	get isOverbooked(): boolean {
 		const { cpu, memory, accelerators } = this.free
 		return cpu < 0 || memory < 0 || accelerators < 0
 	}
