--- a/packages/jobs/src/lib/shares/AdviceShares.test.ts
+++ b/packages/jobs/src/lib/shares/AdviceShares.test.ts
@@ -30,10 +30,10 @@
 test('what an account had fades, and the next leader goes on with the rest', () => {
 	const shares = new AdviceShares(0)
 	shares.charge(claimOf('pressing'), 7 * QUESTION, 0)
-	const [noted] = shares.had(10_000)
+	const [noted] = shares.recentTimes(10_000)
 	assert.ok(noted.time < 3 * QUESTION && noted.time > QUESTION)
 	const next = new AdviceShares(10_000)
 	next.restore(noted)
-	assert.deepEqual(next.had(10_000), [noted])
-	assert.deepEqual(next.had(200_000), [])
+	assert.deepEqual(next.recentTimes(10_000), [noted])
+	assert.deepEqual(next.recentTimes(200_000), [])
 })
--- a/packages/jobs/src/lib/shares/AdviceShares.ts
+++ b/packages/jobs/src/lib/shares/AdviceShares.ts
@@ -3,9 +3,9 @@
 import { compareTier, type Urgency } from '../placement/StepUrgency'
 
 /** Milliseconds over which the time that an account's questions took is kept in mind. */
-const HAD_SPAN = 10_000
+const DECAY_TIME_MS = 10_000
 /** Milliseconds below which it is forgotten. */
-const LEAST_HAD = 1
+const MIN_TIME_MS = 1
 
 /** Who asks a question, and how urgent its step is. @internal */
 export interface AdviceClaim {
@@ -29,8 +29,8 @@
 export class AdviceShares {
 	private readonly times = new Map<string, number>()
 
-	/** @param countedAt - when what is restored was noted, on the leader's clock. */
-	constructor(private countedAt: number) {}
+	/** @param decayedAt - when what is restored was noted, on the leader's clock. */
+	constructor(private decayedAt: number) {}
 
 	/** Takes up what an account had. */
 	restore({ account, time }: RecentAdviceTime): void {
@@ -40,7 +40,7 @@
 	/** A question is asked that keeps an instance busy for some milliseconds. */
 	charge({ account }: AdviceClaim, cost: number, now: number): void {
 		if (!account) return
-		this.age(now)
+		this.decay(now)
 		const { name } = account.terms
 		this.times.set(name, (this.times.get(name) ?? 0) + cost)
 	}
@@ -51,26 +51,29 @@
 	 * @returns below 0 when the first goes before, 0 when shares make no difference.
 	 */
 	compare(left: AdviceClaim, right: AdviceClaim): number {
-		return compareTier(left.urgency, right.urgency) || this.useOf(left) - this.useOf(right)
+		return (
+			compareTier(left.urgency, right.urgency) ||
+			this.weightedTimeOf(left) - this.weightedTimeOf(right)
+		)
 	}
 
 	/** What accounts had, in their order. */
-	had(now: number): RecentAdviceTime[] {
-		this.age(now)
+	recentTimes(now: number): RecentAdviceTime[] {
+		this.decay(now)
 		return [...this.times].map(([account, time]) => ({ account, time: Math.round(time) }))
 	}
 
 	/** What belongs to no account goes with the accounts that had nothing. */
-	private useOf({ account }: AdviceClaim): number {
+	private weightedTimeOf({ account }: AdviceClaim): number {
 		return account ? (this.times.get(account.terms.name) ?? 0) / account.weight : 0
 	}
 
-	private age(now: number): void {
-		const factor = Math.exp(-Math.max(0, now - this.countedAt) / HAD_SPAN)
-		this.countedAt = now
+	private decay(now: number): void {
+		const factor = Math.exp(-Math.max(0, now - this.decayedAt) / DECAY_TIME_MS)
+		this.decayedAt = now
 		for (const [account, time] of this.times) {
 			const left = time * factor
-			if (left < LEAST_HAD) this.times.delete(account)
+			if (left < MIN_TIME_MS) this.times.delete(account)
 			else this.times.set(account, left)
 		}
 	}
--- a/packages/jobs/src/lib/shares/LeaderShares.ts
+++ b/packages/jobs/src/lib/shares/LeaderShares.ts
@@ -80,7 +80,7 @@
 		if (now < this.noteDue || !this.inForce) return
 		this.noteDue = now + NOTE_EVERY
 		const rooms = this.hadRooms()
-		const advice = this.advice.had(now).slice(0, MOST_NOTED)
+		const advice = this.advice.recentTimes(now).slice(0, MOST_NOTED)
 		const text = JSON.stringify([rooms, advice])
 		if (text === this.noted) return
 		this.noted = text
