--- a/packages/jobs/src/lib/leader/JobController.ts
+++ b/packages/jobs/src/lib/leader/JobController.ts
@@ -114,7 +114,7 @@
 		meter.gauge(Measure.Runs, this.runs.size)
 		meter.gauge(Measure.Configuration, state.configuration?.version ?? 0)
 		this.steps.measure()
-		this.shares.measure()
+		this.shares.updateMetrics()
 		this.workers.measure()
 		this.speeds.measure()
 	}
@@ -255,7 +255,7 @@
 		const work = { jobs: state.jobs.all(), waiting: this.steps.waitingByAccount() }
 		const refused = (name: string): number => this.clients.refusedOf(name)
 		return listAccounts(this.accounts, work, refused, ledger.total, [
-			...this.shares.rooms.standings(),
+			...this.shares.capacityShares.standings(),
 		])
 	}
 
--- a/packages/jobs/src/lib/leader/advice/AdvicePlanner.ts
+++ b/packages/jobs/src/lib/leader/advice/AdvicePlanner.ts
@@ -208,8 +208,8 @@
 
 	/** Below 0 when the first question goes before the second. */
 	private compare(left: PlannedQuestion, right: PlannedQuestion): number {
-		const byShare = this.shares?.inForce && left.claim && right.claim
-		const share = byShare ? this.shares.advice.compare(left.claim, right.claim) : 0
+		const byShare = this.shares?.isEnabled && left.claim && right.claim
+		const share = byShare ? this.shares.adviceShares.compare(left.claim, right.claim) : 0
 		return share || left.rank - right.rank
 	}
 
@@ -220,7 +220,7 @@
 		this.asked.set(via, asked)
 		attempt.pending += 1
 		const { claim } = attempt.question
-		if (claim && this.shares?.inForce) this.shares.advice.charge(claim, cost, now)
+		if (claim && this.shares?.isEnabled) this.shares.adviceShares.charge(claim, cost, now)
 		this.context.advisers.ask(via, { step, workers }, (result) => {
 			if (this.asked.get(via) !== asked) return
 			this.release(via, asked, result.kind === 'answered' ? undefined : now)
--- a/packages/jobs/src/lib/shares/LeaderShares.ts
+++ b/packages/jobs/src/lib/shares/LeaderShares.ts
@@ -18,15 +18,15 @@
 import type { ServiceCapacity } from './ServiceCapacity'
 
 /** Milliseconds between two notes for the next leader: a third of the span over which shares are averaged. */
-const NOTE_EVERY = 3000
+const RECORD_PERIOD_MS = 3000
 /** Milliseconds without a leader that count at most; a calendar may have been set meanwhile. */
-const MOST_GAP = 30_000
+const MAX_GAP_MS = 30_000
 /** What one note tells at most, those who had most. */
-const MOST_NOTED = 1000
+const MAX_RECORDED = 1000
 /** Parts of one in which shares are noted. */
-const NOTED_PARTS = 10_000
+const RECORDED_PRECISION = 10_000
 /** Accounts and services that are measured; the others are in the list of accounts. */
-const MOST_MEASURED = 50
+const MAX_WITH_METRICS = 50
 
 /**
  * The shares of one leadership.
@@ -34,66 +34,71 @@
  * @internal
  */
 export class LeaderShares {
-	readonly rooms: AccountShares
-	readonly advice: AdviceShares
-	private readonly began: number
-	private noteDue: number
-	private noted = ''
-	private readonly measured = new Set<string>()
+	readonly capacityShares: AccountShares
+	readonly adviceShares: AdviceShares
+	private readonly startedAt: number
+	private nextRecordAt: number
+	private lastRecorded = ''
+	private readonly accountsWithMetrics = new Set<string>()
 
 	constructor(
 		private readonly context: LeaderContext,
 		private readonly accounts: AccountUsage,
 		/** Whether steps are ordered by the use that they are of. */
-		readonly use: OrderByUse
+		readonly usefulnessOrder: OrderByUse
 	) {
 		const now = context.clock.now()
 		const { shares } = context.state
-		const gap = shares ? Math.min(MOST_GAP, Math.max(0, epochOf(context) - shares.at)) : 0
-		this.began = now
-		this.noteDue = now + NOTE_EVERY
-		this.rooms = new AccountShares(now - gap)
-		this.advice = new AdviceShares(now - gap)
-		if (shares && this.inForce) this.restore(shares)
+		const gap = shares ? Math.min(MAX_GAP_MS, Math.max(0, epochOf(context) - shares.at)) : 0
+		this.startedAt = now
+		this.nextRecordAt = now + RECORD_PERIOD_MS
+		this.capacityShares = new AccountShares(now - gap)
+		this.adviceShares = new AdviceShares(now - gap)
+		if (shares && this.isEnabled) this.restore(shares)
 	}
 
 	/** Whether accounts have shares: the settings call for it and the configuration has accounts with weights. */
-	get inForce(): boolean {
+	get isEnabled(): boolean {
 		const { policy, state } = this.context
 		if (!policy.shares) return false
 		return state.configuration?.accounts?.some(({ weight }) => weight > 0) ?? false
 	}
 
 	/** Looks anew at what accounts hold and want, and tells who has gone over a share or come back. */
-	look(
+	update(
 		now: number,
 		rooms: ReadonlyMap<string, ServiceCapacity>,
 		wants: Iterable<CapacityDemand>
 	): void {
 		const accounts = this.accounts.all()
-		for (const standing of this.rooms.update({ now, capacities: rooms, accounts, demands: wants }))
-			this.tell(standing, now)
+		for (const standing of this.capacityShares.update({
+			now,
+			capacities: rooms,
+			accounts,
+			demands: wants,
+		}))
+			this.logChange(standing, now)
 	}
 
 	/** Notes for the next leader what accounts had, where that is due and has changed. */
 	tick(now: number): void {
-		if (now < this.noteDue || !this.inForce) return
-		this.noteDue = now + NOTE_EVERY
-		const rooms = this.hadRooms()
-		const advice = this.advice.recentTimes(now).slice(0, MOST_NOTED)
+		if (now < this.nextRecordAt || !this.isEnabled) return
+		this.nextRecordAt = now + RECORD_PERIOD_MS
+		const rooms = this.recentCapacityShares()
+		const advice = this.adviceShares.recentTimes(now).slice(0, MAX_RECORDED)
 		const text = JSON.stringify([rooms, advice])
-		if (text === this.noted) return
-		this.noted = text
+		if (text === this.lastRecorded) return
+		this.lastRecorded = text
 		const had = { at: epochOf(this.context), rooms, advice }
 		this.context.proposals.propose({ kind: 'shares', had })
 	}
 
 	/** Sets the gauges of shares and use. */
-	measure(): void {
-		if (!this.inForce) return
-		for (const { account, service, share, held } of this.rooms.standings()) {
+	updateMetrics(): void {
+		if (!this.isEnabled) return
+		for (const { account, service, share, held } of this.capacityShares.standings()) {
 			const labels = { account: account.terms.name, service }
-			if (!this.isMeasured(`${service} ${labels.account}`)) continue
+			if (!this.hasMetrics(`${service} ${labels.account}`)) continue
 			this.context.meter.gauge(Measure.AccountShare, share, labels)
 			this.context.meter.gauge(Measure.AccountUse, held, labels)
 		}
@@ -103,22 +108,22 @@
 		const known = new Map([...this.accounts.all()].map((account) => [account.terms.name, account]))
 		for (const had of rooms) {
 			const account = known.get(had.account)
-			if (account) this.rooms.restore(account, had)
+			if (account) this.capacityShares.restore(account, had)
 		}
-		for (const had of advice) this.advice.restore(had)
+		for (const had of advice) this.adviceShares.restore(had)
 	}
 
-	private hadRooms(): RecentCapacityShare[] {
-		return [...this.rooms.standings()]
+	private recentCapacityShares(): RecentCapacityShare[] {
+		return [...this.capacityShares.standings()]
 			.sort((left, right) => right.had - left.had)
-			.slice(0, MOST_NOTED)
+			.slice(0, MAX_RECORDED)
 			.map(({ account, service, had }) => {
-				const share = Math.round(had * NOTED_PARTS) / NOTED_PARTS
+				const share = Math.round(had * RECORDED_PRECISION) / RECORDED_PRECISION
 				return { account: account.terms.name, service, share }
 			})
 	}
 
-	private tell(standing: ServiceStanding, now: number): void {
+	private logChange(standing: ServiceStanding, now: number): void {
 		const { account, service, share, held, had, over, contenders } = standing
 		const fields = {
 			account: account.terms.name,
@@ -127,7 +132,7 @@
 			held: rounded(held),
 			had: rounded(had),
 			contenders,
-			observed: Math.round(now - this.began),
+			observed: Math.round(now - this.startedAt),
 		}
 		const { log, meter } = this.context
 		if (!over) return log.info(LeaderEvent.ShareRegained, fields)
@@ -135,9 +140,9 @@
 		log.info(LeaderEvent.ShareExceeded, fields)
 	}
 
-	private isMeasured(name: string): boolean {
-		if (this.measured.size < MOST_MEASURED) this.measured.add(name)
-		return this.measured.has(name)
+	private hasMetrics(name: string): boolean {
+		if (this.accountsWithMetrics.size < MAX_WITH_METRICS) this.accountsWithMetrics.add(name)
+		return this.accountsWithMetrics.has(name)
 	}
 }
 
--- a/packages/jobs/src/lib/shares/StepShares.ts
+++ b/packages/jobs/src/lib/shares/StepShares.ts
@@ -48,17 +48,17 @@
 
 	/** A step waits from now on. */
 	opened(work: StepWork): void {
-		if (needsPlan(work)) this.shares.use.plansGangs = true
+		if (needsPlan(work)) this.shares.usefulnessOrder.plansGangs = true
 	}
 
 	/** Notes anew what orders the steps besides their times. @returns whether that has changed for any. */
 	note(view: StepView, now: number): boolean {
-		const { inForce: byUse } = this.shares.use
-		const rooms = this.shares.inForce
+		const { inForce: byUse } = this.shares.usefulnessOrder
+		const rooms = this.shares.isEnabled
 		// What was noted while either was in force is taken back once.
 		if (!byUse && !rooms && !this.ordered) return false
 		this.ordered = byUse || rooms
-		if (rooms) this.shares.look(now, this.roomsOf(view), this.wantsOf(view))
+		if (rooms) this.shares.update(now, this.roomsOf(view), this.wantsOf(view))
 		const epoch = epochOf(this.context)
 		const kept = new KeptRooms()
 		let changed = false
@@ -75,7 +75,7 @@
 
 	/** @returns the steps of a pass as they are to be tried, with regard to what is begun meanwhile. */
 	inOrder(steps: readonly StepWork[]): Iterable<StepWork> {
-		if (!this.shares.inForce) return steps
+		if (!this.shares.isEnabled) return steps
 		return inShareOrder(steps, (work) => this.isOver(work))
 	}
 
@@ -93,7 +93,7 @@
 	}
 
 	private get rooms(): AccountShares {
-		return this.shares.rooms
+		return this.shares.capacityShares
 	}
 
 	/** The room of all workers, by service. */
