--- a/packages/jobs/src/lib/shares/StepShares.ts
+++ b/packages/jobs/src/lib/shares/StepShares.ts
@@ -15,7 +15,7 @@
 import type { Reservations } from '../placement/Reservations'
 import { Usefulness, usefulnessOf } from '../placement/Usefulness'
 import type { AccountShares, CapacityDemand } from './AccountShares'
-import { inShareOrder } from './inShareOrder'
+import { orderByShare } from './orderByShare'
 import type { LeaderShares } from './LeaderShares'
 import { capacityOf, type ServiceCapacity } from './ServiceCapacity'
 
@@ -76,7 +76,7 @@
 	/** @returns the steps of a pass as they are to be tried, with regard to what is begun meanwhile. */
 	inOrder(steps: readonly StepWork[]): Iterable<StepWork> {
 		if (!this.shares.isEnabled) return steps
-		return inShareOrder(steps, (work) => this.isOver(work))
+		return orderByShare(steps, (work) => this.isOver(work))
 	}
 
 	/** A step is judged beside the room that is kept for others of its account, not beside its own. */
--- a/packages/jobs/src/lib/shares/inShareOrder.test.ts
+++ b/packages/jobs/src/lib/shares/orderByShare.test.ts
@@ -3,7 +3,7 @@
 import { test } from 'node:test'
 import fc from 'fast-check'
 import { compareUrgency, type Urgency } from '../placement/StepUrgency'
-import { inShareOrder } from './inShareOrder'
+import { orderByShare } from './orderByShare'
 
 interface Step {
 	readonly account: number
@@ -31,7 +31,7 @@
 	const isOver = ({ account }: Step): boolean => (held.get(account) ?? 0) > SHARE
 	const tried: { step: Step; began: boolean; over: boolean }[] = []
 	let free = room
-	for (const next of inShareOrder([...steps].sort(byUrgency), isOver)) {
+	for (const next of orderByShare([...steps].sort(byUrgency), isOver)) {
 		const began = next.size <= free
 		tried.push({ step: next, began, over: isOver(next) })
 		if (!began) continue
--- a/packages/jobs/src/lib/shares/inShareOrder.ts
+++ b/packages/jobs/src/lib/shares/orderByShare.ts
@@ -3,7 +3,7 @@
 import { compareTier } from '../placement/StepUrgency'
 
 /** A step with what orders it. @internal */
-export interface Ordered {
+export interface OrderedStep {
 	readonly urgency: Urgency
 }
 
@@ -16,24 +16,24 @@
  * @returns the steps one by one; the next one follows from what was begun before it is asked for.
  * @internal
  */
-export function* inShareOrder<T extends Ordered>(
+export function* orderByShare<T extends OrderedStep>(
 	steps: readonly T[],
 	isOver: (step: T) => boolean
 ): Generator<T> {
-	let behind: T[] = []
+	let deferred: T[] = []
 	let previous: T | undefined
 	for (const step of steps) {
 		if (previous && compareTier(previous.urgency, step.urgency) !== 0) {
-			yield* inTime(behind)
-			behind = []
+			yield* byLatestStart(deferred)
+			deferred = []
 		}
 		previous = step
-		if (isOver(step)) behind.push(step)
+		if (isOver(step)) deferred.push(step)
 		else yield step
 	}
-	yield* inTime(behind)
+	yield* byLatestStart(deferred)
 }
 
-function inTime<T extends Ordered>(steps: T[]): T[] {
+function byLatestStart<T extends OrderedStep>(steps: T[]): T[] {
 	return steps.sort((left, right) => left.urgency.latestStart - right.urgency.latestStart)
 }
