--- a/packages/jobs/src/lib/leader/steps/StepScheduler.ts
+++ b/packages/jobs/src/lib/leader/steps/StepScheduler.ts
@@ -277,7 +277,7 @@
 		this.urgentRoom.beginPass(this.openAtFullPass, now)
 		this.reservations.beginPass(now, full)
 		const before = this.runs.decidedStarts
-		for (const work of this.shares.inOrder(tried)) {
+		for (const work of this.shares.orderForPass(tried)) {
 			if (this.startWindow.admits(underWay + this.runs.decidedStarts - before))
 				this.placeStep(work, pass)
 			else putOff(work, pass)
@@ -297,7 +297,10 @@
 	private noteClaims(now: number): boolean {
 		const { order: steps, reservations } = this
 		const waits = (work: StepWork): boolean => this.isWaiting(work)
-		return this.shares.note({ steps, workers: this.workers.all(), waits, reservations }, now)
+		return this.shares.update(
+			{ steps, workers: this.workers.all(), isWaiting: waits, reservations },
+			now
+		)
 	}
 
 	private sort(): void {
@@ -330,7 +333,7 @@
 		const work = new StepWork(job, queue, repeat, step, times, standing, account)
 		this.steps.set(name, work)
 		this.stale = true
-		this.shares.opened(work)
+		this.shares.onStepAdded(work)
 		return work
 	}
 
--- a/packages/jobs/src/lib/shares/StepShares.ts
+++ b/packages/jobs/src/lib/shares/StepShares.ts
@@ -20,13 +20,13 @@
 import { capacityOf, type ServiceCapacity } from './ServiceCapacity'
 
 /** What a pass over the waiting steps knows of them. @internal */
-export interface StepView {
+export interface WaitingSteps {
 	/** All steps, in their order so far. */
 	readonly steps: readonly StepWork[]
 	/** All workers that are known. */
 	readonly workers: Iterable<WorkerView>
 	/** Whether a step has tasks without a place that could begin. */
-	readonly waits: (work: StepWork) => boolean
+	readonly isWaiting: (work: StepWork) => boolean
 	/** The room that is kept. */
 	readonly reservations: Reservations
 }
@@ -38,7 +38,7 @@
  */
 export class StepShares {
 	/** Whether anything but its times orders a step, as of the last look. */
-	private ordered = false
+	private hasOrder = false
 
 	constructor(
 		private readonly context: LeaderContext,
@@ -47,57 +47,61 @@
 	) {}
 
 	/** A step waits from now on. */
-	opened(work: StepWork): void {
+	onStepAdded(work: StepWork): void {
 		if (needsPlan(work)) this.shares.usefulnessOrder.plansGangs = true
 	}
 
 	/** Notes anew what orders the steps besides their times. @returns whether that has changed for any. */
-	note(view: StepView, now: number): boolean {
+	update(view: WaitingSteps, now: number): boolean {
 		const { inForce: byUse } = this.shares.usefulnessOrder
 		const rooms = this.shares.isEnabled
 		// What was noted while either was in force is taken back once.
-		if (!byUse && !rooms && !this.ordered) return false
-		this.ordered = byUse || rooms
-		if (rooms) this.shares.update(now, this.roomsOf(view), this.wantsOf(view))
+		if (!byUse && !rooms && !this.hasOrder) return false
+		this.hasOrder = byUse || rooms
+		if (rooms) this.shares.update(now, this.capacitiesOf(view), this.demandsOf(view))
 		const epoch = epochOf(this.context)
-		const kept = new KeptRooms()
+		const kept = new ReservedCapacity()
 		let changed = false
 		for (const work of view.steps) {
 			if (work.step.lasting) continue
-			const over = rooms && this.isOver(work, kept)
+			const over = rooms && this.isOverShare(work, kept)
 			const usefulness = byUse ? usefulnessOf(work.times, epoch) : Usefulness.InTime
 			if (work.note(usefulness, over)) changed = true
 			const room = rooms && view.reservations.expectedAt(work)?.room
-			if (room) this.keep(work, room, kept)
+			if (room) this.addReservation(work, room, kept)
 		}
 		return changed
 	}
 
 	/** @returns the steps of a pass as they are to be tried, with regard to what is begun meanwhile. */
-	inOrder(steps: readonly StepWork[]): Iterable<StepWork> {
+	orderForPass(steps: readonly StepWork[]): Iterable<StepWork> {
 		if (!this.shares.isEnabled) return steps
-		return orderByShare(steps, (work) => this.isOver(work))
+		return orderByShare(steps, (work) => this.isOverShare(work))
 	}
 
 	/** A step is judged beside the room that is kept for others of its account, not beside its own. */
-	private isOver(work: StepWork, kept?: KeptRooms): boolean {
+	private isOverShare(work: StepWork, kept?: ReservedCapacity): boolean {
 		const { account, service } = work
 		if (!account) return false
-		return this.rooms.isOverShare(account, service, kept?.of(account, service))
+		return this.capacityShares.isOverShare(account, service, kept?.of(account, service))
 	}
 
-	private keep({ account, service }: StepWork, room: Resources, kept: KeptRooms): void {
+	private addReservation(
+		{ account, service }: StepWork,
+		room: Resources,
+		kept: ReservedCapacity
+	): void {
 		if (!account) return
 		kept.add(account, service, room)
-		this.rooms.addReservation(account, service, room)
+		this.capacityShares.addReservation(account, service, room)
 	}
 
-	private get rooms(): AccountShares {
+	private get capacityShares(): AccountShares {
 		return this.shares.capacityShares
 	}
 
 	/** The room of all workers, by service. */
-	private roomsOf({ workers }: StepView): Map<string, ServiceCapacity> {
+	private capacitiesOf({ workers }: WaitingSteps): Map<string, ServiceCapacity> {
 		const accounts = new Map<string, LedgerWorker[]>()
 		for (const { id, worker } of workers) {
 			const account = this.context.ledger.find(id)
@@ -110,7 +114,7 @@
 	}
 
 	/** What waits for room alone: neither for a quota nor for steps before it. */
-	private *wantsOf({ steps, waits }: StepView): IterableIterator<CapacityDemand> {
+	private *demandsOf({ steps, isWaiting: waits }: WaitingSteps): IterableIterator<CapacityDemand> {
 		for (const work of steps) {
 			const { account, service, step } = work
 			if (!account || step.lasting || !waits(work)) continue
@@ -122,15 +126,15 @@
 }
 
 /** Room that is kept, by account and service. */
-class KeptRooms {
-	private readonly rooms = new Map<string, Resources>()
+class ReservedCapacity {
+	private readonly amounts = new Map<string, Resources>()
 
 	add(account: QuotaAccount, service: string, room: Resources): void {
-		this.rooms.set(keyOf(account, service), plus(this.of(account, service), room))
+		this.amounts.set(keyOf(account, service), plus(this.of(account, service), room))
 	}
 
 	of(account: QuotaAccount, service: string): Resources {
-		return this.rooms.get(keyOf(account, service)) ?? NO_RESOURCES
+		return this.amounts.get(keyOf(account, service)) ?? NO_RESOURCES
 	}
 }
 
