--- a/packages/jobs/src/lib/speeds/SpeedWatch.ts
+++ b/packages/jobs/src/lib/speeds/SpeedWatch.ts
@@ -60,7 +60,7 @@
 		this.due = now + PERIOD
 		const { heeded, slow, notSlow } = this.speeds.assess(this.workers.size, now)
 		for (const view of this.workers.all()) view.speed = this.speeds.speedOf(view.id)
-		this.use.speedsDiffer = this.speeds.spread.heeded
+		this.use.speedsDiffer = this.speeds.spread.isSignificant
 		if (heeded !== undefined) this.tellSpread()
 		for (const worker of slow) this.tell(LeaderEvent.WorkerSlow, worker, now)
 		for (const worker of notSlow) this.tell(LeaderEvent.WorkerNotSlow, worker, now)
--- a/packages/jobs/src/lib/speeds/WorkerSpeeds.test.ts
+++ b/packages/jobs/src/lib/speeds/WorkerSpeeds.test.ts
@@ -78,7 +78,7 @@
 			const speeds = new WorkerSpeeds()
 			for (let second = 0; second < 20; second++) {
 				play(speeds, { seed, speed }, second, second + 1)
-				assert.equal(speeds.spread.heeded, false, `seed ${seed}, ${speeds.spread.share}`)
+				assert.equal(speeds.spread.isSignificant, false, `seed ${seed}, ${speeds.spread.share}`)
 				assert.equal(speeds.speedOf('w0'), 1)
 			}
 		}
@@ -108,7 +108,7 @@
 	assert.equal(speeds.speedOf('w0'), 1)
 	speeds.assess(WORKERS, 60 * SECOND)
 	assert.equal(speeds.find('w1'), undefined)
-	assert.equal(speeds.spread.heeded, false)
+	assert.equal(speeds.spread.isSignificant, false)
 })
 
 test('tasks of a step that are all on one worker tell nothing of it', () => {
--- a/packages/jobs/src/lib/speeds/WorkerSpeeds.ts
+++ b/packages/jobs/src/lib/speeds/WorkerSpeeds.ts
@@ -69,7 +69,7 @@
 
 	/** @returns a worker's speed as a share of the median; 1 where it is not known, or speeds are not heeded. */
 	speedOf(worker: string): number {
-		const estimate = this.spread.heeded ? this.find(worker) : undefined
+		const estimate = this.spread.isSignificant ? this.find(worker) : undefined
 		return estimate ? Math.exp(estimate.log) : 1
 	}
 
@@ -89,16 +89,16 @@
 		const before = new Map([...this.estimates].map(([worker, { log }]) => [worker, log]))
 		this.estimates = estimateSpeeds(this.times.all(), before, now)
 		const known = [...this.estimates.values()].filter(isKnown)
-		const { heeded } = this.spread
-		this.spread.judge(known, workers)
-		const changed = this.spread.heeded === heeded ? undefined : this.spread.heeded
+		const { isSignificant: heeded } = this.spread
+		this.spread.update(known, workers)
+		const changed = this.spread.isSignificant === heeded ? undefined : this.spread.isSignificant
 		return { heeded: changed, ...this.callSlow() }
 	}
 
 	private callSlow(): { slow: string[]; notSlow: string[] } {
 		const notSlow = [...this.slow].filter((worker) => !this.staysSlow(worker))
 		for (const worker of notSlow) this.slow.delete(worker)
-		if (!this.spread.heeded) return { slow: [], notSlow }
+		if (!this.spread.isSignificant) return { slow: [], notSlow }
 		const slow = [...this.estimates].filter(
 			([worker, estimate]) => !this.slow.has(worker) && isCertainlySlow(estimate)
 		)
@@ -108,7 +108,9 @@
 
 	private staysSlow(worker: string): boolean {
 		const estimate = this.find(worker)
-		return this.spread.heeded && estimate !== undefined && estimate.log < Math.log(SLOW_UNTIL)
+		return (
+			this.spread.isSignificant && estimate !== undefined && estimate.log < Math.log(SLOW_UNTIL)
+		)
 	}
 }
 
