--- a/packages/jobs/src/lib/leader/JobController.ts
+++ b/packages/jobs/src/lib/leader/JobController.ts
@@ -23,7 +23,7 @@
 import { StartWindow } from './steps/StartWindow'
 import { StepScheduler } from './steps/StepScheduler'
 import { WorkerRegistry } from './workers/WorkerRegistry'
-import { SpeedWatch } from '../speeds/SpeedWatch'
+import { SpeedMonitor } from '../speeds/SpeedMonitor'
 
 /** Milliseconds after which a configuration that is not there yet may be read again. */
 const RETRY_AFTER = 1000
@@ -59,7 +59,7 @@
 	private readonly accounts: AccountUsage
 	private readonly shares: LeaderShares
 	private readonly reconciliation: Reconciliation
-	private readonly speeds: SpeedWatch
+	private readonly speeds: SpeedMonitor
 	private fullPassDue = 0
 	private forgetDue = 0
 	private placing = false
@@ -77,10 +77,10 @@
 		this.workers = new WorkerRegistry(context, this.accounts, {
 			polled: (view, result, sentAt) => {
 				this.runs.polled(view, result, sentAt)
-				this.speeds.polled(view, result)
+				this.speeds.onPoll(view, result)
 			},
 		})
-		this.speeds = new SpeedWatch(context, this.workers, use)
+		this.speeds = new SpeedMonitor(context, this.workers, use)
 		this.precedence.configured(state.configuration?.queues ?? [], context.clock.now())
 		this.runs = new RunController(context, this.workers, this.precedence, this.accounts, {
 			ticketRefused: (task, worker) => this.steps.ticketRefused(task, worker),
@@ -116,7 +116,7 @@
 		this.steps.measure()
 		this.shares.updateMetrics()
 		this.workers.measure()
-		this.speeds.measure()
+		this.speeds.updateMetrics()
 	}
 
 	/** Answers a call, at once or once what it asks is committed. */
@@ -182,7 +182,7 @@
 			case 'worker-draining':
 				return this.workers.draining(change.worker)
 			case 'worker-gone':
-				this.speeds.gone(change.worker)
+				this.speeds.onIncarnationEnd(change.worker)
 				return this.workers.gone(change.worker)
 			default:
 				return exhaustive(change)
--- a/packages/jobs/src/lib/speeds/SiblingTimes.ts
+++ b/packages/jobs/src/lib/speeds/SiblingTimes.ts
@@ -4,11 +4,11 @@
  */
 
 /** Milliseconds in which the weight of evidence halves: a worker may be slow for seconds only. */
-const HALF_LIFE = 3000
+const HALF_LIFE_MS = 3000
 /** Milliseconds after which evidence is dropped. */
-const KEPT = 12_000
+const MAX_AGE_MS = 12_000
 /** Tasks of which evidence is kept; beyond that steps that are new are left out, so that a pass stays short. */
-const MOST_TASKS = 20_000
+const MAX_TASKS = 20_000
 
 /** What one task told. @internal */
 export interface TaskTime {
@@ -37,10 +37,10 @@
 	private count = 0
 
 	/** Takes what a task tells now, in place of what it told earlier. */
-	note({ group, task }: SiblingTask, time: TaskTime): void {
+	record({ group, task }: SiblingTask, time: TaskTime): void {
 		let tasks = this.groups.get(group)
 		if (!tasks) {
-			if (this.count >= MOST_TASKS) return
+			if (this.count >= MAX_TASKS) return
 			tasks = new Map()
 			this.groups.set(group, tasks)
 		}
@@ -49,7 +49,7 @@
 	}
 
 	/** All groups of at least two tasks. */
-	*all(): IterableIterator<readonly TaskTime[]> {
+	*groupsOfSiblings(): IterableIterator<readonly TaskTime[]> {
 		for (const tasks of this.groups.values()) if (tasks.size > 1) yield [...tasks.values()]
 	}
 
@@ -57,7 +57,7 @@
 	prune(now: number): void {
 		for (const [group, tasks] of this.groups) {
 			for (const [task, { at }] of tasks) {
-				if (now - at > KEPT && tasks.delete(task)) this.count -= 1
+				if (now - at > MAX_AGE_MS && tasks.delete(task)) this.count -= 1
 			}
 			if (tasks.size === 0) this.groups.delete(group)
 		}
@@ -74,6 +74,6 @@
 }
 
 /** @returns how much what a task told still counts, from 0 to 1. @internal */
-export function weightOf({ at }: TaskTime, now: number): number {
-	return 2 ** (-Math.max(0, now - at) / HALF_LIFE)
+export function evidenceWeightOf({ at }: TaskTime, now: number): number {
+	return 2 ** (-Math.max(0, now - at) / HALF_LIFE_MS)
 }
--- a/packages/jobs/src/lib/speeds/SpeedWatch.ts
+++ b/packages/jobs/src/lib/speeds/SpeedMonitor.ts
@@ -13,61 +13,61 @@
 import { WorkerSpeeds } from './WorkerSpeeds'
 
 /** Milliseconds between two estimates. */
-const PERIOD = 1000
+const PERIOD_MS = 1000
 /** Milliseconds without progress from which a run stands still, or hasn't begun its work: that is no speed. */
-const STANDS_AFTER = 300
+const STALLED_AFTER_MS = 300
 
 /**
  * Watches the speeds of the workers.
  *
  * @internal
  */
-export class SpeedWatch {
+export class SpeedMonitor {
 	private readonly speeds = new WorkerSpeeds()
 	/** Runs whose end was listed: it is listed again, later on its worker's clock, until it is committed. */
 	private readonly ended = new WeakSet<Run>()
-	private due = 0
+	private nextUpdateAt = 0
 
 	constructor(
 		private readonly context: LeaderContext,
 		private readonly workers: WorkerRegistry,
-		private readonly use: OrderByUse
+		private readonly usefulnessOrder: OrderByUse
 	) {}
 
 	/** Takes what a worker has listed. */
-	polled(view: WorkerView, { running, ended, clock }: PollResult & { kind: 'done' }): void {
+	onPoll(view: WorkerView, { running, ended, clock }: PollResult & { kind: 'done' }): void {
 		if (this.isDisturbed(view)) return
 		for (const { task, attempt } of running) {
 			const run = view.runs.get(task)
-			if (run?.attempt === attempt) this.note(view, run, run.progress.observed)
+			if (run?.attempt === attempt) this.record(view, run, run.progress.observed)
 		}
 		for (const { task, attempt, how } of ended) {
 			const run = view.runs.get(task)
 			if (run?.attempt !== attempt || how !== RunEnd.Done || this.ended.has(run)) continue
 			this.ended.add(run)
-			this.note(view, run, run.progress.observedAtEnd(clock))
+			this.record(view, run, run.progress.observedAtEnd(clock))
 		}
 	}
 
 	/** A worker's life is over. */
-	gone(worker: string): void {
+	onIncarnationEnd(worker: string): void {
 		this.speeds.forget(worker)
 	}
 
 	/** Estimates the speeds anew when that is due. */
 	tick(now: number): void {
-		if (now < this.due) return
-		this.due = now + PERIOD
-		const { heeded, slow, notSlow } = this.speeds.assess(this.workers.size, now)
+		if (now < this.nextUpdateAt) return
+		this.nextUpdateAt = now + PERIOD_MS
+		const { isSignificant: heeded, slow, recovered } = this.speeds.update(this.workers.size, now)
 		for (const view of this.workers.all()) view.speed = this.speeds.speedOf(view.id)
-		this.use.speedsDiffer = this.speeds.spread.isSignificant
-		if (heeded !== undefined) this.tellSpread()
-		for (const worker of slow) this.tell(LeaderEvent.WorkerSlow, worker, now)
-		for (const worker of notSlow) this.tell(LeaderEvent.WorkerNotSlow, worker, now)
+		this.usefulnessOrder.speedsDiffer = this.speeds.spread.isSignificant
+		if (heeded !== undefined) this.logSpread()
+		for (const worker of slow) this.logWorker(LeaderEvent.WorkerSlow, worker, now)
+		for (const worker of recovered) this.logWorker(LeaderEvent.WorkerNotSlow, worker, now)
 	}
 
 	/** Sets the gauges of how many workers are slow and how far speeds are apart. */
-	measure(): void {
+	updateMetrics(): void {
 		const { meter } = this.context
 		meter.gauge(Measure.SlowWorkers, this.speeds.slowCount)
 		meter.gauge(Measure.SlowestShare, this.speeds.spread.share)
@@ -79,23 +79,23 @@
 		return this.workers.stalls.isStalled(id, clock.now()) || ledger.find(id)?.isOverbooked === true
 	}
 
-	private note(view: WorkerView, run: Run, milliseconds: number | undefined): void {
+	private record(view: WorkerView, run: Run, milliseconds: number | undefined): void {
 		if (milliseconds === undefined || !tellsOfWorker(run)) return
-		if (run.progress.stoodStillFor >= STANDS_AFTER) return
+		if (run.progress.stoodStillFor >= STALLED_AFTER_MS) return
 		const { job, repeat, step } = run.name
 		// Away from its data a task takes longer, whatever the worker.
 		const far = run.step.rack !== '' && run.step.rack !== view.worker.rack
 		const group = `${stepName(job, repeat, step)}${far ? ' far' : ''}`
-		this.speeds.note({ group, task: run.text }, view.id, milliseconds, this.context.clock.now())
+		this.speeds.record({ group, task: run.text }, view.id, milliseconds, this.context.clock.now())
 	}
 
-	private tellSpread(): void {
+	private logSpread(): void {
 		const { reason, share } = this.speeds.spread
 		const workers = this.workers.size
 		this.context.log.info(LeaderEvent.SpeedsHeeded, { reason, share: rounded(share), workers })
 	}
 
-	private tell(event: LeaderEvent, worker: string, now: number): void {
+	private logWorker(event: LeaderEvent, worker: string, now: number): void {
 		const known = this.speeds.find(worker)
 		const speed = known && rounded(Math.exp(known.log))
 		const error = known && rounded(known.error)
--- a/packages/jobs/src/lib/speeds/WorkerSpeeds.test.ts
+++ b/packages/jobs/src/lib/speeds/WorkerSpeeds.test.ts
@@ -38,10 +38,10 @@
 				const own = 0.7 + 0.6 * random.fraction()
 				const took = (size * own) / speed(worker, second)
 				const at = second * SECOND + (SECOND * step) / steps
-				speeds.note({ group, task: `${group}.${index}` }, `w${worker}`, took, at)
+				speeds.record({ group, task: `${group}.${index}` }, `w${worker}`, took, at)
 			}
 		}
-		speeds.assess(WORKERS, (second + 1) * SECOND)
+		speeds.update(WORKERS, (second + 1) * SECOND)
 	}
 }
 
@@ -106,7 +106,7 @@
 	speeds.forget('w0')
 	assert.equal(speeds.find('w0'), undefined)
 	assert.equal(speeds.speedOf('w0'), 1)
-	speeds.assess(WORKERS, 60 * SECOND)
+	speeds.update(WORKERS, 60 * SECOND)
 	assert.equal(speeds.find('w1'), undefined)
 	assert.equal(speeds.spread.isSignificant, false)
 })
@@ -114,9 +114,9 @@
 test('tasks of a step that are all on one worker tell nothing of it', () => {
 	const speeds = new WorkerSpeeds()
 	for (let index = 0; index < WIDTH; index++) {
-		speeds.note({ group: 'g', task: `g.${index}` }, 'w1', 5000, 0)
+		speeds.record({ group: 'g', task: `g.${index}` }, 'w1', 5000, 0)
 	}
-	speeds.assess(1, 100)
+	speeds.update(1, 100)
 	assert.equal(speeds.find('w1'), undefined)
 })
 
--- a/packages/jobs/src/lib/speeds/WorkerSpeeds.ts
+++ b/packages/jobs/src/lib/speeds/WorkerSpeeds.ts
@@ -4,22 +4,22 @@
 import { SpeedSpread } from './SpeedSpread'
 
 /** Evidence, in tasks, from which a worker's speed counts as known. */
-const LEAST_EVIDENCE = 1.5
+const MIN_EVIDENCE = 1.5
 /** Speed under which a worker is called slow, as a share of the median. */
 const SLOW_BELOW = 0.75
 /** Speed above which it is no longer. */
-const SLOW_UNTIL = 0.8
+const RECOVERED_ABOVE = 0.8
 /** Standard errors by which a speed must be off before a worker is called slow: wrong for fewer than 1 in 100. */
-const CERTAIN = 2.5
+const ERROR_MARGIN = 2.5
 
 /** What has changed with an assessment. @internal */
 export interface SpeedChanges {
 	/** Whether decisions heed the speeds from now on, or no longer; undefined when that stays. */
-	readonly heeded: boolean | undefined
+	readonly isSignificant: boolean | undefined
 	/** Workers that are called slow from now on. */
 	readonly slow: readonly string[]
 	/** Workers that are no longer. */
-	readonly notSlow: readonly string[]
+	readonly recovered: readonly string[]
 }
 
 /**
@@ -50,8 +50,8 @@
 	 * @param milliseconds - on the worker's own clock, at the speed seen of late.
 	 * @param now - the moment, on the leader's clock.
 	 */
-	note(task: SiblingTask, worker: string, milliseconds: number, now: number): void {
-		if (milliseconds > 0) this.times.note(task, { worker, time: Math.log(milliseconds), at: now })
+	record(task: SiblingTask, worker: string, milliseconds: number, now: number): void {
+		if (milliseconds > 0) this.times.record(task, { worker, time: Math.log(milliseconds), at: now })
 	}
 
 	/** A worker's life is over. */
@@ -84,40 +84,42 @@
 	 * @param workers - how many workers there are.
 	 * @param now - the moment, on the leader's clock.
 	 */
-	assess(workers: number, now: number): SpeedChanges {
+	update(workers: number, now: number): SpeedChanges {
 		this.times.prune(now)
 		const before = new Map([...this.estimates].map(([worker, { log }]) => [worker, log]))
-		this.estimates = estimateSpeeds(this.times.all(), before, now)
+		this.estimates = estimateSpeeds(this.times.groupsOfSiblings(), before, now)
 		const known = [...this.estimates.values()].filter(isKnown)
 		const { isSignificant: heeded } = this.spread
 		this.spread.update(known, workers)
 		const changed = this.spread.isSignificant === heeded ? undefined : this.spread.isSignificant
-		return { heeded: changed, ...this.callSlow() }
+		return { isSignificant: changed, ...this.updateSlow() }
 	}
 
-	private callSlow(): { slow: string[]; notSlow: string[] } {
-		const notSlow = [...this.slow].filter((worker) => !this.staysSlow(worker))
-		for (const worker of notSlow) this.slow.delete(worker)
-		if (!this.spread.isSignificant) return { slow: [], notSlow }
+	private updateSlow(): { slow: string[]; recovered: string[] } {
+		const recovered = [...this.slow].filter((worker) => !this.isStillSlow(worker))
+		for (const worker of recovered) this.slow.delete(worker)
+		if (!this.spread.isSignificant) return { slow: [], recovered }
 		const slow = [...this.estimates].filter(
 			([worker, estimate]) => !this.slow.has(worker) && isCertainlySlow(estimate)
 		)
 		for (const [worker] of slow) this.slow.add(worker)
-		return { slow: slow.map(([worker]) => worker), notSlow }
+		return { slow: slow.map(([worker]) => worker), recovered }
 	}
 
-	private staysSlow(worker: string): boolean {
+	private isStillSlow(worker: string): boolean {
 		const estimate = this.find(worker)
 		return (
-			this.spread.isSignificant && estimate !== undefined && estimate.log < Math.log(SLOW_UNTIL)
+			this.spread.isSignificant &&
+			estimate !== undefined &&
+			estimate.log < Math.log(RECOVERED_ABOVE)
 		)
 	}
 }
 
 function isKnown({ evidence }: SpeedEstimate): boolean {
-	return evidence >= LEAST_EVIDENCE
+	return evidence >= MIN_EVIDENCE
 }
 
 function isCertainlySlow(estimate: SpeedEstimate): boolean {
-	return isKnown(estimate) && estimate.log + CERTAIN * estimate.error < Math.log(SLOW_BELOW)
+	return isKnown(estimate) && estimate.log + ERROR_MARGIN * estimate.error < Math.log(SLOW_BELOW)
 }
--- a/packages/jobs/src/lib/speeds/estimateSpeeds.ts
+++ b/packages/jobs/src/lib/speeds/estimateSpeeds.ts
@@ -3,8 +3,8 @@
  * speed, and what the task has of its own. Steps and workers are told apart by least squares over all steps that share workers; what is far
  * off counts no more than what is a bound off.
  */
-import { weightOf, type TaskTime } from './SiblingTimes'
-import { levelOf } from './speedLevel'
+import { evidenceWeightOf, type TaskTime } from './SiblingTimes'
+import { referenceLogSpeedOf } from './referenceLogSpeedOf'
 
 /** Rounds of one estimate; it goes on from the one before, so few are enough. */
 const ROUNDS = 4
@@ -90,7 +90,7 @@
 	const parts = [...byWorker].map(([id, own]) => {
 		const worker = numbers.get(id) ?? numbers.size
 		numbers.set(id, worker)
-		const weights = own.map((task) => weightOf(task, now))
+		const weights = own.map((task) => evidenceWeightOf(task, now))
 		return {
 			worker,
 			paces: own.map(({ time }) => -time),
@@ -165,7 +165,7 @@
 	latest: Float64Array
 ): Map<string, SpeedEstimate> {
 	const seen = [...numbers].filter(([, worker]) => weights[worker] > 0)
-	const level = levelOf(seen.map(([, worker]) => logs[worker]))
+	const level = referenceLogSpeedOf(seen.map(([, worker]) => logs[worker]))
 	const noise = Math.max(LEAST_NOISE, Math.sqrt(squares / Math.max(counted, Number.EPSILON)))
 	const estimates = seen.map(([id, worker]): [string, SpeedEstimate] => {
 		const evidence = weights[worker]
--- a/packages/jobs/src/lib/speeds/speedLevel.ts
+++ b/packages/jobs/src/lib/speeds/referenceLogSpeedOf.ts
@@ -13,7 +13,7 @@
  * @returns that of the speed which counts as 1.
  * @internal
  */
-export function levelOf(logs: readonly number[]): number {
+export function referenceLogSpeedOf(logs: readonly number[]): number {
 	let level = medianOf(logs)
 	for (let round = 0; round < LEVEL_ROUNDS; round++) {
 		const near = logs.filter((log) => Math.abs(log - level) <= LEVEL_REACH)
