--- a/packages/jobs/src/lib/leader/steps/StepOptions.ts
+++ b/packages/jobs/src/lib/leader/steps/StepOptions.ts
@@ -1,5 +1,5 @@
 /** Which open workers a step may use in a pass. */
-import { atLikeSpeed } from '../../speeds/speedFit'
+import { selectSimilarSpeed } from '../../speeds/speedFit'
 import type { Option } from './chooseForStep'
 import type { PlacementPass } from './PlacementPass'
 import type { StepWork } from './StepWork'
@@ -19,7 +19,7 @@
 		private readonly pass: PlacementPass
 	) {
 		const open = pass.eligible(work)
-		this.eligible = atLikeSpeed(work, open, pass.now)
+		this.eligible = selectSimilarSpeed(work, open, pass.now)
 		this.hasLikeSpeed = this.eligible !== open
 	}
 
--- a/packages/jobs/src/lib/leader/steps/chooseForStep.ts
+++ b/packages/jobs/src/lib/leader/steps/chooseForStep.ts
@@ -2,7 +2,7 @@
 import { fits, type LedgerWorker } from '@rillrudder/scheduler'
 import type { StepWork } from './StepWork'
 import type { WorkerView } from '../workers/WorkerView'
-import { speedScore } from '../../speeds/speedFit'
+import { speedScoreOf } from '../../speeds/speedFit'
 
 /** Added for a rack other than the one with the data: such a run takes half as long again. */
 const FAR_PENALTY = 2
@@ -55,7 +55,7 @@
 	let bestScore = Number.POSITIVE_INFINITY
 	for (const option of options) {
 		if (!hasRoom(work, option)) continue
-		const value = score(work, option) + speedScore(work, option.view.speed, epoch)
+		const value = score(work, option) + speedScoreOf(work, option.view.speed, epoch)
 		if (value >= bestScore || !isFree(work, option)) continue
 		bestScore = value
 		best = option
--- a/packages/jobs/src/lib/speeds/speedFit.test.ts
+++ b/packages/jobs/src/lib/speeds/speedFit.test.ts
@@ -3,7 +3,7 @@
 import { PLAIN_STEP, type Step } from '../records/Job'
 import type { Option } from '../leader/steps/chooseForStep'
 import type { StepWork } from '../leader/steps/StepWork'
-import { atLikeSpeed, speedScore } from './speedFit'
+import { selectSimilarSpeed, speedScoreOf } from './speedFit'
 
 const EXPECTED = 4000
 const SLOW = 0.5
@@ -27,28 +27,28 @@
 }
 
 test('work that a slow worker would make late prefers others, and work with time to spare fills it', () => {
-	assert.ok(speedScore(workWith(1000), SLOW, NOW) > 0)
-	assert.ok(speedScore(workWith(60_000), SLOW, NOW) < 0)
+	assert.ok(speedScoreOf(workWith(1000), SLOW, NOW) > 0)
+	assert.ok(speedScoreOf(workWith(60_000), SLOW, NOW) < 0)
 })
 
 test('work that comes too late anyway leaves fast workers to others', () => {
-	assert.ok(speedScore(workWith(-5000), SLOW, NOW) > 0)
-	assert.ok(speedScore(workWith(-30_000), SLOW, NOW) < 0)
+	assert.ok(speedScoreOf(workWith(-5000), SLOW, NOW) > 0)
+	assert.ok(speedScoreOf(workWith(-30_000), SLOW, NOW) < 0)
 })
 
 test('where speeds are alike or unknown nothing is added, nor for lasting and best-effort work', () => {
 	for (const slack of [-5000, 0, 60_000]) {
-		assert.equal(speedScore(workWith(slack), 1, NOW), 0)
-		assert.equal(speedScore(workWith(slack), 0.8, NOW), 0)
-		assert.equal(speedScore(workWith(slack, { lasting: true }), SLOW, NOW), 0)
-		assert.equal(speedScore(workWith(slack, { bestEffort: true }), SLOW, NOW), 0)
+		assert.equal(speedScoreOf(workWith(slack), 1, NOW), 0)
+		assert.equal(speedScoreOf(workWith(slack), 0.8, NOW), 0)
+		assert.equal(speedScoreOf(workWith(slack, { lasting: true }), SLOW, NOW), 0)
+		assert.equal(speedScoreOf(workWith(slack, { bestEffort: true }), SLOW, NOW), 0)
 	}
 })
 
 const MIXED = [optionOf('w1', 1), optionOf('w2', SLOW), optionOf('w3', 1.1)]
 
 function idsFor(work: StepWork): string[] {
-	return atLikeSpeed(work, MIXED, NOW).map(({ view }) => view.id)
+	return selectSimilarSpeed(work, MIXED, NOW).map(({ view }) => view.id)
 }
 
 test('a gang waits for workers of like speed, no longer than half of what it gains by them', () => {
