--- a/packages/jobs/src/lib/speeds/SiblingTimes.ts
+++ b/packages/jobs/src/lib/speeds/SiblingTimes.ts
@@ -1,34 +1,44 @@
 /**
- * How long whole tasks take on different workers, grouped by what is alike but for the worker: the tasks of one step. Nothing that a job
- * declares comes in, so an error of it, which all siblings share, can't show as the speed of a worker.
+ * How long sibling tasks, the tasks of one step, take on different workers. Nothing that a job
+ * declares is used: an error in it, which all siblings share, can't be mistaken for the speed of a
+ * worker.
  */
 
-/** Milliseconds in which the weight of evidence halves: a worker may be slow for seconds only. */
+/**
+ * Milliseconds in which the weight of an observation halves: a worker may be slow for a few seconds
+ * only.
+ */
 const HALF_LIFE_MS = 3000
-/** Milliseconds after which evidence is dropped. */
+/** Milliseconds after which an observation is dropped. */
 const MAX_AGE_MS = 12_000
-/** Tasks of which evidence is kept; beyond that steps that are new are left out, so that a pass stays short. */
+/**
+ * Maximum number of tasks with an observation. Beyond it new steps are ignored, so that an estimate
+ * stays cheap.
+ */
 const MAX_TASKS = 20_000
 
-/** What one task told. @internal */
+/** The observed time of one task. @internal */
 export interface TaskTime {
 	readonly worker: string
-	/** Natural logarithm of the milliseconds that all of it takes at the speed seen of late. */
+	/** Natural logarithm of the milliseconds that the whole task takes at its recent pace. */
 	readonly time: number
-	/** When that was told, on the leader's clock. */
+	/** When it was observed, on the leader's clock. */
 	readonly at: number
 }
 
 /** One task of a group of siblings. @internal */
 export interface SiblingTask {
-	/** Of the step, with all that makes its tasks take longer on some workers for another reason than their speed. */
+	/**
+	 * Identifies the step, and whatever makes its tasks take longer on some workers for a reason
+	 * other than their speed.
+	 */
 	readonly group: string
-	/** Unlike those of its siblings. */
+	/** Unique among its siblings. */
 	readonly task: string
 }
 
 /**
- * The times of tasks, by groups of siblings.
+ * The observed times of tasks, by group of siblings.
  *
  * @internal
  */
@@ -36,7 +46,7 @@
 	private readonly groups = new Map<string, Map<string, TaskTime>>()
 	private count = 0
 
-	/** Takes what a task tells now, in place of what it told earlier. */
+	/** Records the observation of a task; it replaces the previous one. */
 	record({ group, task }: SiblingTask, time: TaskTime): void {
 		let tasks = this.groups.get(group)
 		if (!tasks) {
@@ -53,7 +63,7 @@
 		for (const tasks of this.groups.values()) if (tasks.size > 1) yield [...tasks.values()]
 	}
 
-	/** Drops what is too old. */
+	/** Drops observations that are too old. */
 	prune(now: number): void {
 		for (const [group, tasks] of this.groups) {
 			for (const [task, { at }] of tasks) {
@@ -63,7 +73,7 @@
 		}
 	}
 
-	/** Drops what a worker has told. */
+	/** Drops the observations of a worker. */
 	forget(worker: string): void {
 		for (const tasks of this.groups.values()) {
 			for (const [task, known] of tasks) {
@@ -73,7 +83,7 @@
 	}
 }
 
-/** @returns how much what a task told still counts, from 0 to 1. @internal */
+/** @returns the weight of an observation by its age, from 0 to 1. @internal */
 export function evidenceWeightOf({ at }: TaskTime, now: number): number {
 	return 2 ** (-Math.max(0, now - at) / HALF_LIFE_MS)
 }
--- a/packages/jobs/src/lib/speeds/SpeedMonitor.test.ts
+++ b/packages/jobs/src/lib/speeds/SpeedMonitor.test.ts
@@ -5,14 +5,14 @@
 
 const WORKERS = ['w1', 'w2', 'w3', 'w4', 'w5', 'w6', 'w7', 'w8']
 const SLOW = ['w1', 'w2']
-/** Percent by which tasks get on between two polls. */
+/** Progress of a task between two polls, in percent. */
 const SLOW_PACE = 2
 const PACE = 4
 /** Milliseconds in which speeds are learned from three tasks on each worker. */
 const LEARNED_IN = 4000
 const GANG = '00000000000000c1'
 
-/** Eight workers, two of them slow, with a task of each of three steps on every one. */
+/** Eight workers, two of them slow, each running one task of each of three steps. */
 function unevenSubject(slowPace = SLOW_PACE): LeaderSubject {
 	const subject = new LeaderSubject()
 	for (const id of WORKERS) {
@@ -25,20 +25,20 @@
 	return subject
 }
 
-function calledSlow(subject: LeaderSubject): string[] {
+function workersLoggedSlow(subject: LeaderSubject): string[] {
 	const lines = subject.lines.filter((line) => line.includes('"worker-slow"'))
 	return SLOW.filter((id) => lines.some((line) => line.includes(`"${id}"`)))
 }
 
-/** How many starts slow workers were ordered. */
+/** The number of starts that slow workers have received. */
 function startsOnSlow(subject: LeaderSubject): number {
 	return SLOW.reduce((sum, id) => sum + subject.worker(id).starts.length, 0)
 }
 
-test('slow workers are told from what they list, and a gang keeps off them', () => {
+test('slow workers are found from the tasks that they list, and a gang avoids them', () => {
 	const subject = unevenSubject()
 	subject.run(LEARNED_IN, ...WORKERS)
-	assert.deepEqual(calledSlow(subject), SLOW)
+	assert.deepEqual(workersLoggedSlow(subject), SLOW)
 	const before = startsOnSlow(subject)
 	subject.submit(GANG, jobOf({ count: 6, gang: true }))
 	subject.run(100, ...WORKERS)
@@ -46,28 +46,28 @@
 	assert.equal(subject.startCount, 3 * WORKERS.length + 6)
 })
 
-test('a gang that finds no room beside slow workers begins on them after a while', () => {
+test('a gang that finds too little capacity on the other workers starts on slow ones after a while', () => {
 	const subject = unevenSubject()
 	subject.run(LEARNED_IN, ...WORKERS)
 	subject.submit('00000000000000c0', jobOf({ gang: true }))
 	subject.submit(GANG, jobOf({ count: 6, gang: true }))
 	subject.run(100, ...WORKERS)
-	const waits = subject.startCount
-	assert.equal(waits, 3 * WORKERS.length + 1)
+	const startsWhileWaiting = subject.startCount
+	assert.equal(startsWhileWaiting, 3 * WORKERS.length + 1)
 	subject.run(2500, ...WORKERS)
-	assert.equal(subject.startCount, waits + 6)
+	assert.equal(subject.startCount, startsWhileWaiting + 6)
 })
 
-test('the next leader learns speeds anew from what workers list', () => {
+test('the next leader learns the speeds again from the tasks that workers list', () => {
 	const subject = unevenSubject()
 	subject.run(LEARNED_IN, ...WORKERS)
 	subject.lines.length = 0
 	subject.lead()
 	subject.run(LEARNED_IN, ...WORKERS)
-	assert.deepEqual(calledSlow(subject), SLOW)
+	assert.deepEqual(workersLoggedSlow(subject), SLOW)
 })
 
-test('where workers are alike none is called slow', () => {
+test('no worker is logged as slow if all speeds are similar', () => {
 	const subject = unevenSubject(PACE)
 	subject.run(LEARNED_IN, ...WORKERS)
 	assert.equal(subject.lines.filter((line) => /speeds-heeded|worker-slow/.test(line)).length, 0)
--- a/packages/jobs/src/lib/speeds/SpeedMonitor.ts
+++ b/packages/jobs/src/lib/speeds/SpeedMonitor.ts
@@ -1,4 +1,4 @@
-/** Learns the speeds of workers from what they list, and tells of those that are slow. */
+/** Learns the speeds of workers from the tasks that they list, and logs which workers are slow. */
 import { Measure } from '@rillrudder/telemetry'
 import type { LeaderContext } from '../leader/LeaderContext'
 import { LeaderEvent } from '../leader/LeaderEvent'
@@ -14,17 +14,23 @@
 
 /** Milliseconds between two estimates. */
 const PERIOD_MS = 1000
-/** Milliseconds without progress from which a run stands still, or hasn't begun its work: that is no speed. */
+/**
+ * Milliseconds without progress after which a run is stalled or has not started its work, which
+ * says nothing about speed.
+ */
 const STALLED_AFTER_MS = 300
 
 /**
- * Watches the speeds of the workers.
+ * Monitors the speeds of the workers.
  *
  * @internal
  */
 export class SpeedMonitor {
 	private readonly speeds = new WorkerSpeeds()
-	/** Runs whose end was listed: it is listed again, later on its worker's clock, until it is committed. */
+	/**
+	 * Runs whose end is recorded. An end is listed repeatedly, each time later on the worker's clock,
+	 * until it is committed.
+	 */
 	private readonly ended = new WeakSet<Run>()
 	private nextUpdateAt = 0
 
@@ -34,7 +40,7 @@
 		private readonly usefulnessOrder: OrderByUse
 	) {}
 
-	/** Takes what a worker has listed. */
+	/** Records the run times of the tasks that a worker has listed. */
 	onPoll(view: WorkerView, { running, ended, clock }: PollResult & { kind: 'done' }): void {
 		if (this.isDisturbed(view)) return
 		for (const { task, attempt } of running) {
@@ -49,31 +55,34 @@
 		}
 	}
 
-	/** A worker's life is over. */
+	/** Drops what is known of a worker whose incarnation has ended. */
 	onIncarnationEnd(worker: string): void {
 		this.speeds.forget(worker)
 	}
 
-	/** Estimates the speeds anew when that is due. */
+	/** Estimates the speeds again if that is due, and logs what has changed. */
 	tick(now: number): void {
 		if (now < this.nextUpdateAt) return
 		this.nextUpdateAt = now + PERIOD_MS
-		const { isSignificant: heeded, slow, recovered } = this.speeds.update(this.workers.size, now)
+		const { isSignificant, slow, recovered } = this.speeds.update(this.workers.size, now)
 		for (const view of this.workers.all()) view.speed = this.speeds.speedOf(view.id)
 		this.usefulnessOrder.speedsDiffer = this.speeds.spread.isSignificant
-		if (heeded !== undefined) this.logSpread()
+		if (isSignificant !== undefined) this.logSpread()
 		for (const worker of slow) this.logWorker(LeaderEvent.WorkerSlow, worker, now)
 		for (const worker of recovered) this.logWorker(LeaderEvent.WorkerNotSlow, worker, now)
 	}
 
-	/** Sets the gauges of how many workers are slow and how far speeds are apart. */
+	/** Sets the gauges of the number of slow workers and of the spread of speeds. */
 	updateMetrics(): void {
 		const { meter } = this.context
 		meter.gauge(Measure.SlowWorkers, this.speeds.slowCount)
 		meter.gauge(Measure.SlowestShare, this.speeds.spread.share)
 	}
 
-	/** Whether what a worker's runs show is not its own speed: they stand still, or have more than there is. */
+	/**
+	 * Whether a worker's runs don't reflect its speed: it is stalled, or more is reserved there than
+	 * it offers.
+	 */
 	private isDisturbed({ id }: WorkerView): boolean {
 		const { ledger, clock } = this.context
 		return this.workers.stalls.isStalled(id, clock.now()) || ledger.find(id)?.isOverbooked === true
@@ -83,7 +92,7 @@
 		if (milliseconds === undefined || !tellsOfWorker(run)) return
 		if (run.progress.stoodStillFor >= STALLED_AFTER_MS) return
 		const { job, repeat, step } = run.name
-		// Away from its data a task takes longer, whatever the worker.
+		// Outside the rack of its data a task takes longer on any worker.
 		const far = run.step.rack !== '' && run.step.rack !== view.worker.rack
 		const group = `${stepName(job, repeat, step)}${far ? ' far' : ''}`
 		this.speeds.record({ group, task: run.text }, view.id, milliseconds, this.context.clock.now())
--- a/packages/jobs/src/lib/speeds/SpeedSpread.ts
+++ b/packages/jobs/src/lib/speeds/SpeedSpread.ts
@@ -1,36 +1,43 @@
 /**
- * Whether the speeds of workers differ so much that decisions have to heed them. Where they differ by a quarter, as between generations of
- * machines, packing them well is worth more than sorting them.
+ * Whether the speeds of workers differ enough for placement to take them into account. Where they
+ * differ by a quarter, as between generations of machines, dense packing gains more than choosing
+ * workers by speed.
  */
 import type { SpeedEstimate } from './estimateSpeeds'
 
-/** Which part of the workers, from the slowest on, stands for the slowest quarter: its middle. */
+/** Quantile of the speeds that represents the slowest quarter: its middle. */
 const SLOWEST_RANK = 1 / 8
-/** Standard errors by which each worker is taken to be faster than estimated: rough estimates alone make no spread. */
+/**
+ * Standard errors that are added to each estimated speed, so that rough estimates alone don't count
+ * as a spread.
+ */
 const ERROR_MARGIN = 1.5
-/** Speed of the slowest quarter, as a share of the median, under which speeds are heeded. */
+/**
+ * Speed of the slowest quarter, as a share of the median, below which the spread becomes
+ * significant.
+ */
 const DIFFERENT_BELOW = 0.65
-/** The share from which they are no longer. */
+/** The share from which the spread is no longer significant; the gap is a hysteresis. */
 const SIMILAR_ABOVE = 0.75
-/** Share of the workers that must be known. */
+/** Share of the workers whose speed must be known. */
 const KNOWN_SHARE = 0.5
-/** Workers that must be known at least: fewer have no slowest quarter to speak of. */
+/** Minimum number of workers whose speed is known: with fewer the slowest quarter means little. */
 const MIN_KNOWN = 8
 
-/** Why speeds are heeded or not. @internal */
+/** Why the spread is significant or not. @internal */
 export const SpreadReason = {
-	/** Too few workers are known. */
+	/** The speeds of too few workers are known. */
 	TooFewKnown: 'few-known',
-	/** They are much alike. */
+	/** The speeds are similar. */
 	Similar: 'alike',
 	/** The slowest quarter is much slower than the median. */
 	Different: 'differ',
 } as const
-/** One of the reasons. @internal */
+/** One of the reasons of {@link SpreadReason}. @internal */
 export type SpreadReason = (typeof SpreadReason)[keyof typeof SpreadReason]
 
 /**
- * How far the speeds of the workers are apart.
+ * The spread of the workers' speeds.
  *
  * @internal
  */
@@ -39,14 +46,16 @@
 	/** Speed of the slowest quarter as a share of the median; 1 while too few are known. */
 	share = 1
 
-	/** Whether decisions heed the speeds. */
+	/** Whether placement takes speeds into account. */
 	get isSignificant(): boolean {
 		return this.reason === SpreadReason.Different
 	}
 
 	/**
-	 * @param known - what is known of workers.
-	 * @param workers - how many there are.
+	 * Compares the slowest quarter of the workers with the median.
+	 *
+	 * @param known - the estimates of the workers whose speed is known.
+	 * @param workers - the number of all workers.
 	 * @returns whether the reason has changed.
 	 */
 	update(known: readonly SpeedEstimate[], workers: number): boolean {
--- a/packages/jobs/src/lib/speeds/WorkerSpeeds.ts
+++ b/packages/jobs/src/lib/speeds/WorkerSpeeds.ts
@@ -1,34 +1,40 @@
-/** The speeds of workers, learned from how long tasks of one step take on different ones. */
+/** Learns the speeds of workers from how long the tasks of one step take on different workers. */
 import { estimateSpeeds, type SpeedEstimate } from './estimateSpeeds'
 import { SiblingTimes, type SiblingTask } from './SiblingTimes'
 import { SpeedSpread } from './SpeedSpread'
 
-/** Evidence, in tasks, from which a worker's speed counts as known. */
+/** Evidence, as an effective number of tasks, from which a worker's speed counts as known. */
 const MIN_EVIDENCE = 1.5
-/** Speed under which a worker is called slow, as a share of the median. */
+/** Speed below which a worker counts as slow, as a share of the median. */
 const SLOW_BELOW = 0.75
-/** Speed above which it is no longer. */
+/** Speed from which a slow worker no longer counts as slow; the gap is a hysteresis. */
 const RECOVERED_ABOVE = 0.8
-/** Standard errors by which a speed must be off before a worker is called slow: wrong for fewer than 1 in 100. */
+/**
+ * Standard errors by which a speed must be below the limit for the worker to count as slow: fewer
+ * than 1 in 100 are misjudged.
+ */
 const ERROR_MARGIN = 2.5
 
-/** What has changed with an assessment. @internal */
+/** The changes of an update. @internal */
 export interface SpeedChanges {
-	/** Whether decisions heed the speeds from now on, or no longer; undefined when that stays. */
+	/**
+	 * Whether the spread of speeds has become significant or no longer is; undefined if that hasn't
+	 * changed.
+	 */
 	readonly isSignificant: boolean | undefined
-	/** Workers that are called slow from now on. */
+	/** Workers that have become slow. */
 	readonly slow: readonly string[]
-	/** Workers that are no longer. */
+	/** Workers that are no longer slow. */
 	readonly recovered: readonly string[]
 }
 
 /**
- * The speeds of workers. Each life of a worker is one of its own.
+ * The speeds of workers. Each incarnation of a worker is learned separately.
  *
  * @example
  * ```ts
- * speeds.note({ group: '5b8b.0.1', task: '5b8b.0.1.7' }, 'w3', 2400, now)
- * speeds.assess(workers, now)
+ * speeds.record({ group: '5b8b.0.1', task: '5b8b.0.1.7' }, 'w3', 2400, now)
+ * speeds.update(workers, now)
  * const expected = declared / speeds.speedOf('w3')
  * ```
  * @internal
@@ -39,49 +45,52 @@
 	private estimates = new Map<string, SpeedEstimate>()
 	private readonly slow = new Set<string>()
 
-	/** How many workers are called slow. */
+	/** The number of slow workers. */
 	get slowCount(): number {
 		return this.slow.size
 	}
 
 	/**
-	 * A task tells how long all of it takes.
+	 * Records how long a whole task takes.
 	 *
-	 * @param milliseconds - on the worker's own clock, at the speed seen of late.
+	 * @param milliseconds - its duration on the worker's own clock, at its recent pace.
 	 * @param now - the moment, on the leader's clock.
 	 */
 	record(task: SiblingTask, worker: string, milliseconds: number, now: number): void {
 		if (milliseconds > 0) this.times.record(task, { worker, time: Math.log(milliseconds), at: now })
 	}
 
-	/** A worker's life is over. */
+	/** Drops what is known of a worker whose incarnation has ended. */
 	forget(worker: string): void {
 		this.times.forget(worker)
 		this.estimates.delete(worker)
 		this.slow.delete(worker)
 	}
 
-	/** @returns what is known of a worker; undefined while that is too little. */
+	/** @returns the estimate for a worker; undefined while there is too little evidence. */
 	find(worker: string): SpeedEstimate | undefined {
 		const estimate = this.estimates.get(worker)
 		return estimate && isKnown(estimate) ? estimate : undefined
 	}
 
-	/** @returns a worker's speed as a share of the median; 1 where it is not known, or speeds are not heeded. */
+	/**
+	 * @returns a worker's speed as a share of the median; 1 if it isn't known or the spread isn't
+	 * significant.
+	 */
 	speedOf(worker: string): number {
 		const estimate = this.spread.isSignificant ? this.find(worker) : undefined
 		return estimate ? Math.exp(estimate.log) : 1
 	}
 
-	/** @returns whether a worker is called slow. */
+	/** @returns whether a worker counts as slow. */
 	isSlow(worker: string): boolean {
 		return this.slow.has(worker)
 	}
 
 	/**
-	 * Estimates all speeds anew.
+	 * Estimates all speeds again.
 	 *
-	 * @param workers - how many workers there are.
+	 * @param workers - the number of all workers.
 	 * @param now - the moment, on the leader's clock.
 	 */
 	update(workers: number, now: number): SpeedChanges {
@@ -89,9 +98,10 @@
 		const before = new Map([...this.estimates].map(([worker, { log }]) => [worker, log]))
 		this.estimates = estimateSpeeds(this.times.groupsOfSiblings(), before, now)
 		const known = [...this.estimates.values()].filter(isKnown)
-		const { isSignificant: heeded } = this.spread
+		const { isSignificant: wasSignificant } = this.spread
 		this.spread.update(known, workers)
-		const changed = this.spread.isSignificant === heeded ? undefined : this.spread.isSignificant
+		const changed =
+			this.spread.isSignificant === wasSignificant ? undefined : this.spread.isSignificant
 		return { isSignificant: changed, ...this.updateSlow() }
 	}
 
--- a/packages/jobs/src/lib/speeds/referenceLogSpeedOf.ts
+++ b/packages/jobs/src/lib/speeds/referenceLogSpeedOf.ts
@@ -1,25 +1,25 @@
-/** Which speed counts as 1: that of the median worker. */
+/** The reference that relative speeds are measured against: the speed of the median worker. */
 
-/** How far from the median worker others are taken to be as fast as it, as a logarithm. */
-const LEVEL_REACH = 0.2
-/** How often the level is brought nearer to the middle of these. */
-const LEVEL_ROUNDS = 3
+/** Distance from the reference, as a logarithm, within which workers count as equally fast. */
+const MAX_DISTANCE = 0.2
+/** How often the reference is moved to the mean of the workers near it. */
+const ITERATIONS = 3
 
 /**
- * The median of estimates lies beside that of the speeds where many workers are slow and all estimates are rough; the
- * mean of those near it does not.
+ * Where many workers are slow and all estimates are rough, the median of the estimates is biased
+ * against the median of the speeds; the mean of the estimates near it is not.
  *
  * @param logs - logarithms of the speeds of workers.
- * @returns that of the speed which counts as 1.
+ * @returns the logarithm of the reference speed.
  * @internal
  */
 export function referenceLogSpeedOf(logs: readonly number[]): number {
-	let level = medianOf(logs)
-	for (let round = 0; round < LEVEL_ROUNDS; round++) {
-		const near = logs.filter((log) => Math.abs(log - level) <= LEVEL_REACH)
-		if (near.length > 0) level = near.reduce((sum, log) => sum + log, 0) / near.length
+	let reference = medianOf(logs)
+	for (let iteration = 0; iteration < ITERATIONS; iteration++) {
+		const near = logs.filter((log) => Math.abs(log - reference) <= MAX_DISTANCE)
+		if (near.length > 0) reference = near.reduce((sum, log) => sum + log, 0) / near.length
 	}
-	return level
+	return reference
 }
 
 function medianOf(values: readonly number[]): number {
--- a/packages/jobs/src/lib/speeds/speedFit.ts
+++ b/packages/jobs/src/lib/speeds/speedFit.ts
@@ -1,26 +1,36 @@
 /**
- * How the speeds of workers weigh in the choice of one: work in a hurry prefers those that aren't slow, and what has time to spare, or comes
- * too late on any, fills the slow ones, so that the others have room for what is in a hurry.
+ * How the speeds of workers affect placement: urgent work prefers workers that are not slow. Work
+ * with slack, or too late on any worker, fills the slow ones, so that the others keep capacity for
+ * urgent work.
  */
 import type { Option } from '../leader/steps/chooseForStep'
 import type { StepWork } from '../leader/steps/StepWork'
 import { Usefulness, usefulnessOf } from '../placement/Usefulness'
 
-/** Speed, as a share of the median, under which a worker is passed by where there are others. */
+/** Speed, as a share of the median, below which a worker is avoided if there are others. */
 const SLOW_BELOW = 0.75
-/** Added for a slow worker where work is in a hurry: more than the fit of any two workers differs by. */
+/**
+ * Added to the score of a slow worker for urgent work: more than the fit of any two workers differs
+ * by.
+ */
 const URGENT_PENALTY = 4
-/** Taken off for a slow worker where work has time: as much as a worker that is half full has over an empty one. */
+/**
+ * Subtracted from the score of a slow worker for work with slack: the advantage of a half-full
+ * worker over an empty one.
+ */
 const SLACK_BONUS = 0.5
-/** Share of the time that a gang gains by running on none that is slow, for which it waits for their room. */
+/**
+ * Share of the time that a gang gains by avoiding slow workers for which it waits for capacity on
+ * the others.
+ */
 const WAIT_SHARE = 0.5
-/** Milliseconds for which a gang waits so at most. */
+/** Maximum time, in milliseconds, for which a gang waits in this way. */
 const MAX_WAIT_MS = 2000
 
 /**
- * @param speed - of the worker, as a share of the median.
+ * @param speed - the worker's speed, as a share of the median.
  * @param epoch - now, in milliseconds since the epoch.
- * @returns what the worker's speed adds to its score for a task of the step; less is better.
+ * @returns what the worker's speed adds to its score for a task of the step; lower is better.
  * @internal
  */
 export function speedScoreOf(work: StepWork, speed: number, epoch: number): number {
@@ -29,7 +39,10 @@
 	return isUrgentOn(work, speed, epoch) ? URGENT_PENALTY : -SLACK_BONUS
 }
 
-/** Whether a worker's speed would make a step late that can still be of use. A gang holds all its workers for as long as its slowest takes. */
+/**
+ * Whether a worker's speed would make a step late that can still be useful. Always true for a gang,
+ * which holds all its workers for as long as the slowest of them takes.
+ */
 function isUrgentOn(work: StepWork, speed: number, epoch: number): boolean {
 	if (work.step.gang) return true
 	if (usefulnessOf(work.times, epoch) === Usefulness.TooLate) return false
@@ -40,7 +53,8 @@
 /**
  * @param options - workers that may run a step.
  * @param now - the moment, on the leader's clock.
- * @returns those that are considered now: for a gang that ends sooner by waiting for workers of like speed, only these.
+ * @returns the workers to consider now: for a gang that ends sooner if it waits for workers of
+ * similar speed, only those.
  * @internal
  */
 export function selectSimilarSpeed(
@@ -56,7 +70,7 @@
 	return work.waited(now) < Math.min(MAX_WAIT_MS, gained * WAIT_SHARE) ? fast : options
 }
 
-/** Whether workers that have nothing else to do would have room for the whole gang. */
+/** Whether the workers could run the whole gang if they had nothing else to run. */
 function canHoldGang(work: StepWork, options: readonly Option[]): boolean {
 	let tasks = 0
 	for (const { view, account } of options) tasks += work.copiesIn(view.id, account.capacity)
