--- a/packages/jobs/src/lib/shares/AccountShares.test.ts
+++ b/packages/jobs/src/lib/shares/AccountShares.test.ts
@@ -1,4 +1,7 @@
-/** Shares of scarce room: accounts that press beside others, bursts after a pause, and what the next leader goes on with. */
+/**
+ * Shares of scarce capacity: overloading accounts, bursts after a pause, and the handover to the
+ * next leader.
+ */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import { NO_RESOURCES, QuotaAccount, type Resources } from '@rillrudder/scheduler'
@@ -6,12 +9,12 @@
 import { AccountShares, type ServiceStanding } from './AccountShares'
 
 const SERVICE = 'checks-service'
-const PASS = 100
+const PASS_MS = 100
 const TOTAL = 100_000
-/** Longer than shares are averaged over. */
-const LONG = 60_000
+/** Longer than the averaging time of shares. */
+const LONG_MS = 60_000
 
-/** A full service whose accounts hold so many thousandths of a processor, and wait or not. */
+/** A full service whose accounts hold given thousandths of a processor, and wait or not. */
 class FullService {
 	now = 0
 	shares = new AccountShares(0)
@@ -24,22 +27,22 @@
 		return known
 	}
 
-	holds(name: string, cpu: number): void {
+	setHeld(name: string, cpu: number): void {
 		const account = this.account(name)
 		account.release(SERVICE, account.reservedAt(SERVICE))
 		account.reserve(SERVICE, { ...NO_RESOURCES, cpu })
 	}
 
-	waits(name: string, cpu = TOTAL): void {
+	setDemand(name: string, cpu = TOTAL): void {
 		if (cpu > 0) this.waiting.set(name, cpu)
 		else this.waiting.delete(name)
 	}
 
-	pass(span: number): ServiceStanding[] {
+	advance(span: number): ServiceStanding[] {
 		const changes: ServiceStanding[] = []
 		for (const until = this.now + span; this.now < until;) {
-			this.now += PASS
-			changes.push(...this.look())
+			this.now += PASS_MS
+			changes.push(...this.update())
 		}
 		return changes
 	}
@@ -48,20 +51,20 @@
 		return this.shares.isOverShare(this.account(name), SERVICE)
 	}
 
-	private look(): ServiceStanding[] {
+	private update(): ServiceStanding[] {
 		const held = [...this.accounts.values()]
 			.map((account) => account.reservedAt(SERVICE).cpu)
 			.reduce((sum, cpu) => sum + cpu, 0)
-		const room = { total: cpuOf(TOTAL), free: cpuOf(TOTAL - held) }
-		const wants = [...this.waiting].map(([name, cpu]) => {
+		const capacity = { total: cpuOf(TOTAL), free: cpuOf(TOTAL - held) }
+		const demands = [...this.waiting].map(([name, cpu]) => {
 			return { account: this.account(name), service: SERVICE, need: cpuOf(cpu) }
 		})
-		const rooms = new Map([[SERVICE, room]])
+		const capacities = new Map([[SERVICE, capacity]])
 		return this.shares.update({
 			now: this.now,
-			capacities: rooms,
+			capacities,
 			accounts: this.accounts.values(),
-			demands: wants,
+			demands,
 		})
 	}
 }
@@ -70,97 +73,97 @@
 	return { ...NO_RESOURCES, cpu }
 }
 
-test('one account that presses has more than its share while another waits, and is back in it with less', () => {
+test('an overloading account is over its share while another one waits, and within it once it holds less', () => {
 	const service = new FullService()
-	service.holds('pressing', 70_000)
-	service.holds('other', 30_000)
-	service.waits('pressing')
-	service.pass(LONG)
-	assert.ok(!service.isOver('pressing'), 'nobody else waits')
-	service.waits('other')
-	const [change] = service.pass(PASS)
-	assert.equal(change.account.terms.name, 'pressing')
+	service.setHeld('overloading', 70_000)
+	service.setHeld('other', 30_000)
+	service.setDemand('overloading')
+	service.advance(LONG_MS)
+	assert.ok(!service.isOver('overloading'), 'nobody else waits')
+	service.setDemand('other')
+	const [change] = service.advance(PASS_MS)
+	assert.equal(change.account.terms.name, 'overloading')
 	assert.ok(change.over)
 	assert.ok(!service.isOver('other'))
-	service.holds('pressing', 48_000)
-	service.holds('other', 52_000)
-	const [back] = service.pass(LONG)
+	service.setHeld('overloading', 48_000)
+	service.setHeld('other', 52_000)
+	const [back] = service.advance(LONG_MS)
 	assert.ok(!back.over)
 })
 
-test('what a modest account does not want is shared by the others, by weight', () => {
+test('capacity that an account does not want goes to the others, by weight', () => {
 	const service = new FullService()
 	service.account('heavy', 3)
-	service.waits('heavy')
-	service.waits('light')
-	service.waits('modest', 10_000)
-	service.pass(PASS)
+	service.setDemand('heavy')
+	service.setDemand('light')
+	service.setDemand('modest', 10_000)
+	service.advance(PASS_MS)
 	const shareOf = (name: string) => service.shares.shareOf(service.account(name), SERVICE)
 	assert.ok(Math.abs(shareOf('heavy') - 0.675) < 0.01)
 	assert.ok(Math.abs(shareOf('light') - 0.225) < 0.01)
 	assert.equal(shareOf('newcomer') > 0.15, true)
 })
 
-test('no share is larger than the quota', () => {
+test('a share never exceeds the quota', () => {
 	const service = new FullService()
 	service.account('bounded', 100, { cpu: 20_000 })
-	service.waits('bounded')
-	service.waits('other')
-	service.pass(PASS)
+	service.setDemand('bounded')
+	service.setDemand('other')
+	service.advance(PASS_MS)
 	assert.equal(service.shares.shareOf(service.account('bounded'), SERVICE), 0.2)
 	assert.equal(service.shares.shareOf(service.account('other'), SERVICE), 0.8)
 })
 
-test('a burst after a pause may hold more than its share for some seconds, one who presses may not', () => {
+test('an account may exceed its share for some seconds in a burst after a pause, but not under constant overload', () => {
 	const service = new FullService()
-	for (const name of ['pressing', 'steady', 'bursting']) service.waits(name)
-	service.waits('bursting', 0)
-	service.holds('pressing', 55_000)
-	service.holds('steady', 45_000)
-	service.pass(LONG)
-	service.holds('pressing', 45_000)
-	service.holds('steady', 10_000)
-	service.holds('bursting', 45_000)
-	service.waits('bursting')
-	service.pass(1000)
+	for (const name of ['overloading', 'steady', 'bursting']) service.setDemand(name)
+	service.setDemand('bursting', 0)
+	service.setHeld('overloading', 55_000)
+	service.setHeld('steady', 45_000)
+	service.advance(LONG_MS)
+	service.setHeld('overloading', 45_000)
+	service.setHeld('steady', 10_000)
+	service.setHeld('bursting', 45_000)
+	service.setDemand('bursting')
+	service.advance(1000)
 	assert.ok(!service.isOver('bursting'))
-	assert.ok(service.isOver('pressing'))
-	service.pass(LONG)
+	assert.ok(service.isOver('overloading'))
+	service.advance(LONG_MS)
 	assert.ok(service.isOver('bursting'))
 })
 
-test('room that is kept for other steps of an account counts as what it holds', () => {
+test('capacity that is reserved for other steps of an account counts as held', () => {
 	const service = new FullService()
-	service.holds('town', 45_000)
-	service.holds('city', 55_000)
-	service.waits('town')
-	service.waits('city')
-	service.pass(LONG)
+	service.setHeld('town', 45_000)
+	service.setHeld('city', 55_000)
+	service.setDemand('town')
+	service.setDemand('city')
+	service.advance(LONG_MS)
 	const town = service.account('town')
 	assert.ok(!service.shares.isOverShare(town, SERVICE))
 	assert.ok(service.shares.isOverShare(town, SERVICE, cpuOf(40_000)))
 })
 
-test('use that moves about the share by less than a tenth changes the order at most once', () => {
+test('usage that varies around the share by less than a tenth changes the order at most once', () => {
 	const service = new FullService()
-	service.waits('town')
-	service.waits('city')
+	service.setDemand('town')
+	service.setDemand('city')
 	let changes = 0
 	for (let second = 0; second < 60; second++) {
 		const more = second % 2 === 0 ? 4000 : -4000
-		service.holds('town', 50_000 + more)
-		service.holds('city', 50_000 - more)
-		changes += service.pass(1000).length
+		service.setHeld('town', 50_000 + more)
+		service.setHeld('city', 50_000 - more)
+		changes += service.advance(1000).length
 	}
 	assert.ok(changes <= 1, `${changes} changes`)
 })
 
-test('the next leader goes on with the shares that accounts had: none is lost or doubled', () => {
+test('the next leader continues with the recent shares of accounts: none is lost or doubled', () => {
 	fc.assert(
 		fc.property(fc.array(fc.integer({ min: 0, max: 20_000 }), { maxLength: 5 }), (held) => {
 			const service = new FullService()
-			held.forEach((cpu, number) => service.holds(`a${number}`, cpu))
-			service.pass(5000)
+			held.forEach((cpu, number) => service.setHeld(`a${number}`, cpu))
+			service.advance(5000)
 			const before = [...service.shares.standings()]
 			service.shares = new AccountShares(service.now)
 			for (const { account, had, service: at } of before) {
@@ -175,7 +178,7 @@
 	)
 })
 
-test('somebody who waits is always within a share, so that work goes on', () => {
+test('at least one waiting account is always within its share, so that scheduling never stalls', () => {
 	const account = fc.record({
 		held: fc.integer({ min: 0, max: 12_000 }),
 		wants: fc.boolean(),
@@ -186,10 +189,10 @@
 			const service = new FullService()
 			accounts.forEach(({ held, wants, weight }, number) => {
 				service.account(`a${number}`, weight)
-				service.holds(`a${number}`, held)
-				if (wants) service.waits(`a${number}`)
+				service.setHeld(`a${number}`, held)
+				if (wants) service.setDemand(`a${number}`)
 			})
-			service.pass(LONG)
+			service.advance(LONG_MS)
 			const waiting = accounts.map((one, number) => ({ ...one, name: `a${number}` }))
 			const names = waiting.filter(({ wants }) => wants).map(({ name }) => name)
 			assert.ok(names.length === 0 || names.some((name) => !service.isOver(name)))
--- a/packages/jobs/src/lib/shares/AccountShares.ts
+++ b/packages/jobs/src/lib/shares/AccountShares.ts
@@ -1,42 +1,43 @@
 /**
- * How the client accounts share the room of each service while some of them wait for it. It orders work and refuses nothing: room that
- * nobody else wants is free to all.
+ * How client accounts share the capacity of each service while some of them wait for it. Shares
+ * only order work and refuse nothing: capacity that nobody else wants is available to every
+ * account.
  */
 import { type QuotaAccount, type Resources } from '@rillrudder/scheduler'
 import type { AccountStanding } from './AccountStanding'
 import type { ServiceCapacity } from './ServiceCapacity'
 import { ServiceShares } from './ServiceShares'
 
-/** What an account has of one service. @internal */
+/** The standing of an account at a named service. @internal */
 export interface ServiceStanding extends AccountStanding {
 	readonly service: string
-	/** How many accounts wait for room there. */
+	/** The number of accounts that wait for capacity there. */
 	readonly contenders: number
 }
 
-/** What an account had of a service on the mean of late, as it is replicated. @public */
+/** The average share of a service that an account has held recently, as replicated. @public */
 export interface RecentCapacityShare {
 	readonly account: string
 	readonly service: string
-	/** From 0 to 1, of the largest resource. */
+	/** The dominant share, from 0 to 1. */
 	readonly share: number
 }
 
-/** What a look finds. @internal */
+/** The input of an update. @internal */
 export interface ShareInputs {
 	/** The moment, on the leader's clock. */
 	readonly now: number
-	/** The room of the workers, by service. */
+	/** The capacity of the workers, by service. */
 	readonly capacities: ReadonlyMap<string, ServiceCapacity>
 	readonly accounts: Iterable<QuotaAccount>
 	readonly demands: Iterable<CapacityDemand>
 }
 
-/** Tasks of an account that wait for room. @internal */
+/** The demand of an account's tasks that wait for capacity. @internal */
 export interface CapacityDemand {
 	readonly account: QuotaAccount
 	readonly service: string
-	/** What they need together. */
+	/** The sum of what the tasks need. */
 	readonly need: Resources
 }
 
@@ -45,61 +46,65 @@
  *
  * @example
  * ```ts
- * shares.look({ now, rooms, accounts, wants })
- * if (shares.isOver(account, service)) letOthersGoFirst()
+ * shares.update({ now, capacities, accounts, demands })
+ * if (shares.isOverShare(account, service)) defer(step)
  * ```
  * @internal
  */
 export class AccountShares {
 	private readonly services = new Map<string, ServiceShares>()
-	private lookedAt: number
+	private updatedAt: number
 
-	/** @param since - when what is restored was noted, on the leader's clock. */
+	/** @param since - when the restored shares were recorded, on the leader's clock. */
 	constructor(since: number) {
-		this.lookedAt = since
+		this.updatedAt = since
 	}
 
-	/** Takes up what an account had. */
+	/** Restores a recent share that an earlier leader recorded. */
 	restore(account: QuotaAccount, { service, share }: RecentCapacityShare): void {
 		this.sharesOf(service).restore(account, share)
 	}
 
-	/** Looks anew at what accounts hold and want. @returns the accounts that have gone over a share, or have come back. */
-	update({ now, capacities: rooms, accounts, demands: wants }: ShareInputs): ServiceStanding[] {
+	/**
+	 * Updates the shares. @returns the accounts that have gone over a share, or have come back within
+	 * it.
+	 */
+	update({ now, capacities, accounts, demands }: ShareInputs): ServiceStanding[] {
 		const holders = [...accounts]
-		for (const [service, room] of rooms) {
+		for (const [service, capacity] of capacities) {
 			const shares = this.sharesOf(service)
 			for (const account of holders) shares.track(account)
-			shares.beginUpdate(room, now)
+			shares.beginUpdate(capacity, now)
 		}
-		this.lookedAt = now
-		for (const { account, service, need } of wants) {
-			if (rooms.has(service)) this.sharesOf(service).addDemand(account, need)
+		this.updatedAt = now
+		for (const { account, service, need } of demands) {
+			if (capacities.has(service)) this.sharesOf(service).addDemand(account, need)
 		}
 		return [...this.services].flatMap(([service, shares]) =>
 			shares.finishUpdate().map((standing) => this.inService(service, shares, standing))
 		)
 	}
 
-	/** Room is kept for a step of an account, which counts as what it holds. */
-	addReservation(account: QuotaAccount, service: string, room: Resources): void {
-		this.sharesOf(service).addReservation(account, room)
+	/** Adds capacity that is reserved for a step of an account; it counts as held. */
+	addReservation(account: QuotaAccount, service: string, amount: Resources): void {
+		this.sharesOf(service).addReservation(account, amount)
 	}
 
 	/**
-	 * @param kept - room that is kept for steps of the account that go before the one that is asked for.
-	 * @returns whether an account has more than its share of a service while others wait for room there.
+	 * @param reserved - capacity that is reserved for earlier steps of the account.
+	 * @returns whether an account has more than its share of a service while others wait for capacity
+	 * there.
 	 */
-	isOverShare(account: QuotaAccount, service: string, kept?: Resources): boolean {
-		return this.services.get(service)?.isOverShare(account, kept) ?? false
+	isOverShare(account: QuotaAccount, service: string, reserved?: Resources): boolean {
+		return this.services.get(service)?.isOverShare(account, reserved) ?? false
 	}
 
-	/** @returns the share of a service's room that an account may count on now, from 0 to 1. */
+	/** @returns the share of a service's capacity that an account may count on now, from 0 to 1. */
 	shareOf(account: QuotaAccount, service: string): number {
 		return this.services.get(service)?.shareOf(account) ?? 0
 	}
 
-	/** What accounts have, by service. */
+	/** The standings of all accounts, by service. */
 	*standings(): IterableIterator<ServiceStanding> {
 		for (const [service, shares] of this.services) {
 			for (const standing of shares.standings()) yield this.inService(service, shares, standing)
@@ -115,7 +120,7 @@
 	}
 
 	private sharesOf(service: string): ServiceShares {
-		const shares = this.services.get(service) ?? new ServiceShares(service, this.lookedAt)
+		const shares = this.services.get(service) ?? new ServiceShares(service, this.updatedAt)
 		this.services.set(service, shares)
 		return shares
 	}
--- a/packages/jobs/src/lib/shares/AccountStanding.ts
+++ b/packages/jobs/src/lib/shares/AccountStanding.ts
@@ -1,15 +1,17 @@
-/** What is known of an account at one service. */
+/** The state of an account's share at one service. */
 import type { QuotaAccount } from '@rillrudder/scheduler'
 
-/** What an account has of a service; shares are of the largest resource, from 0 to 1. @internal */
+/** What an account has of a service. Shares are dominant shares, from 0 to 1. @internal */
 export interface AccountStanding {
 	readonly account: QuotaAccount
-	/** What it may count on while others wait. */
+	/** The share that the account may count on while others wait. */
 	readonly share: number
+	/** The share that it holds now. */
 	readonly held: number
-	/** What it had on the mean of late. */
+	/** The moving average of the share that it has held recently. */
 	readonly had: number
+	/** Whether it waits and is over its share. */
 	readonly over: boolean
-	/** Whether it waits for room. */
+	/** Whether it waits for capacity. */
 	readonly waits: boolean
 }
--- a/packages/jobs/src/lib/shares/AdviceShares.test.ts
+++ b/packages/jobs/src/lib/shares/AdviceShares.test.ts
@@ -1,4 +1,4 @@
-/** Accounts that compete for the instances that ask for advice. */
+/** Accounts that compete for the instances that ask workers for advice. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import { QuotaAccount } from '@rillrudder/scheduler'
@@ -13,7 +13,7 @@
 	return { account, urgency: urgencyOf(TIMES, { priority }) }
 }
 
-test('the account that had least advice by its weight goes first, among questions of one priority', () => {
+test('among questions of one priority the account with the least recent time by weight goes first', () => {
 	const shares = new AdviceShares(0)
 	const pressing = claimOf('pressing')
 	const heavy = claimOf('heavy', 10)
@@ -27,7 +27,7 @@
 	assert.equal(shares.compare(pressing, pressing), 0)
 })
 
-test('what an account had fades, and the next leader goes on with the rest', () => {
+test('the recent time of an account decays, and the next leader continues with the rest', () => {
 	const shares = new AdviceShares(0)
 	shares.charge(claimOf('pressing'), 7 * QUESTION, 0)
 	const [noted] = shares.recentTimes(10_000)
--- a/packages/jobs/src/lib/shares/AdviceShares.ts
+++ b/packages/jobs/src/lib/shares/AdviceShares.ts
@@ -1,43 +1,48 @@
-/** How client accounts share the time of the instances that ask for advice. */
+/** How client accounts share the time of the instances that ask workers for advice. */
 import type { QuotaAccount } from '@rillrudder/scheduler'
 import { compareTier, type Urgency } from '../placement/StepUrgency'
 
-/** Milliseconds over which the time that an account's questions took is kept in mind. */
+/** Time constant, in milliseconds, with which the time of an account's questions decays. */
 const DECAY_TIME_MS = 10_000
-/** Milliseconds below which it is forgotten. */
+/** Decayed time, in milliseconds, below which an account's entry is dropped. */
 const MIN_TIME_MS = 1
 
-/** Who asks a question, and how urgent its step is. @internal */
+/** The account that a question is asked for, and how urgent its step is. @internal */
 export interface AdviceClaim {
-	/** Undefined for a job that belongs to none. */
+	/** Undefined for a job without an account. */
 	readonly account: QuotaAccount | undefined
 	readonly urgency: Urgency
 }
 
-/** The time that an account's questions took of late, as it is replicated. @public */
+/** The time that an account's questions have taken recently, as replicated. @public */
 export interface RecentAdviceTime {
 	readonly account: string
-	/** Milliseconds, the later ones counted more. */
+	/** Exponentially decayed sum, in milliseconds. */
 	readonly time: number
 }
 
 /**
- * The advice that accounts had of late. It orders questions and holds none back, so that no instance rests while one waits.
+ * The advice time that accounts have used recently. It only orders questions and delays none, so
+ * that no instance is idle while a question waits.
  *
  * @internal
  */
 export class AdviceShares {
 	private readonly times = new Map<string, number>()
 
-	/** @param decayedAt - when what is restored was noted, on the leader's clock. */
+	/** @param decayedAt - when the restored times were recorded, on the leader's clock. */
 	constructor(private decayedAt: number) {}
 
-	/** Takes up what an account had. */
+	/** Restores the time that an earlier leader recorded for an account. */
 	restore({ account, time }: RecentAdviceTime): void {
 		this.times.set(account, time)
 	}
 
-	/** A question is asked that keeps an instance busy for some milliseconds. */
+	/**
+	 * Charges a question to its account.
+	 *
+	 * @param cost - milliseconds for which the question keeps an instance busy.
+	 */
 	charge({ account }: AdviceClaim, cost: number, now: number): void {
 		if (!account) return
 		this.decay(now)
@@ -46,25 +51,26 @@
 	}
 
 	/**
-	 * Orders questions of one priority and usefulness: the account that had least advice by its weight goes first.
+	 * Orders questions by tier, and those of one tier by the account's recent time relative to its
+	 * weight, least first.
 	 *
-	 * @returns below 0 when the first goes before, 0 when shares make no difference.
+	 * @returns a negative number if the left one goes first, 0 if shares make no difference.
 	 */
 	compare(left: AdviceClaim, right: AdviceClaim): number {
-		return (
-			compareTier(left.urgency, right.urgency) ||
-			this.weightedTimeOf(left) - this.weightedTimeOf(right)
-		)
+		return compareTier(left.urgency, right.urgency) || this.usageOf(left) - this.usageOf(right)
 	}
 
-	/** What accounts had, in their order. */
+	/** @returns the recent time of each account. */
 	recentTimes(now: number): RecentAdviceTime[] {
 		this.decay(now)
 		return [...this.times].map(([account, time]) => ({ account, time: Math.round(time) }))
 	}
 
-	/** What belongs to no account goes with the accounts that had nothing. */
-	private weightedTimeOf({ account }: AdviceClaim): number {
+	/**
+	 * Recent time by weight. A question without an account counts like one of an account without
+	 * recent time.
+	 */
+	private usageOf({ account }: AdviceClaim): number {
 		return account ? (this.times.get(account.terms.name) ?? 0) / account.weight : 0
 	}
 
--- a/packages/jobs/src/lib/shares/LeaderShares.test.ts
+++ b/packages/jobs/src/lib/shares/LeaderShares.test.ts
@@ -1,4 +1,7 @@
-/** A full service under a leader that is lost: one account sends seven times what the others send. */
+/**
+ * A full service, one of whose accounts sends seven times as much as the others, across the loss of
+ * its leader.
+ */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import { LeaderSubject } from '../testing/LeaderSubject'
@@ -12,7 +15,10 @@
 	return number.toString(16).padStart(16, '0')
 }
 
-/** Two workers of four processors, full of one account's tasks while it and another one wait. */
+/**
+ * Two workers of four processors, filled with one account's tasks while that account and another
+ * one wait.
+ */
 function fullSubject(policy = OVERLOAD, weight = 100): LeaderSubject {
 	const subject = new LeaderSubject()
 	subject.policy = policy
@@ -39,7 +45,7 @@
 	return subject.proposals.committed.filter(({ kind }) => kind === 'shares')
 }
 
-test('what comes free goes to the account that waits below its share, whatever came first', () => {
+test('released capacity goes to the waiting account that is below its share, whatever was submitted first', () => {
 	const subject = fullSubject()
 	const [use] = usesOf(subject, 'pressing')
 	assert.equal(use.over, true)
@@ -53,7 +59,7 @@
 	assert.ok(subject.lines.some((line) => line.includes('share-regained')))
 })
 
-test('the next leader goes on with what accounts had, and notes of it come every three seconds at most', () => {
+test('the next leader continues with recent usage, which is replicated at most every three seconds', () => {
 	const subject = fullSubject()
 	const notes = notesIn(subject).length
 	assert.ok(notes >= 1 && notes <= 3, `${notes} notes`)
@@ -69,7 +75,7 @@
 	assert.equal(after.over, true)
 })
 
-test('the loss of a leader does not pardon jobs that were sent beyond a rate', () => {
+test('jobs beyond the sending rate still count after a change of leader', () => {
 	const subject = new LeaderSubject()
 	subject.policy = OVERLOAD
 	subject.lead()
@@ -84,14 +90,14 @@
 	assert.equal(send(5), true)
 })
 
-test('where the settings do not call for shares nothing is noted and nothing told', () => {
+test('nothing is replicated or logged if the settings disable shares', () => {
 	const subject = fullSubject({ overload: false, shares: false })
 	assert.deepEqual(usesOf(subject, 'pressing'), [])
 	assert.deepEqual(notesIn(subject), [])
 	assert.ok(!subject.lines.some((line) => line.includes('share-')))
 })
 
-test('accounts of no weight have no shares', () => {
+test('accounts without a weight have no shares', () => {
 	const subject = new LeaderSubject()
 	subject.policy = OVERLOAD
 	subject.lead()
--- a/packages/jobs/src/lib/shares/LeaderShares.ts
+++ b/packages/jobs/src/lib/shares/LeaderShares.ts
@@ -1,6 +1,6 @@
 /**
- * The shares of client accounts in one leadership: what is taken up from the leader before, what the next one is told, and what operators
- * see of it.
+ * The shares of client accounts in one leadership: restores recent usage from the previous leader,
+ * replicates it for the next one, and reports it to operators.
  */
 import { Measure } from '@rillrudder/telemetry'
 import type { AccountUsage } from '../accounts/AccountUsage'
@@ -17,15 +17,26 @@
 import type { OrderByUse } from '../placement/OrderByUse'
 import type { ServiceCapacity } from './ServiceCapacity'
 
-/** Milliseconds between two notes for the next leader: a third of the span over which shares are averaged. */
+/**
+ * Milliseconds between two records for the next leader: about a third of the time constant with
+ * which shares are averaged.
+ */
 const RECORD_PERIOD_MS = 3000
-/** Milliseconds without a leader that count at most; a calendar may have been set meanwhile. */
+/**
+ * Upper bound, in milliseconds, of the time without a leader: the wall clock may have been adjusted
+ * in the meantime.
+ */
 const MAX_GAP_MS = 30_000
-/** What one note tells at most, those who had most. */
+/**
+ * Maximum number of entries of each kind in one record; for capacity those with the largest recent
+ * shares.
+ */
 const MAX_RECORDED = 1000
-/** Parts of one in which shares are noted. */
+/** Recorded shares are rounded to one part in this many. */
 const RECORDED_PRECISION = 10_000
-/** Accounts and services that are measured; the others are in the list of accounts. */
+/**
+ * Maximum number of pairs of account and service with gauges; the list of accounts has all of them.
+ */
 const MAX_WITH_METRICS = 50
 
 /**
@@ -44,7 +55,7 @@
 	constructor(
 		private readonly context: LeaderContext,
 		private readonly accounts: AccountUsage,
-		/** Whether steps are ordered by the use that they are of. */
+		/** Whether steps are ordered by usefulness. */
 		readonly usefulnessOrder: OrderByUse
 	) {
 		const now = context.clock.now()
@@ -57,30 +68,38 @@
 		if (shares && this.isEnabled) this.restore(shares)
 	}
 
-	/** Whether accounts have shares: the settings call for it and the configuration has accounts with weights. */
+	/**
+	 * Whether accounts have shares: the settings enable them and the configuration has accounts with
+	 * a weight.
+	 */
 	get isEnabled(): boolean {
 		const { policy, state } = this.context
 		if (!policy.shares) return false
 		return state.configuration?.accounts?.some(({ weight }) => weight > 0) ?? false
 	}
 
-	/** Looks anew at what accounts hold and want, and tells who has gone over a share or come back. */
+	/**
+	 * Updates the shares, and logs which accounts have gone over their share or have come back within
+	 * it.
+	 */
 	update(
 		now: number,
-		rooms: ReadonlyMap<string, ServiceCapacity>,
-		wants: Iterable<CapacityDemand>
+		capacities: ReadonlyMap<string, ServiceCapacity>,
+		demands: Iterable<CapacityDemand>
 	): void {
 		const accounts = this.accounts.all()
 		for (const standing of this.capacityShares.update({
 			now,
-			capacities: rooms,
+			capacities,
 			accounts,
-			demands: wants,
+			demands,
 		}))
 			this.logChange(standing, now)
 	}
 
-	/** Notes for the next leader what accounts had, where that is due and has changed. */
+	/**
+	 * Replicates the recent usage of accounts for the next leader, if that is due and has changed.
+	 */
 	tick(now: number): void {
 		if (now < this.nextRecordAt || !this.isEnabled) return
 		this.nextRecordAt = now + RECORD_PERIOD_MS
@@ -93,7 +112,7 @@
 		this.context.proposals.propose({ kind: 'shares', had })
 	}
 
-	/** Sets the gauges of shares and use. */
+	/** Sets the gauges of shares and usage. */
 	updateMetrics(): void {
 		if (!this.isEnabled) return
 		for (const { account, service, share, held } of this.capacityShares.standings()) {
--- a/packages/jobs/src/lib/shares/RecentUsage.ts
+++ b/packages/jobs/src/lib/shares/RecentUsage.ts
@@ -1,8 +1,8 @@
-/** What client accounts had of late, as it is replicated for the next leader. */
+/** What client accounts have used recently, as replicated for the next leader. */
 import type { RecentCapacityShare } from './AccountShares'
 import type { RecentAdviceTime } from './AdviceShares'
 
-/** What accounts had as of one moment. @public */
+/** The recent usage of all accounts as of one moment. @public */
 export interface RecentUsage {
 	/** Milliseconds since the epoch, by the leader's clock. */
 	readonly at: number
--- a/packages/jobs/src/lib/shares/ServiceCapacity.ts
+++ b/packages/jobs/src/lib/shares/ServiceCapacity.ts
@@ -1,4 +1,4 @@
-/** The room of one service's workers, and parts of it. */
+/** The capacity of one service's workers, and shares of it. */
 import {
 	NO_RESOURCES,
 	type LedgerWorker,
@@ -8,24 +8,28 @@
 
 const RESOURCES = ['cpu', 'memory', 'accelerators'] as const
 
-/** The room of a service's workers. @internal */
+/** The capacity of a service's workers. @internal */
 export interface ServiceCapacity {
-	/** Of all that are known: what runs on those that are out of reach still counts as held. */
+	/** Capacity of all known workers: what runs on unreachable ones still counts as held. */
 	readonly total: Resources
-	/** Of those that are open. */
+	/** Free capacity of the open workers. */
 	readonly free: Resources
 }
 
-/** @returns the largest share of a room that an account's quota allows; infinite without one. @internal */
+/**
+ * @returns the largest share of a total that an account's quota allows; infinite without a quota.
+ *
+ * @internal
+ */
 export function quotaShareOf({ terms: { quota = {} } }: QuotaAccount, total: Resources): number {
 	const shares = RESOURCES.map((resource) => {
-		const most = quota[resource]
-		return most === undefined ? Number.POSITIVE_INFINITY : most / Math.max(1, total[resource])
+		const limit = quota[resource]
+		return limit === undefined ? Number.POSITIVE_INFINITY : limit / Math.max(1, total[resource])
 	})
 	return Math.min(...shares)
 }
 
-/** @returns the share of a room that is free of every resource that the service has. @internal */
+/** @returns the free share of the scarcest resource that the service has. @internal */
 export function freeShareOf({ total, free }: ServiceCapacity): number {
 	const shares = RESOURCES.filter((resource) => total[resource] > 0).map(
 		(resource) => Math.max(0, free[resource]) / total[resource]
@@ -33,14 +37,14 @@
 	return shares.length === 0 ? 0 : Math.min(...shares)
 }
 
-/** @returns the room of workers, as what each has and what of it is free. @internal */
+/** @returns the total and free capacity of workers. @internal */
 export function capacityOf(workers: readonly LedgerWorker[]): ServiceCapacity {
 	const total = { ...NO_RESOURCES }
 	const free = { ...NO_RESOURCES }
 	for (const worker of workers) {
 		for (const resource of RESOURCES) {
 			total[resource] += worker.capacity[resource]
-			// A worker whose room has shrunk under what it runs has nothing free.
+			// A worker whose capacity has shrunk below what it runs has nothing free.
 			if (worker.isOpen) free[resource] += Math.max(0, worker.free[resource])
 		}
 	}
--- a/packages/jobs/src/lib/shares/ServiceShares.ts
+++ b/packages/jobs/src/lib/shares/ServiceShares.ts
@@ -1,6 +1,6 @@
 /**
- * How client accounts share the capacity of one service while some of them wait for it: weighted dominant-resource
- * fairness over what each account holds now and has held recently.
+ * How client accounts share the capacity of one service while some of them wait for it: weighted
+ * dominant-resource fairness over what each account holds now and has held recently.
  */
 import {
 	dominantShare,
@@ -15,16 +15,19 @@
 import { freeShareOf, quotaShareOf, type ServiceCapacity } from './ServiceCapacity'
 
 /**
- * Time constant, in milliseconds, of the moving average of what an account holds: a burst of a few seconds after a
- * pause stays below the account's share.
+ * Time constant, in milliseconds, of the moving average of what an account holds: a burst of a few
+ * seconds after a pause stays below the account's share.
  */
 const AVERAGING_TIME_MS = 10_000
 /**
- * Multiple of its share above which an account counts as over it. It counts as within it again only at its share: this
- * hysteresis keeps the order from flipping.
+ * Multiple of its share above which an account counts as over it. It counts as within it again only
+ * at its share: this hysteresis keeps the order from flipping.
  */
 const OVER_FACTOR = 1.1
-/** Share of a service's capacity below which the recent share of an account that holds nothing is dropped. */
+/**
+ * Share of a service's capacity below which the recent share of an account that holds nothing is
+ * dropped.
+ */
 const MIN_RECENT_SHARE = 0.0005
 
 interface AccountEntry {
@@ -34,7 +37,9 @@
 	isOver: boolean
 	/** What the account's waiting tasks need. */
 	demand: Resources
-	/** Capacity that is reserved for the account's waiting steps, in addition to what its runs hold. */
+	/**
+	 * Capacity that is reserved for the account's waiting steps, in addition to what its runs hold.
+	 */
 	reserved: Resources
 	/** Computed at most once per update. */
 	share: number | undefined
@@ -76,7 +81,8 @@
 	}
 
 	/**
-	 * Begins an update: averages what accounts have held since the last one, and clears demands and reservations.
+	 * Begins an update: averages what accounts have held since the last one, and clears demands and
+	 * reservations.
 	 *
 	 * @param capacity - the current capacity.
 	 * @param now - the moment, on the leader's clock.
@@ -154,7 +160,10 @@
 		return entry.share
 	}
 
-	/** The account's share beside the waiting accounts; one that does not wait is assumed to want all that it can get. */
+	/**
+	 * The account's share beside the waiting accounts; one that does not wait is assumed to want all
+	 * that it can get.
+	 */
 	private computeShare(account: QuotaAccount): number {
 		const entry = this.entries.get(account.terms.name)
 		const maxUse = quotaShareOf(account, this.capacity.total)
@@ -215,8 +224,8 @@
 	}
 
 	/**
-	 * At most 1: capacity may be reserved where other accounts or the account itself still have runs, so the sum may
-	 * exceed the total.
+	 * At most 1: capacity may be reserved where other accounts or the account itself still have runs,
+	 * so the sum may exceed the total.
 	 */
 	private heldShareOf(entry: AccountEntry, reserved: Resources): number {
 		return Math.min(1, dominantShare(plus(this.reservedBy(entry), reserved), this.capacity.total))
--- a/packages/jobs/src/lib/shares/StepShares.ts
+++ b/packages/jobs/src/lib/shares/StepShares.ts
@@ -1,4 +1,4 @@
-/** Tells waiting steps of how much use they still are, and whether their accounts have more than their shares. */
+/** Updates the usefulness of waiting steps, and whether their accounts are over their shares. */
 import {
 	NO_RESOURCES,
 	plus,
@@ -19,25 +19,25 @@
 import type { LeaderShares } from './LeaderShares'
 import { capacityOf, type ServiceCapacity } from './ServiceCapacity'
 
-/** What a pass over the waiting steps knows of them. @internal */
+/** The input of a pass over the waiting steps. @internal */
 export interface WaitingSteps {
-	/** All steps, in their order so far. */
+	/** All steps, in their current order. */
 	readonly steps: readonly StepWork[]
-	/** All workers that are known. */
+	/** All known workers. */
 	readonly workers: Iterable<WorkerView>
-	/** Whether a step has tasks without a place that could begin. */
+	/** Returns whether a step has unplaced tasks that could start. */
 	readonly isWaiting: (work: StepWork) => boolean
-	/** The room that is kept. */
+	/** The reserved capacity. */
 	readonly reservations: Reservations
 }
 
 /**
- * The claims of waiting steps.
+ * Orders waiting steps by usefulness and by the shares of their accounts.
  *
  * @internal
  */
 export class StepShares {
-	/** Whether anything but its times orders a step, as of the last look. */
+	/** Whether the last update ordered steps by anything but their times. */
 	private hasOrder = false
 
 	constructor(
@@ -46,61 +46,71 @@
 		private readonly shares: LeaderShares
 	) {}
 
-	/** A step waits from now on. */
+	/** Handles a new waiting step. */
 	onStepAdded(work: StepWork): void {
 		if (needsPlan(work)) this.shares.usefulnessOrder.plansGangs = true
 	}
 
-	/** Notes anew what orders the steps besides their times. @returns whether that has changed for any. */
-	update(view: WaitingSteps, now: number): boolean {
-		const { inForce: byUse } = this.shares.usefulnessOrder
-		const rooms = this.shares.isEnabled
-		// What was noted while either was in force is taken back once.
-		if (!byUse && !rooms && !this.hasOrder) return false
-		this.hasOrder = byUse || rooms
-		if (rooms) this.shares.update(now, this.capacitiesOf(view), this.demandsOf(view))
+	/**
+	 * Updates what orders the steps besides their times.
+	 *
+	 * @returns whether that has changed for any step.
+	 */
+	update(waiting: WaitingSteps, now: number): boolean {
+		const { inForce: byUsefulness } = this.shares.usefulnessOrder
+		const byShare = this.shares.isEnabled
+		// One more update after both are disabled resets what the steps have recorded.
+		if (!byUsefulness && !byShare && !this.hasOrder) return false
+		this.hasOrder = byUsefulness || byShare
+		if (byShare) this.shares.update(now, this.capacitiesOf(waiting), this.demandsOf(waiting))
 		const epoch = epochOf(this.context)
-		const kept = new ReservedCapacity()
+		const reserved = new ReservedCapacity()
 		let changed = false
-		for (const work of view.steps) {
+		for (const work of waiting.steps) {
 			if (work.step.lasting) continue
-			const over = rooms && this.isOverShare(work, kept)
-			const usefulness = byUse ? usefulnessOf(work.times, epoch) : Usefulness.InTime
-			if (work.note(usefulness, over)) changed = true
-			const room = rooms && view.reservations.expectedAt(work)?.room
-			if (room) this.addReservation(work, room, kept)
+			const isOver = byShare && this.isOverShare(work, reserved)
+			const usefulness = byUsefulness ? usefulnessOf(work.times, epoch) : Usefulness.InTime
+			if (work.note(usefulness, isOver)) changed = true
+			const expected = byShare && waiting.reservations.expectedAt(work)?.room
+			if (expected) this.addReservation(work, expected, reserved)
 		}
 		return changed
 	}
 
-	/** @returns the steps of a pass as they are to be tried, with regard to what is begun meanwhile. */
+	/**
+	 * @returns the steps of a pass in the order to try them, which depends on what is started during
+	 * the pass.
+	 */
 	orderForPass(steps: readonly StepWork[]): Iterable<StepWork> {
 		if (!this.shares.isEnabled) return steps
 		return orderByShare(steps, (work) => this.isOverShare(work))
 	}
 
-	/** A step is judged beside the room that is kept for others of its account, not beside its own. */
-	private isOverShare(work: StepWork, kept?: ReservedCapacity): boolean {
+	/**
+	 * Counts the capacity that is reserved for other steps of the account, but not the step's own
+	 * reservation.
+	 */
+	private isOverShare(work: StepWork, reserved?: ReservedCapacity): boolean {
 		const { account, service } = work
 		if (!account) return false
-		return this.capacityShares.isOverShare(account, service, kept?.of(account, service))
+		return this.capacityShares.isOverShare(account, service, reserved?.of(account, service))
 	}
 
 	private addReservation(
 		{ account, service }: StepWork,
-		room: Resources,
-		kept: ReservedCapacity
+		amount: Resources,
+		reserved: ReservedCapacity
 	): void {
 		if (!account) return
-		kept.add(account, service, room)
-		this.capacityShares.addReservation(account, service, room)
+		reserved.add(account, service, amount)
+		this.capacityShares.addReservation(account, service, amount)
 	}
 
 	private get capacityShares(): AccountShares {
 		return this.shares.capacityShares
 	}
 
-	/** The room of all workers, by service. */
+	/** The capacity of all workers, by service. */
 	private capacitiesOf({ workers }: WaitingSteps): Map<string, ServiceCapacity> {
 		const accounts = new Map<string, LedgerWorker[]>()
 		for (const { id, worker } of workers) {
@@ -113,11 +123,11 @@
 		return new Map([...accounts].map(([service, each]) => [service, capacityOf(each)]))
 	}
 
-	/** What waits for room alone: neither for a quota nor for steps before it. */
-	private *demandsOf({ steps, isWaiting: waits }: WaitingSteps): IterableIterator<CapacityDemand> {
+	/** The demands of steps that wait only for capacity, not for a quota or for preceding steps. */
+	private *demandsOf({ steps, isWaiting }: WaitingSteps): IterableIterator<CapacityDemand> {
 		for (const work of steps) {
 			const { account, service, step } = work
-			if (!account || step.lasting || !waits(work)) continue
+			if (!account || step.lasting || !isWaiting(work)) continue
 			if (!this.accounts.mayBegin(account, step)) continue
 			const count = work.waiting().length
 			yield { account, service, need: times(work.need, count) }
@@ -125,12 +135,12 @@
 	}
 }
 
-/** Room that is kept, by account and service. */
+/** Reserved capacity, by account and service. */
 class ReservedCapacity {
 	private readonly amounts = new Map<string, Resources>()
 
-	add(account: QuotaAccount, service: string, room: Resources): void {
-		this.amounts.set(keyOf(account, service), plus(this.of(account, service), room))
+	add(account: QuotaAccount, service: string, amount: Resources): void {
+		this.amounts.set(keyOf(account, service), plus(this.of(account, service), amount))
 	}
 
 	of(account: QuotaAccount, service: string): Resources {
--- a/packages/jobs/src/lib/shares/orderByShare.test.ts
+++ b/packages/jobs/src/lib/shares/orderByShare.test.ts
@@ -1,4 +1,6 @@
-/** One pass over the waiting steps of a full service, whose accounts go over their shares in the middle of it. */
+/**
+ * One pass over the waiting steps of a full service, during which accounts go over their shares.
+ */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import fc from 'fast-check'
@@ -25,16 +27,19 @@
 	}),
 })
 
-/** Begins what fits in turn. @returns the steps in the order in which they were tried, with whether each began and was over then. */
-function place(steps: readonly Step[], room: number) {
+/**
+ * Starts the steps that fit, in order. @returns the steps as tried, with whether each was started
+ * and whether its account was over its share.
+ */
+function place(steps: readonly Step[], capacity: number) {
 	const held = new Map<number, number>()
 	const isOver = ({ account }: Step): boolean => (held.get(account) ?? 0) > SHARE
-	const tried: { step: Step; began: boolean; over: boolean }[] = []
-	let free = room
+	const tried: { step: Step; started: boolean; over: boolean }[] = []
+	let free = capacity
 	for (const next of orderByShare([...steps].sort(byUrgency), isOver)) {
-		const began = next.size <= free
-		tried.push({ step: next, began, over: isOver(next) })
-		if (!began) continue
+		const started = next.size <= free
+		tried.push({ step: next, started, over: isOver(next) })
+		if (!started) continue
 		free -= next.size
 		held.set(next.account, (held.get(next.account) ?? 0) + next.size)
 	}
@@ -51,14 +56,14 @@
 }
 
 const steps = fc.array(step, { maxLength: 40 })
-const room = fc.integer({ min: 0, max: 120 })
+const capacity = fc.integer({ min: 0, max: 120 })
 
-test('nothing of an account over its share begins before what is within one and of the same priority and use', () => {
+test('no step of an account over its share starts before a step of the same tier whose account is within its share', () => {
 	fc.assert(
-		fc.property(steps, room, (waiting, free) => {
+		fc.property(steps, capacity, (waiting, free) => {
 			const { tried } = place(waiting, free)
-			tried.forEach(({ step: first, began, over }, at) => {
-				if (!began || !over) return
+			tried.forEach(({ step: first, started, over }, at) => {
+				if (!started || !over) return
 				const passed = tried
 					.slice(at + 1)
 					.filter((later) => sameTier(later.step.urgency, first.urgency))
@@ -68,13 +73,13 @@
 	)
 })
 
-test('every step is tried once, and none waits for which there is room', () => {
+test('every step is tried once, and no step waits that fits into the free capacity', () => {
 	fc.assert(
-		fc.property(steps, room, (waiting, space) => {
-			const { tried, free } = place(waiting, space)
+		fc.property(steps, capacity, (waiting, capacity) => {
+			const { tried, free } = place(waiting, capacity)
 			assert.equal(tried.length, waiting.length)
 			assert.equal(new Set(tried.map((one) => one.step)).size, waiting.length)
-			assert.ok(tried.every(({ began, step: { size } }) => began || size > free))
+			assert.ok(tried.every(({ started, step: { size } }) => started || size > free))
 		})
 	)
 })
--- a/packages/jobs/src/lib/shares/orderByShare.ts
+++ b/packages/jobs/src/lib/shares/orderByShare.ts
@@ -1,19 +1,21 @@
-/** The order in which waiting steps are tried within one pass, as accounts come to hold more. */
+/** Orders the waiting steps of one pass while the shares that accounts hold grow. */
 import type { Urgency } from '../placement/StepUrgency'
 import { compareTier } from '../placement/StepUrgency'
 
-/** A step with what orders it. @internal */
+/** A step with the urgency that orders it. @internal */
 export interface OrderedStep {
 	readonly urgency: Urgency
 }
 
 /**
- * Puts back a step whose account has gone over its share since the pass began, behind the others of its priority and usefulness. Each
- * step is tried once, so that room which only the accounts over their shares want is theirs.
+ * Defers a step whose account has gone over its share since the pass started, behind the other
+ * steps of its tier: the same priority and usefulness. Every step is still tried once, so that
+ * accounts over their shares get the capacity that nobody else wants.
  *
  * @param steps - by urgency, the most urgent first.
- * @param isOver - whether the account of a step is over its share at this moment.
- * @returns the steps one by one; the next one follows from what was begun before it is asked for.
+ * @param isOver - returns whether the account of a step is over its share at this moment.
+ * @returns the steps, lazily: each one depends on which steps the caller has started before
+ * requesting it.
  * @internal
  */
 export function* orderByShare<T extends OrderedStep>(
--- a/packages/jobs/src/lib/speeds/SpeedMonitor.ts
+++ b/packages/jobs/src/lib/speeds/SpeedMonitor.ts
@@ -64,10 +64,10 @@
 	tick(now: number): void {
 		if (now < this.nextUpdateAt) return
 		this.nextUpdateAt = now + PERIOD_MS
-		const { isSignificant, slow, recovered } = this.speeds.update(this.workers.size, now)
+		const { isSpreadWide, slow, recovered } = this.speeds.update(this.workers.size, now)
 		for (const view of this.workers.all()) view.speed = this.speeds.speedOf(view.id)
-		this.usefulnessOrder.speedsDiffer = this.speeds.spread.isSignificant
-		if (isSignificant !== undefined) this.logSpread()
+		this.usefulnessOrder.speedsDiffer = this.speeds.spread.isWide
+		if (isSpreadWide !== undefined) this.logSpread()
 		for (const worker of slow) this.logWorker(LeaderEvent.WorkerSlow, worker, now)
 		for (const worker of recovered) this.logWorker(LeaderEvent.WorkerNotSlow, worker, now)
 	}
--- a/packages/jobs/src/lib/speeds/SpeedSpread.ts
+++ b/packages/jobs/src/lib/speeds/SpeedSpread.ts
@@ -14,17 +14,17 @@
 const ERROR_MARGIN = 1.5
 /**
  * Speed of the slowest quarter, as a share of the median, below which the spread becomes
- * significant.
+ * wide.
  */
 const DIFFERENT_BELOW = 0.65
-/** The share from which the spread is no longer significant; the gap is a hysteresis. */
+/** The share from which the spread is no longer wide; the gap is a hysteresis. */
 const SIMILAR_ABOVE = 0.75
 /** Share of the workers whose speed must be known. */
 const KNOWN_SHARE = 0.5
 /** Minimum number of workers whose speed is known: with fewer the slowest quarter means little. */
 const MIN_KNOWN = 8
 
-/** Why the spread is significant or not. @internal */
+/** Why the spread is wide or not. @internal */
 export const SpreadReason = {
 	/** The speeds of too few workers are known. */
 	TooFewKnown: 'few-known',
@@ -47,7 +47,7 @@
 	share = 1
 
 	/** Whether placement takes speeds into account. */
-	get isSignificant(): boolean {
+	get isWide(): boolean {
 		return this.reason === SpreadReason.Different
 	}
 
@@ -67,7 +67,7 @@
 	}
 
 	private compare(): SpreadReason {
-		const limit = this.isSignificant ? SIMILAR_ABOVE : DIFFERENT_BELOW
+		const limit = this.isWide ? SIMILAR_ABOVE : DIFFERENT_BELOW
 		return this.share < limit ? SpreadReason.Different : SpreadReason.Similar
 	}
 }
--- a/packages/jobs/src/lib/speeds/WorkerSpeeds.test.ts
+++ b/packages/jobs/src/lib/speeds/WorkerSpeeds.test.ts
@@ -81,13 +81,13 @@
 	assert.ok(found >= 0.9, `${found} of the slow ones found`)
 })
 
-test('the spread is not significant for speeds of 0.8, 1 and 1.25, or for equal speeds', () => {
+test('the spread is not wide for speeds of 0.8, 1 and 1.25, or for equal speeds', () => {
 	for (let seed = 1; seed <= 20; seed++) {
 		for (const speed of [(worker: number) => [0.8, 1, 1.25][worker % 3], () => 1]) {
 			const speeds = new WorkerSpeeds()
 			for (let second = 0; second < 20; second++) {
 				simulateLoad(speeds, { seed, speed }, second, second + 1)
-				assert.equal(speeds.spread.isSignificant, false, `seed ${seed}, ${speeds.spread.share}`)
+				assert.equal(speeds.spread.isWide, false, `seed ${seed}, ${speeds.spread.share}`)
 				assert.equal(speeds.speedOf('w0'), 1)
 			}
 		}
@@ -117,7 +117,7 @@
 	assert.equal(speeds.speedOf('w0'), 1)
 	speeds.update(WORKERS, 60 * SECOND_MS)
 	assert.equal(speeds.find('w1'), undefined)
-	assert.equal(speeds.spread.isSignificant, false)
+	assert.equal(speeds.spread.isWide, false)
 })
 
 test('a step whose tasks are all on one worker is no evidence of its speed', () => {
--- a/packages/jobs/src/lib/speeds/WorkerSpeeds.ts
+++ b/packages/jobs/src/lib/speeds/WorkerSpeeds.ts
@@ -13,15 +13,15 @@
  * Standard errors by which a speed must be below the limit for the worker to count as slow: fewer
  * than 1 in 100 are misjudged.
  */
-const ERROR_MARGIN = 2.5
+const MIN_Z_SCORE = 2.5
 
 /** The changes of an update. @internal */
 export interface SpeedChanges {
 	/**
-	 * Whether the spread of speeds has become significant or no longer is; undefined if that hasn't
+	 * Whether the spread of speeds has become wide or no longer is; undefined if that hasn't
 	 * changed.
 	 */
-	readonly isSignificant: boolean | undefined
+	readonly isSpreadWide: boolean | undefined
 	/** Workers that have become slow. */
 	readonly slow: readonly string[]
 	/** Workers that are no longer slow. */
@@ -75,10 +75,10 @@
 
 	/**
 	 * @returns a worker's speed as a share of the median; 1 if it isn't known or the spread isn't
-	 * significant.
+	 * wide.
 	 */
 	speedOf(worker: string): number {
-		const estimate = this.spread.isSignificant ? this.find(worker) : undefined
+		const estimate = this.spread.isWide ? this.find(worker) : undefined
 		return estimate ? Math.exp(estimate.log) : 1
 	}
 
@@ -98,17 +98,16 @@
 		const before = new Map([...this.estimates].map(([worker, { log }]) => [worker, log]))
 		this.estimates = estimateSpeeds(this.times.groupsOfSiblings(), before, now)
 		const known = [...this.estimates.values()].filter(isKnown)
-		const { isSignificant: wasSignificant } = this.spread
+		const { isWide: wasWide } = this.spread
 		this.spread.update(known, workers)
-		const changed =
-			this.spread.isSignificant === wasSignificant ? undefined : this.spread.isSignificant
-		return { isSignificant: changed, ...this.updateSlow() }
+		const spreadChange = this.spread.isWide === wasWide ? undefined : this.spread.isWide
+		return { isSpreadWide: spreadChange, ...this.updateSlow() }
 	}
 
 	private updateSlow(): { slow: string[]; recovered: string[] } {
 		const recovered = [...this.slow].filter((worker) => !this.isStillSlow(worker))
 		for (const worker of recovered) this.slow.delete(worker)
-		if (!this.spread.isSignificant) return { slow: [], recovered }
+		if (!this.spread.isWide) return { slow: [], recovered }
 		const slow = [...this.estimates].filter(
 			([worker, estimate]) => !this.slow.has(worker) && isCertainlySlow(estimate)
 		)
@@ -118,11 +117,7 @@
 
 	private isStillSlow(worker: string): boolean {
 		const estimate = this.find(worker)
-		return (
-			this.spread.isSignificant &&
-			estimate !== undefined &&
-			estimate.log < Math.log(RECOVERED_ABOVE)
-		)
+		return this.spread.isWide && estimate !== undefined && estimate.log < Math.log(RECOVERED_ABOVE)
 	}
 }
 
@@ -131,5 +126,5 @@
 }
 
 function isCertainlySlow(estimate: SpeedEstimate): boolean {
-	return isKnown(estimate) && estimate.log + ERROR_MARGIN * estimate.error < Math.log(SLOW_BELOW)
+	return isKnown(estimate) && estimate.log + MIN_Z_SCORE * estimate.error < Math.log(SLOW_BELOW)
 }
