--- a/packages/jobs/src/lib/shares/ServiceShares.ts
+++ b/packages/jobs/src/lib/shares/ServiceShares.ts
@@ -144,7 +144,8 @@
 		const entry = this.entries.get(account.terms.name)
 		if (!entry || !this.hasOtherContenders(entry)) return false
 		const held = this.heldShareOf(entry, reserved)
-		// Current and recent shares count equally: after a pause an account may hold twice its share for a while.
+		// Current and recent shares count equally: after a pause an account may hold twice its share
+		// for a while.
 		const use = (held + entry.recentShare) / 2
 		return use > this.cachedShareOf(entry) * (entry.isOver ? 1 : OVER_FACTOR)
 	}
--- a/packages/jobs/src/lib/shares/orderByShare.test.ts
+++ b/packages/jobs/src/lib/shares/orderByShare.test.ts
@@ -56,11 +56,11 @@
 }
 
 const steps = fc.array(step, { maxLength: 40 })
-const capacity = fc.integer({ min: 0, max: 120 })
+const capacities = fc.integer({ min: 0, max: 120 })
 
 test('no step of an account over its share starts before a step of the same tier whose account is within its share', () => {
 	fc.assert(
-		fc.property(steps, capacity, (waiting, free) => {
+		fc.property(steps, capacities, (waiting, free) => {
 			const { tried } = place(waiting, free)
 			tried.forEach(({ step: first, started, over }, at) => {
 				if (!started || !over) return
@@ -75,7 +75,7 @@
 
 test('every step is tried once, and no step waits that fits into the free capacity', () => {
 	fc.assert(
-		fc.property(steps, capacity, (waiting, capacity) => {
+		fc.property(steps, capacities, (waiting, capacity) => {
 			const { tried, free } = place(waiting, capacity)
 			assert.equal(tried.length, waiting.length)
 			assert.equal(new Set(tried.map((one) => one.step)).size, waiting.length)
