--- a/packages/scheduler/src/lib/capacity/CapacityIndex.ts
+++ b/packages/scheduler/src/lib/capacity/CapacityIndex.ts
@@ -14,9 +14,9 @@
 const CPU_UNIT = 125
 const MEMORY_UNIT = 64
 /** Workers looked at in one cell on the level of the need, where a fit is not certain. */
-const PROBES = 8
+const MAX_SCANNED = 8
 /** The same on the second look, when the first found nothing at all. */
-const DEEP_PROBES = 512
+const MAX_SCANNED_RETRY = 512
 
 /**
  * Workers by what they have free.
@@ -70,63 +70,70 @@
 	 * Finds workers that fit, the fullest first.
 	 *
 	 * @param need - what must be free.
-	 * @param most - how many to find at most.
+	 * @param limit - how many to find at most.
 	 * @returns workers that fit; empty when none was found.
 	 */
-	candidates(need: Resources, most: number): LedgerWorker[] {
+	candidates(need: Resources, limit: number): LedgerWorker[] {
 		const found: LedgerWorker[] = []
-		this.search(need, most, PROBES, found)
-		if (found.length === 0) this.search(need, most, DEEP_PROBES, found)
+		this.search(need, limit, MAX_SCANNED, found)
+		if (found.length === 0) this.search(need, limit, MAX_SCANNED_RETRY, found)
 		return found
 	}
 
-	private search(need: Resources, most: number, probes: number, found: LedgerWorker[]): void {
-		const cpuLevel = level(need.cpu, CPU_UNIT)
-		const memoryBits = (~0 << level(need.memory, MEMORY_UNIT)) >>> 0
-		for (let kind = acceleratorClass(need.accelerators); kind < ACCELERATOR_CLASSES; kind++) {
+	private search(need: Resources, limit: number, maxScanned: number, found: LedgerWorker[]): void {
+		const cpuLevel = levelOf(need.cpu, CPU_UNIT)
+		const memoryBits = (~0 << levelOf(need.memory, MEMORY_UNIT)) >>> 0
+		for (
+			let accelerators = acceleratorClassOf(need.accelerators);
+			accelerators < ACCELERATOR_CLASSES;
+			accelerators++
+		) {
 			for (let cpu = cpuLevel; cpu < LEVELS; cpu++) {
-				let bits = this.occupied[kind * LEVELS + cpu] & memoryBits
+				let bits = this.occupied[accelerators * LEVELS + cpu] & memoryBits
 				while (bits !== 0) {
 					const memory = 31 - Math.clz32(bits & -bits)
 					bits &= bits - 1
-					const cell = (kind * LEVELS + cpu) * LEVELS + memory
-					if (this.look(this.cells[cell], need, most, probes, found)) return
+					const cell = (accelerators * LEVELS + cpu) * LEVELS + memory
+					if (this.scanCell(this.cells[cell], need, limit, maxScanned, found)) return
 				}
 			}
 		}
 	}
 
 	/** @returns whether enough were found. */
-	private look(
+	private scanCell(
 		list: LedgerWorker[],
 		need: Resources,
-		most: number,
-		probes: number,
+		limit: number,
+		maxScanned: number,
 		found: LedgerWorker[]
 	): boolean {
 		const start = this.random.integer(0, list.length - 1)
-		const end = Math.min(list.length, probes)
+		const end = Math.min(list.length, maxScanned)
 		for (let step = 0; step < end; step++) {
 			const worker = list[(start + step) % list.length]
 			if (!fits(need, worker.free)) continue
 			found.push(worker)
-			if (found.length >= most) return true
+			if (found.length >= limit) return true
 		}
 		return false
 	}
 }
 
 function cellOf(free: Resources): number {
-	const kind = acceleratorClass(free.accelerators)
-	return (kind * LEVELS + level(free.cpu, CPU_UNIT)) * LEVELS + level(free.memory, MEMORY_UNIT)
+	const accelerators = acceleratorClassOf(free.accelerators)
+	return (
+		(accelerators * LEVELS + levelOf(free.cpu, CPU_UNIT)) * LEVELS +
+		levelOf(free.memory, MEMORY_UNIT)
+	)
 }
 
-function level(amount: number, unit: number): number {
+function levelOf(amount: number, unit: number): number {
 	if (amount < unit) return 0
 	return Math.min(LEVELS - 1, Math.floor(2 * Math.log2(amount / unit)) + 1)
 }
 
-function acceleratorClass(count: number): number {
+function acceleratorClassOf(count: number): number {
 	if (count < 1) return 0
 	return Math.min(ACCELERATOR_CLASSES - 1, Math.floor(Math.log2(count)) + 1)
 }
--- a/packages/scheduler/src/lib/capacity/Ledger.ts
+++ b/packages/scheduler/src/lib/capacity/Ledger.ts
@@ -77,7 +77,7 @@
 			known.slots = offer.slots
 			if (known.isOpen) this.index.refresh(known)
 		}
-		this.noteRelease(offer.id)
+		this.recordRelease(offer.id)
 	}
 
 	/** Forgets a worker whose leases are certainly over. */
@@ -91,13 +91,13 @@
 	}
 
 	/** Opens a worker for new work, or closes it; what it has goes on. */
-	setOpen(id: string, open: boolean): void {
+	setOpen(id: string, isOpen: boolean): void {
 		const worker = this.workers.get(id)
-		if (!worker || worker.isOpen === open) return
-		worker.isOpen = open
-		if (open) this.index.add(worker)
+		if (!worker || worker.isOpen === isOpen) return
+		worker.isOpen = isOpen
+		if (isOpen) this.index.add(worker)
 		else this.index.remove(worker)
-		if (open) this.noteRelease(id)
+		if (isOpen) this.recordRelease(id)
 	}
 
 	/**
@@ -130,20 +130,20 @@
 		if (urgent) worker.urgentCpu -= amount.cpu
 		worker.free = plus(worker.free, amount)
 		invariant(fits(worker.free, worker.capacity), 'no more is given back than was taken', { id })
-		this.noteRelease(id)
+		this.recordRelease(id)
 		if (worker.isOpen) this.index.refresh(worker)
 	}
 
 	/**
 	 * @param need - what must be free.
-	 * @param most - how many at most.
+	 * @param limit - how many at most.
 	 * @returns open workers that fit, the fullest first.
 	 */
-	candidates(need: Resources, most: number): LedgerWorker[] {
-		return this.index.candidates(need, most)
+	candidates(need: Resources, limit: number): LedgerWorker[] {
+		return this.index.candidates(need, limit)
 	}
 
-	private noteRelease(id: string): void {
+	private recordRelease(id: string): void {
 		this.releaseCount += 1
 		this.released.add(id)
 	}
--- a/packages/scheduler/src/lib/health/WorkerHealth.ts
+++ b/packages/scheduler/src/lib/health/WorkerHealth.ts
@@ -4,23 +4,23 @@
  * It is judged against its peers, and only by failures of several customers, so that one customer's bad
  * requests close no worker. Only a share of a data centre is ever closed this way.
  */
-const LEAST_SAMPLES = 5
-const LEAST_SOURCES = 2
-const FAILURE_RATE = 0.5
-const AGAINST_PEERS = 3
-const MOST_CLOSED_SHARE = 0.2
-const FIRST_PAUSE = 5000
-const LONGEST_PAUSE = 300_000
+const MIN_SAMPLES = 5
+const MIN_SOURCES = 2
+const MIN_FAILURE_RATE = 0.5
+const MIN_PEER_RATIO = 3
+const MAX_CLOSED_SHARE = 0.2
+const FIRST_BACKOFF_MS = 5000
+const MAX_BACKOFF_MS = 300_000
 const DECAY = 0.98
 const PROBES_TO_RETURN = 3
 
-interface Health {
+interface HealthRecord {
 	successes: number
 	failures: number
 	/** Who saw it fail since it last did well. */
 	sources: Set<string>
 	closedUntil: number
-	pause: number
+	backoff: number
 	/** Successes that are still wanted before it counts as well again; 0 for a worker in good standing. */
 	probesLeft: number
 }
@@ -31,7 +31,7 @@
  * @public
  */
 export class WorkerHealth {
-	private readonly records = new Map<string, Health>()
+	private readonly records = new Map<string, HealthRecord>()
 	private closedCount = 0
 	private successes = 0
 	private failures = 0
@@ -43,12 +43,12 @@
 
 	/** A worker has done what it was given. */
 	onSuccess(worker: string): void {
-		const record = this.of(worker)
+		const record = this.recordOf(worker)
 		record.successes = record.successes * DECAY + 1
 		record.failures *= DECAY
 		this.successes = this.successes * DECAY + 1
 		this.failures *= DECAY
-		if (record.probesLeft > 0 && --record.probesLeft === 0) this.restore(record)
+		if (record.probesLeft > 0 && --record.probesLeft === 0) this.reopen(record)
 	}
 
 	/**
@@ -59,14 +59,14 @@
 	 * @param now - the moment, in milliseconds.
 	 */
 	onFailure(worker: string, source: string, now: number): void {
-		const record = this.of(worker)
+		const record = this.recordOf(worker)
 		record.failures = record.failures * DECAY + 1
 		record.successes *= DECAY
 		record.sources.add(source)
 		this.failures = this.failures * DECAY + 1
 		this.successes *= DECAY
 		if (record.probesLeft > 0) this.close(record, now)
-		else if (this.looksBroken(record)) this.close(record, now)
+		else if (this.isFailing(record)) this.close(record, now)
 	}
 
 	/**
@@ -91,34 +91,34 @@
 		this.records.delete(worker)
 	}
 
-	private looksBroken(record: Health): boolean {
+	private isFailing(record: HealthRecord): boolean {
 		const seen = record.successes + record.failures
-		if (seen < LEAST_SAMPLES || record.sources.size < LEAST_SOURCES) return false
+		if (seen < MIN_SAMPLES || record.sources.size < MIN_SOURCES) return false
 		const rate = record.failures / seen
 		const others = this.successes + this.failures - seen
 		const peers = others < 1 ? 0 : Math.max(0, this.failures - record.failures) / others
-		return rate >= FAILURE_RATE && rate >= peers * AGAINST_PEERS
+		return rate >= MIN_FAILURE_RATE && rate >= peers * MIN_PEER_RATIO
 	}
 
-	private close(record: Health, now: number): void {
+	private close(record: HealthRecord, now: number): void {
 		if (record.probesLeft === 0) {
-			const most = Math.max(1, Math.floor(this.records.size * MOST_CLOSED_SHARE))
-			if (this.closedCount >= most) return
+			const maxClosed = Math.max(1, Math.floor(this.records.size * MAX_CLOSED_SHARE))
+			if (this.closedCount >= maxClosed) return
 			this.closedCount += 1
 		}
 		record.probesLeft = PROBES_TO_RETURN
-		record.closedUntil = now + record.pause
-		record.pause = Math.min(LONGEST_PAUSE, record.pause * 2)
+		record.closedUntil = now + record.backoff
+		record.backoff = Math.min(MAX_BACKOFF_MS, record.backoff * 2)
 	}
 
-	private restore(record: Health): void {
+	private reopen(record: HealthRecord): void {
 		this.closedCount -= 1
-		record.pause = FIRST_PAUSE
+		record.backoff = FIRST_BACKOFF_MS
 		record.failures = 0
 		record.sources.clear()
 	}
 
-	private of(worker: string): Health {
+	private recordOf(worker: string): HealthRecord {
 		let record = this.records.get(worker)
 		if (!record) {
 			record = {
@@ -126,7 +126,7 @@
 				failures: 0,
 				sources: new Set(),
 				closedUntil: Number.NEGATIVE_INFINITY,
-				pause: FIRST_PAUSE,
+				backoff: FIRST_BACKOFF_MS,
 				probesLeft: 0,
 			}
 			this.records.set(worker, record)
--- a/packages/scheduler/src/lib/requests/RetryBudget.ts
+++ b/packages/scheduler/src/lib/requests/RetryBudget.ts
@@ -1,6 +1,6 @@
 /** Keeps retries to a share of first attempts, so that they cannot make an overload worse. */
 
-const MOST_SAVED = 100
+const MAX_BALANCE = 100
 
 /**
  * A budget that first attempts fill and retries spend.
@@ -8,20 +8,20 @@
  * @public
  */
 export class RetryBudget {
-	private saved = 0
+	private balance = 0
 
 	/** @param share - retries for each first attempt, from 0 to 1. */
 	constructor(public share: number) {}
 
 	/** A first attempt was made. */
 	onFirstAttempt(): void {
-		this.saved = Math.min(MOST_SAVED, this.saved + this.share)
+		this.balance = Math.min(MAX_BALANCE, this.balance + this.share)
 	}
 
 	/** @returns whether a retry may be made; if so, it is spent. */
 	trySpend(): boolean {
-		if (this.saved < 1) return false
-		this.saved -= 1
+		if (this.balance < 1) return false
+		this.balance -= 1
 		return true
 	}
 }
--- a/packages/scheduler/src/lib/requests/SlotPool.ts
+++ b/packages/scheduler/src/lib/requests/SlotPool.ts
@@ -2,10 +2,10 @@
 import type { Random } from '@rillrudder/utils'
 
 const LATENCY_WEIGHT = 0.2
-const CHOICES = 2
+const DRAWS = 2
 /** A worker that is new to the pool counts as this slow until it has been seen, in milliseconds. */
-const UNKNOWN_LATENCY = 50
-const FIRST_LIMIT = 2
+const INITIAL_LATENCY_MS = 50
+const INITIAL_LIMIT = 2
 
 /** Slots of one worker that have been lent. @public */
 export interface LentSlots {
@@ -22,9 +22,9 @@
 
 class PooledWorker {
 	used = 0
-	latency = UNKNOWN_LATENCY
+	latency = INITIAL_LATENCY_MS
 	/** Slow start: a worker new to this pool gets its slots one success at a time. */
-	limit = FIRST_LIMIT
+	limit = INITIAL_LIMIT
 
 	constructor(
 		readonly id: string,
@@ -108,15 +108,15 @@
 	/**
 	 * Gives back slots that are not in use.
 	 *
-	 * @param most - how many to give back.
+	 * @param count - how many to give back.
 	 */
-	returnIdle(most: number): void {
-		let left = most
+	returnIdle(count: number): void {
+		let remaining = count
 		for (const worker of this.workers.values()) {
-			const idle = Math.min(left, worker.slots - worker.used)
+			const idle = Math.min(remaining, worker.slots - worker.used)
 			if (idle <= 0) continue
 			worker.slots -= idle
-			left -= idle
+			remaining -= idle
 		}
 		this.available = this.available.filter((worker) => worker.slots > 0)
 	}
@@ -128,7 +128,7 @@
 	 * @returns the slot, or undefined when none is free.
 	 */
 	acquire(avoid?: string): AcquiredSlot | undefined {
-		const best = this.best(avoid) ?? this.firstFree(avoid)
+		const best = this.chooseOfTwo(avoid) ?? this.firstFree(avoid)
 		if (!best) return undefined
 		best.used += 1
 		return { worker: best.id, address: best.address }
@@ -145,7 +145,7 @@
 		if (!known) return
 		known.used -= 1
 		if (latency === undefined) {
-			known.limit = FIRST_LIMIT
+			known.limit = INITIAL_LIMIT
 		} else {
 			known.latency += (latency - known.latency) * LATENCY_WEIGHT
 			known.limit += 1
@@ -153,13 +153,13 @@
 		if (known.slots === 0 && known.used === 0) this.workers.delete(worker)
 	}
 
-	private best(avoid?: string): PooledWorker | undefined {
+	private chooseOfTwo(avoid?: string): PooledWorker | undefined {
 		if (this.available.length === 0) return undefined
 		let best: PooledWorker | undefined
-		for (let draw = 0; draw < CHOICES; draw++) {
+		for (let draw = 0; draw < DRAWS; draw++) {
 			const worker = this.random.pick(this.available)
 			if (worker.free <= 0 || worker.id === avoid) continue
-			if (!best || cost(worker) < cost(best)) best = worker
+			if (!best || costOf(worker) < costOf(best)) best = worker
 		}
 		return best
 	}
@@ -170,6 +170,6 @@
 	}
 }
 
-function cost(worker: PooledWorker): number {
+function costOf(worker: PooledWorker): number {
 	return (worker.latency * (worker.used + 1)) / worker.slots
 }
