--- a/packages/scheduler/src/lib/capacity/CapacityIndex.ts
+++ b/packages/scheduler/src/lib/capacity/CapacityIndex.ts
@@ -1,9 +1,10 @@
 /**
- * Workers by what they have free, so that finding one does not look at all of them.
+ * An index of workers by free capacity, which finds a worker without scanning all of them.
  *
- * Free processors and memory are sorted into levels that grow by the square root of two, free
- * accelerators into classes that double. A worker on a higher level is sure to fit; one on the level of
- * the need itself is looked at exactly. A bit for each memory level says which cells hold a worker.
+ * Free processors and memory are divided into levels that grow by the square root of two, free
+ * accelerators into classes that double. A worker on a higher level than the need always fits; one
+ * on the same level is compared exactly. A bitmap of memory levels marks the cells that hold a
+ * worker.
  */
 import type { Random } from '@rillrudder/utils'
 import { fits, type Resources } from './Resources'
@@ -11,15 +12,20 @@
 
 const LEVELS = 24
 const ACCELERATOR_CLASSES = 5
+/** Upper bound of the lowest processor level, in thousandths of a processor. */
 const CPU_UNIT = 125
+/** Upper bound of the lowest memory level, in MiB. */
 const MEMORY_UNIT = 64
-/** Workers looked at in one cell on the level of the need, where a fit is not certain. */
+/**
+ * Maximum number of workers that are compared in one cell: on the level of the need a fit is not
+ * certain.
+ */
 const MAX_SCANNED = 8
-/** The same on the second look, when the first found nothing at all. */
+/** The same for the second search, which is made if the first one found nothing. */
 const MAX_SCANNED_RETRY = 512
 
 /**
- * Workers by what they have free.
+ * Workers by free capacity.
  *
  * @internal
  */
@@ -28,13 +34,13 @@
 		{ length: ACCELERATOR_CLASSES * LEVELS * LEVELS },
 		() => []
 	)
-	/** For each accelerator class and processor level, a bit a memory level. */
+	/** A bitmap of memory levels for each accelerator class and processor level. */
 	private readonly occupied = new Uint32Array(ACCELERATOR_CLASSES * LEVELS)
 
-	/** @param random - breaks ties, so that two deciders do not pile onto one worker. */
+	/** @param random - breaks ties, so that two schedulers don't choose the same worker. */
 	constructor(private readonly random: Random) {}
 
-	/** Files a worker under what it has free now. */
+	/** Adds a worker under its current free capacity. */
 	add(worker: LedgerWorker): void {
 		const cell = cellOf(worker.free)
 		const list = this.cells[cell]
@@ -44,7 +50,7 @@
 		this.occupied[Math.floor(cell / LEVELS)] |= 1 << (cell % LEVELS)
 	}
 
-	/** Takes a worker out. */
+	/** Removes a worker. */
 	remove(worker: LedgerWorker): void {
 		if (worker.indexCell < 0) return
 		const list = this.cells[worker.indexCell]
@@ -59,7 +65,7 @@
 		worker.indexCell = -1
 	}
 
-	/** Files a worker anew after its free amounts have changed. */
+	/** Moves a worker to its new cell after its free capacity has changed. */
 	refresh(worker: LedgerWorker): void {
 		if (worker.indexCell === cellOf(worker.free)) return
 		this.remove(worker)
@@ -70,8 +76,8 @@
 	 * Finds workers that fit, the fullest first.
 	 *
 	 * @param need - what must be free.
-	 * @param limit - how many to find at most.
-	 * @returns workers that fit; empty when none was found.
+	 * @param limit - maximum number of workers.
+	 * @returns workers that fit; empty if none was found.
 	 */
 	candidates(need: Resources, limit: number): LedgerWorker[] {
 		const found: LedgerWorker[] = []
@@ -83,24 +89,20 @@
 	private search(need: Resources, limit: number, maxScanned: number, found: LedgerWorker[]): void {
 		const cpuLevel = levelOf(need.cpu, CPU_UNIT)
 		const memoryBits = (~0 << levelOf(need.memory, MEMORY_UNIT)) >>> 0
-		for (
-			let accelerators = acceleratorClassOf(need.accelerators);
-			accelerators < ACCELERATOR_CLASSES;
-			accelerators++
-		) {
+		for (let accel = acceleratorClassOf(need.accelerators); accel < ACCELERATOR_CLASSES; accel++) {
 			for (let cpu = cpuLevel; cpu < LEVELS; cpu++) {
-				let bits = this.occupied[accelerators * LEVELS + cpu] & memoryBits
+				let bits = this.occupied[accel * LEVELS + cpu] & memoryBits
 				while (bits !== 0) {
 					const memory = 31 - Math.clz32(bits & -bits)
 					bits &= bits - 1
-					const cell = (accelerators * LEVELS + cpu) * LEVELS + memory
+					const cell = (accel * LEVELS + cpu) * LEVELS + memory
 					if (this.scanCell(this.cells[cell], need, limit, maxScanned, found)) return
 				}
 			}
 		}
 	}
 
-	/** @returns whether enough were found. */
+	/** @returns whether the limit is reached. */
 	private scanCell(
 		list: LedgerWorker[],
 		need: Resources,
@@ -121,11 +123,8 @@
 }
 
 function cellOf(free: Resources): number {
-	const accelerators = acceleratorClassOf(free.accelerators)
-	return (
-		(accelerators * LEVELS + levelOf(free.cpu, CPU_UNIT)) * LEVELS +
-		levelOf(free.memory, MEMORY_UNIT)
-	)
+	const accel = acceleratorClassOf(free.accelerators)
+	return (accel * LEVELS + levelOf(free.cpu, CPU_UNIT)) * LEVELS + levelOf(free.memory, MEMORY_UNIT)
 }
 
 function levelOf(amount: number, unit: number): number {
--- a/packages/scheduler/src/lib/capacity/Ledger.ts
+++ b/packages/scheduler/src/lib/capacity/Ledger.ts
@@ -1,11 +1,14 @@
-/** The account of what every worker has given away; the one place that can overcommit, and does not. */
+/**
+ * The ledger of what is reserved on each worker. All reservations go through it, so that no worker
+ * is overcommitted.
+ */
 import { invariant, type Random } from '@rillrudder/utils'
 import { CapacityIndex } from './CapacityIndex'
 import { LedgerWorker, type WorkerOffer } from './LedgerWorker'
 import { fits, minus, NO_RESOURCES, plus, type Resources } from './Resources'
 
 /**
- * The account of all workers of a data centre.
+ * The reserved and free capacity of all workers of a data centre.
  *
  * @example
  * ```ts
@@ -27,24 +30,27 @@
 		this.index = new CapacityIndex(random)
 	}
 
-	/** What all workers offer to tasks. */
+	/** Total capacity that the workers offer to tasks. */
 	get total(): Resources {
 		return this.capacityTotal
 	}
 
-	/** Grows whenever something came free, so that a failed search need not be repeated before. */
+	/**
+	 * A counter that grows whenever capacity is released: until then a failed search need not be
+	 * repeated.
+	 */
 	get releases(): number {
 		return this.releaseCount
 	}
 
-	/** @returns ids of the workers where something came free since this was last asked. */
+	/** @returns the ids of the workers where capacity was released since the last call. */
 	takeReleased(): ReadonlySet<string> {
 		const { released } = this
 		this.released = new Set()
 		return released
 	}
 
-	/** How many workers there are. */
+	/** The number of workers. */
 	get size(): number {
 		return this.workers.size
 	}
@@ -56,13 +62,13 @@
 
 	/**
 	 * @param id - a worker.
-	 * @returns its account, if it has joined.
+	 * @returns its entry, if it has joined.
 	 */
 	find(id: string): LedgerWorker | undefined {
 		return this.workers.get(id)
 	}
 
-	/** Adds a worker, or takes up its new offer while keeping what is reserved there. */
+	/** Adds a worker, or updates what it offers while keeping its reservations. */
 	join(offer: WorkerOffer): void {
 		const known = this.workers.get(offer.id)
 		if (!known) {
@@ -80,7 +86,7 @@
 		this.recordRelease(offer.id)
 	}
 
-	/** Forgets a worker whose leases are certainly over. */
+	/** Removes a worker whose leases have certainly expired. */
 	leave(id: string): void {
 		const worker = this.workers.get(id)
 		if (!worker) return
@@ -90,7 +96,7 @@
 		this.capacityTotal = minus(this.capacityTotal, worker.capacity)
 	}
 
-	/** Opens a worker for new work, or closes it; what it has goes on. */
+	/** Opens a worker for new work, or closes it; its current work continues. */
 	setOpen(id: string, isOpen: boolean): void {
 		const worker = this.workers.get(id)
 		if (!worker || worker.isOpen === isOpen) return
@@ -101,10 +107,10 @@
 	}
 
 	/**
-	 * Takes an amount.
+	 * Reserves an amount.
 	 *
 	 * @param urgent - whether it is for work of the highest priority.
-	 * @returns false when the worker is unknown, closed, or has not that much free.
+	 * @returns false if the worker is unknown, closed, or has less free.
 	 */
 	reserve(id: string, need: Resources, urgent = false): boolean {
 		const worker = this.workers.get(id)
@@ -115,15 +121,15 @@
 	}
 
 	/**
-	 * Takes up an amount that was given away earlier, by a leader before this one. The worker's room may have shrunk since, so
-	 * it may have more than it offers.
+	 * Restores a reservation of an earlier leader. The worker's capacity may have shrunk since, so
+	 * that more may be reserved there than it offers.
 	 */
 	restore(id: string, need: Resources, urgent = false): void {
 		const worker = this.workers.get(id)
 		if (worker) this.take(worker, need, urgent)
 	}
 
-	/** Gives an amount back. */
+	/** Releases an amount. */
 	release(id: string, amount: Resources, urgent = false): void {
 		const worker = this.workers.get(id)
 		if (!worker) return
@@ -136,7 +142,7 @@
 
 	/**
 	 * @param need - what must be free.
-	 * @param limit - how many at most.
+	 * @param limit - maximum number of workers.
 	 * @returns open workers that fit, the fullest first.
 	 */
 	candidates(need: Resources, limit: number): LedgerWorker[] {
--- a/packages/scheduler/src/lib/capacity/LedgerWorker.ts
+++ b/packages/scheduler/src/lib/capacity/LedgerWorker.ts
@@ -1,18 +1,18 @@
-/** A worker as the ledger keeps it. */
+/** The ledger's entry of a worker. */
 import type { Resources } from './Resources'
 
-/** What is known of a worker when it joins. @public */
+/** What a worker offers when it joins. @public */
 export interface WorkerOffer {
 	readonly id: string
 	readonly rack: string
-	/** What it offers to tasks, after what is set aside for request slots. */
+	/** What it offers to tasks, without what is set aside for request slots. */
 	readonly capacity: Resources
-	/** Requests that it takes at the same time. */
+	/** The number of requests that it processes concurrently. */
 	readonly slots: number
 }
 
 /**
- * A worker as the ledger keeps it.
+ * The ledger's entry of a worker.
  *
  * @public
  */
@@ -20,20 +20,24 @@
 	readonly id: string
 	readonly rack: string
 	capacity: Resources
-	/** The most of each that it has offered; what has shrunk may grow again. */
+	/**
+	 * The largest amount of each resource that it has offered: a capacity that has shrunk may grow
+	 * again.
+	 */
 	maxCapacity: Resources
-	/** Below 0 where its room has shrunk under what is reserved. */
+	/** Negative if the capacity has shrunk below what is reserved. */
 	free: Resources
 	slots: number
-	/** Thousandths of processors that work of the highest priority has of what is reserved. */
+	/** Thousandths of a processor that are reserved for work of the highest priority. */
 	urgentCpu = 0
 	/** Whether new work may go there. */
 	isOpen = true
-	/** Where the index has filed it; -1 for nowhere. */
+	/** Cell of the capacity index that holds the worker; -1 if it isn't indexed. */
 	indexCell = -1
+	/** Position in that cell. */
 	indexPosition = 0
 
-	/** @param offer - what it offers. */
+	/** @param offer - what the worker offers. */
 	constructor(offer: WorkerOffer) {
 		this.id = offer.id
 		this.rack = offer.rack
@@ -43,7 +47,7 @@
 		this.slots = offer.slots
 	}
 
-	/** Takes up what it offers from now on. */
+	/** Updates what the worker offers. */
 	updateCapacity(capacity: Resources): void {
 		this.capacity = capacity
 		this.maxCapacity = {
@@ -53,7 +57,7 @@
 		}
 	}
 
-	/** Whether more is reserved there than it has room for. */
+	/** Whether more is reserved there than it offers. */
 	get isOverbooked(): boolean {
 		const { cpu, memory, accelerators } = this.free
 		return cpu < 0 || memory < 0 || accelerators < 0
--- a/packages/scheduler/src/lib/capacity/Resources.ts
+++ b/packages/scheduler/src/lib/capacity/Resources.ts
@@ -1,4 +1,4 @@
-/** Amounts of what a worker offers and a task takes. */
+/** Amounts of the resources that workers offer and tasks need. */
 
 /** An amount of each resource. @public */
 export interface Resources {
@@ -10,13 +10,13 @@
 	readonly accelerators: number
 }
 
-/** Nothing of anything. @public */
+/** Zero of each resource. @public */
 export const NO_RESOURCES: Resources = { cpu: 0, memory: 0, accelerators: 0 }
 
 /**
  * @param need - an amount.
- * @param free - another.
- * @returns whether the first is within the second.
+ * @param free - another amount.
+ * @returns whether the need is within the free amount, for each resource.
  * @public
  */
 export function fits(need: Resources, free: Resources): boolean {
@@ -27,7 +27,7 @@
 
 /**
  * @param left - an amount.
- * @param right - another.
+ * @param right - another amount.
  * @returns their sum.
  * @public
  */
@@ -41,7 +41,7 @@
 
 /**
  * @param left - an amount.
- * @param right - what to take away.
+ * @param right - the amount to subtract.
  * @returns the difference.
  * @public
  */
@@ -54,9 +54,9 @@
 }
 
 /**
- * @param amount - an amount for one.
- * @param count - how many.
- * @returns the amount for all.
+ * @param amount - the amount for one.
+ * @param count - the number.
+ * @returns the amount for all of them.
  * @public
  */
 export function times(amount: Resources, count: number): Resources {
--- a/packages/scheduler/src/lib/health/WorkerHealth.ts
+++ b/packages/scheduler/src/lib/health/WorkerHealth.ts
@@ -1,27 +1,35 @@
 /**
- * Finds workers that fail what they start. A worker like that looks idle and would draw everything.
+ * Detects workers that fail the work that they start. Such a worker looks idle and would attract
+ * all new work.
  *
- * It is judged against its peers, and only by failures of several customers, so that one customer's bad
- * requests close no worker. Only a share of a data centre is ever closed this way.
+ * A worker is compared with its peers, and only failures of several customers count, so that one
+ * customer's bad requests can't close a worker. At most a fixed share of a data centre is closed.
  */
+/** Minimum number of decayed results before a worker can be closed. */
 const MIN_SAMPLES = 5
+/** Minimum number of customers or intents whose work failed. */
 const MIN_SOURCES = 2
 const MIN_FAILURE_RATE = 0.5
+/** Minimum ratio of a worker's failure rate to that of its peers. */
 const MIN_PEER_RATIO = 3
 const MAX_CLOSED_SHARE = 0.2
 const FIRST_BACKOFF_MS = 5000
 const MAX_BACKOFF_MS = 300_000
+/** Factor by which earlier results count less with each new one. */
 const DECAY = 0.98
 const PROBES_TO_RETURN = 3
 
 interface HealthRecord {
 	successes: number
 	failures: number
-	/** Who saw it fail since it last did well. */
+	/** Customers and intents whose work has failed since the worker was last reopened. */
 	sources: Set<string>
 	closedUntil: number
 	backoff: number
-	/** Successes that are still wanted before it counts as well again; 0 for a worker in good standing. */
+	/**
+	 * Successes that are still needed before a closed worker counts as healthy again; 0 for a healthy
+	 * worker.
+	 */
 	probesLeft: number
 }
 
@@ -36,12 +44,12 @@
 	private successes = 0
 	private failures = 0
 
-	/** How many workers are closed for failing. */
+	/** The number of workers that are closed because of failures. */
 	get closed(): number {
 		return this.closedCount
 	}
 
-	/** A worker has done what it was given. */
+	/** Handles a success of a worker. */
 	onSuccess(worker: string): void {
 		const record = this.recordOf(worker)
 		record.successes = record.successes * DECAY + 1
@@ -52,10 +60,10 @@
 	}
 
 	/**
-	 * A worker has failed what it was given.
+	 * Handles a failure of a worker.
 	 *
 	 * @param worker - the worker.
-	 * @param source - the customer or intent whose work it was.
+	 * @param source - the customer or intent whose work failed.
 	 * @param now - the moment, in milliseconds.
 	 */
 	onFailure(worker: string, source: string, now: number): void {
@@ -72,19 +80,19 @@
 	/**
 	 * @param worker - a worker.
 	 * @param now - the moment, in milliseconds.
-	 * @returns whether new work may go there; after a pause it may, a little at a time.
+	 * @returns whether it accepts new work. After its backoff a closed worker does, for probes.
 	 */
 	isOpen(worker: string, now: number): boolean {
 		const record = this.records.get(worker)
 		return record === undefined || record.closedUntil <= now
 	}
 
-	/** Whether a worker is being tried again after it was closed. */
+	/** Whether a worker was closed and has not yet passed its probes. */
 	isOnProbe(worker: string): boolean {
 		return (this.records.get(worker)?.probesLeft ?? 0) > 0
 	}
 
-	/** Forgets a worker that has left. */
+	/** Drops the record of a worker that has left. */
 	forget(worker: string): void {
 		const record = this.records.get(worker)
 		if (record && record.probesLeft > 0) this.closedCount -= 1
--- a/packages/scheduler/src/lib/placement/Estimator.ts
+++ b/packages/scheduler/src/lib/placement/Estimator.ts
@@ -34,14 +34,16 @@
 		learned.memory = Math.max(usage.memory, learned.memory ?? 0)
 	}
 
-	/** @returns the expected run time in milliseconds; the declared one until something is learned. */
+	/**
+	 * @returns the expected run time in milliseconds; the declared one until something is learned.
+	 */
 	expectedRunTime(task: Task): number {
 		return this.intents.get(keyOf(task))?.runTime ?? task.runTime
 	}
 
 	/**
-	 * @returns what to reserve for the next task of the intent: more where more was used, less only for
-	 * processors, since a task that lacks memory fails while one that lacks processors is slow.
+	 * @returns what to reserve for the next task of the intent: more where more was used, less only
+	 * for processors, since a task that lacks memory fails while one that lacks processors is slow.
 	 */
 	reservationFor(task: Task): Resources {
 		const learned = this.intents.get(keyOf(task))
--- a/packages/scheduler/src/lib/placement/GangHold.ts
+++ b/packages/scheduler/src/lib/placement/GangHold.ts
@@ -1,6 +1,6 @@
 /**
- * Starts gangs whole. A gang that has waited too long may hold what comes free until it is whole. Only
- * one gang holds at a time, so that two never keep halves of what both need.
+ * Starts gangs whole. A gang that has waited too long may hold what comes free until it is whole.
+ * Only one gang holds at a time, so that two never keep halves of what both need.
  */
 import { IntentKind } from '@rillrudder/settings'
 import type { Ledger } from '../capacity/Ledger'
--- a/packages/scheduler/src/lib/placement/Placement.ts
+++ b/packages/scheduler/src/lib/placement/Placement.ts
@@ -2,8 +2,8 @@
  * Decides which waiting task starts where, and what makes room for urgent work.
  *
  * Urgent work goes first; then gangs, one of which at a time may hold what comes free until it is
- * whole; then the team that uses the least of its share, and in it the task with the least time left.
- * What does not fit is passed over for what does.
+ * whole; then the team that uses the least of its share, and in it the task with the least time
+ * left. What does not fit is passed over for what does.
  */
 import { invariant, type Random } from '@rillrudder/utils'
 import { IntentKind } from '@rillrudder/settings'
@@ -197,7 +197,9 @@
 		}
 	}
 
-	/** The team that uses the least of its share, among those with urgent work where that is asked. */
+	/**
+	 * The team that uses the least of its share, among those with urgent work where that is asked.
+	 */
 	private nextTeam(urgent: boolean, blocked: Set<TeamAccount>): TeamAccount | undefined {
 		let best: TeamAccount | undefined
 		let bestShare = Number.POSITIVE_INFINITY
--- a/packages/scheduler/src/lib/placement/TeamAccount.ts
+++ b/packages/scheduler/src/lib/placement/TeamAccount.ts
@@ -4,7 +4,10 @@
 import { WaitingReason, type Task } from './Task'
 
 const DEFAULT_RUN_TIME = 600_000
-/** Batch without a deadline counts as due this long after it was submitted, so that it can not starve. */
+/**
+ * Batch without a deadline counts as due this long after it was submitted, so that it can not
+ * starve.
+ */
 const PATIENCE = 3_600_000
 /** What has missed its deadline counts as due this long after that was seen. */
 const LATE_PATIENCE = 120_000
@@ -43,8 +46,8 @@
 /**
  * @param task - a task.
  * @param runTime - how long it is expected to run, in milliseconds.
- * @returns the latest moment to start it; work without a deadline is due when it was submitted, batch
- * without one an hour later.
+ * @returns the latest moment to start it; work without a deadline is due when it was submitted,
+ * batch without one an hour later.
  * @internal
  */
 export function latestStart(task: Task, runTime = task.runTime || DEFAULT_RUN_TIME): number {
@@ -54,8 +57,8 @@
 
 /**
  * Lets what has missed its deadline give way to what has not: helping the late first would make the
- * next ones late as well. What is only expected to miss it keeps its place, since the expectation is
- * often wrong.
+ * next ones late as well. What is only expected to miss it keeps its place, since the expectation
+ * is often wrong.
  *
  * @param item - what waits, taken from the queue.
  * @param now - milliseconds since the epoch.
--- a/packages/scheduler/src/lib/placement/chooseWorker.ts
+++ b/packages/scheduler/src/lib/placement/chooseWorker.ts
@@ -21,8 +21,8 @@
 export const NO_TASKS: TaskCounts = { countOnWorker: () => 0, countInRack: () => 0 }
 
 /**
- * Chooses the worker for one task: services away from their siblings, everything else where the least
- * is left over, and processors and memory run out together.
+ * Chooses the worker for one task: services away from their siblings, everything else where the
+ * least is left over, and processors and memory run out together.
  *
  * @param ledger - what is free.
  * @param need - what the task takes.
--- a/packages/scheduler/src/lib/placement/maxMinLevel.ts
+++ b/packages/scheduler/src/lib/placement/maxMinLevel.ts
@@ -1,4 +1,6 @@
-/** Divides room among those who want it: by weight, and what one doesn't want goes to the others. */
+/**
+ * Divides room among those who want it: by weight, and what one doesn't want goes to the others.
+ */
 
 /** One that wants a part of the room. @public */
 export interface Contender {
@@ -9,7 +11,8 @@
 }
 
 /**
- * Weighted max-min fairness: each contender gets its weight times the level, or the most that it can use.
+ * Weighted max-min fairness: each contender gets its weight times the level, or the most that it
+ * can use.
  *
  * @param contenders - those who want room.
  * @param room - what there is for them.
--- a/packages/scheduler/src/lib/requests/SlotPool.ts
+++ b/packages/scheduler/src/lib/requests/SlotPool.ts
@@ -1,20 +1,23 @@
-/** The request slots that an entry instance has been lent, and the choice among their workers. */
+/** The request slots that are lent to an entry instance, and the choice among their workers. */
 import type { Random } from '@rillrudder/utils'
 
+/** Weight of a new latency in the moving average. */
 const LATENCY_WEIGHT = 0.2
+/** Workers that are drawn at random for each request. */
 const DRAWS = 2
-/** A worker that is new to the pool counts as this slow until it has been seen, in milliseconds. */
+/** Latency, in milliseconds, that is assumed for a worker that is new to the pool. */
 const INITIAL_LATENCY_MS = 50
+/** Slots that a new worker, or one that has just failed, may use at first. */
 const INITIAL_LIMIT = 2
 
-/** Slots of one worker that have been lent. @public */
+/** The lent slots of one worker. @public */
 export interface LentSlots {
 	readonly worker: string
 	readonly address: string
 	readonly slots: number
 }
 
-/** A slot that was taken. @public */
+/** A slot in use. @public */
 export interface AcquiredSlot {
 	readonly worker: string
 	readonly address: string
@@ -23,7 +26,10 @@
 class PooledWorker {
 	used = 0
 	latency = INITIAL_LATENCY_MS
-	/** Slow start: a worker new to this pool gets its slots one success at a time. */
+	/**
+	 * Slow start: the usable slots of a worker that is new to this pool grow by one with each
+	 * success.
+	 */
 	limit = INITIAL_LIMIT
 
 	constructor(
@@ -45,27 +51,33 @@
 export class SlotPool {
 	private readonly workers = new Map<string, PooledWorker>()
 	private available: PooledWorker[] = []
-	/** Workers that have refused work here; they get none until they are lent anew. */
+	/**
+	 * Workers that have refused work here; they get none until they are dropped from the lent slots
+	 * and lent again.
+	 */
 	private readonly closed = new Set<string>()
 
 	/** @param random - draws the workers to compare. */
 	constructor(private readonly random: Random) {}
 
-	/** Slots that are in use. */
+	/** The number of slots in use. */
 	get used(): number {
 		let sum = 0
 		for (const worker of this.workers.values()) sum += worker.used
 		return sum
 	}
 
-	/** Slots that are lent, in use or not. */
+	/** The number of slots that are lent or still in use. */
 	get size(): number {
 		let sum = 0
 		for (const worker of this.workers.values()) sum += Math.max(worker.slots, worker.used)
 		return sum
 	}
 
-	/** @param lent - all slots that are lent from now on; what is in use above that runs to its end. */
+	/**
+	 * @param lent - all slots that are lent from now on. Requests that use more slots run to
+	 * completion.
+	 */
 	update(lent: readonly LentSlots[]): void {
 		const named = new Set(lent.map((one) => one.worker))
 		for (const id of this.closed) if (!named.has(id)) this.closed.delete(id)
@@ -86,7 +98,7 @@
 		this.available = [...this.workers.values()].filter((worker) => worker.slots > 0)
 	}
 
-	/** A worker takes no more work: nothing of it is used from now on. */
+	/** Stops using a worker that accepts no more work. */
 	close(worker: string): void {
 		const known = this.workers.get(worker)
 		if (!known) return
@@ -96,7 +108,7 @@
 		if (known.used === 0) this.workers.delete(worker)
 	}
 
-	/** What is held of each worker: what is in use, or lent if that is more. */
+	/** The slots that are held of each worker: those in use, or those lent if there are more. */
 	held(): LentSlots[] {
 		return [...this.workers.values()].map((worker) => ({
 			worker: worker.id,
@@ -106,9 +118,9 @@
 	}
 
 	/**
-	 * Gives back slots that are not in use.
+	 * Returns slots that are not in use.
 	 *
-	 * @param count - how many to give back.
+	 * @param count - maximum number of slots to return.
 	 */
 	returnIdle(count: number): void {
 		let remaining = count
@@ -122,10 +134,12 @@
 	}
 
 	/**
-	 * Takes a slot on the better of two workers drawn at random: quicker, and with more free.
+	 * Acquires a slot on the better of two workers drawn at random, by latency and the share of slots
+	 * in use.
 	 *
-	 * @param avoid - a worker that has just failed this request.
-	 * @returns the slot, or undefined when none is free.
+	 * @param avoid - a worker that has just failed this request; used only if no other worker has a
+	 * free slot.
+	 * @returns the slot, or undefined if none is free.
 	 */
 	acquire(avoid?: string): AcquiredSlot | undefined {
 		const best = this.chooseOfTwo(avoid) ?? this.firstFree(avoid)
@@ -135,10 +149,10 @@
 	}
 
 	/**
-	 * A slot is free again.
+	 * Releases a slot.
 	 *
-	 * @param worker - its worker.
-	 * @param latency - how long the request took in milliseconds; absent when it failed.
+	 * @param worker - the worker of the slot.
+	 * @param latency - how long the request took, in milliseconds; absent if it failed.
 	 */
 	release(worker: string, latency?: number): void {
 		const known = this.workers.get(worker)
