--- a/packages/scheduler/src/lib/placement/Estimator.ts
+++ b/packages/scheduler/src/lib/placement/Estimator.ts
@@ -3,11 +3,11 @@
 import type { Task } from './Task'
 
 const NEW_WEIGHT = 0.3
-const MOST_KEPT = 50_000
+const MAX_INTENTS = 50_000
 const HEADROOM = 1.15
-const LEAST_OF_DECLARED = 0.5
+const MIN_SHARE_OF_DECLARED = 0.5
 
-interface Learned {
+interface Estimate {
 	runTime?: number
 	cpu?: number
 	memory?: number
@@ -19,18 +19,18 @@
  * @public
  */
 export class Estimator {
-	private readonly intents = new Map<string, Learned>()
+	private readonly intents = new Map<string, Estimate>()
 
 	/** A task has ended after running this long, in milliseconds. */
 	recordRunTime(task: Task, runTime: number): void {
-		const learned = this.of(task)
-		learned.runTime = blend(learned.runTime, runTime)
+		const learned = this.entryOf(task)
+		learned.runTime = average(learned.runTime, runTime)
 	}
 
 	/** A task has been seen to use this much. */
 	recordUsage(task: Task, usage: Resources): void {
-		const learned = this.of(task)
-		learned.cpu = Math.max(usage.cpu, blend(learned.cpu, usage.cpu))
+		const learned = this.entryOf(task)
+		learned.cpu = Math.max(usage.cpu, average(learned.cpu, usage.cpu))
 		learned.memory = Math.max(usage.memory, learned.memory ?? 0)
 	}
 
@@ -48,7 +48,7 @@
 	reservationFor(task: Task): Resources {
 		const learned = this.intents.get(keyOf(task))
 		if (!learned?.cpu || !learned.memory) return task.need
-		const cpu = Math.max(learned.cpu * HEADROOM, task.need.cpu * LEAST_OF_DECLARED)
+		const cpu = Math.max(learned.cpu * HEADROOM, task.need.cpu * MIN_SHARE_OF_DECLARED)
 		const memory = Math.max(learned.memory * HEADROOM, task.need.memory)
 		return {
 			cpu: Math.ceil(cpu),
@@ -57,18 +57,18 @@
 		}
 	}
 
-	private of(task: Task): Learned {
+	private entryOf(task: Task): Estimate {
 		const key = keyOf(task)
 		let learned = this.intents.get(key)
 		if (!learned) {
-			if (this.intents.size >= MOST_KEPT) this.forgetOldest()
+			if (this.intents.size >= MAX_INTENTS) this.evictOldest()
 			learned = {}
 			this.intents.set(key, learned)
 		}
 		return learned
 	}
 
-	private forgetOldest(): void {
+	private evictOldest(): void {
 		const oldest = this.intents.keys().next()
 		if (!oldest.done) this.intents.delete(oldest.value)
 	}
@@ -78,6 +78,6 @@
 	return `${task.team}/${task.intent}`
 }
 
-function blend(known: number | undefined, seen: number): number {
+function average(known: number | undefined, seen: number): number {
 	return known === undefined ? seen : known * (1 - NEW_WEIGHT) + seen * NEW_WEIGHT
 }
--- a/packages/scheduler/src/lib/placement/GangHold.ts
+++ b/packages/scheduler/src/lib/placement/GangHold.ts
@@ -6,22 +6,22 @@
 import type { Ledger } from '../capacity/Ledger'
 import type { Resources } from '../capacity/Resources'
 import { chooseWorker, NO_TASKS } from './chooseWorker'
-import type { Pending } from './TeamAccount'
+import type { PendingItem } from './TeamAccount'
 
 /** How long a gang waits for its chance before it holds, in milliseconds. @internal */
-export const GANG_PATIENCE = 30_000
+export const MIN_WAIT_MS = 30_000
 /** How long it holds before another gang may have its turn. @internal */
-export const MOST_HELD = 600_000
+export const MAX_HOLD_MS = 600_000
 
 interface Hold {
-	readonly item: Pending
+	readonly item: PendingItem
 	readonly need: Resources
 	readonly workers: string[]
 	readonly since: number
 }
 
 /** What a gang that became whole starts with. @internal */
-export interface Whole {
+export interface CompleteGang {
 	readonly workers: string[]
 	readonly need: Resources
 }
@@ -37,17 +37,17 @@
 	constructor(private readonly ledger: Ledger) {}
 
 	/** Whether no gang holds. */
-	get free(): boolean {
+	get isFree(): boolean {
 		return this.hold === undefined
 	}
 
 	/** The gang that holds. */
-	get held(): Pending | undefined {
+	get holder(): PendingItem | undefined {
 		return this.hold?.item
 	}
 
 	/** Whether this gang is the one that holds. */
-	holdsFor(item: Pending): boolean {
+	isHeldBy(item: PendingItem): boolean {
 		return this.hold?.item === item
 	}
 
@@ -64,14 +64,14 @@
 	}
 
 	/** Lets a gang that has waited long enough start to hold. */
-	consider(item: Pending, need: Resources, now: number): void {
-		if (this.hold || now - item.tasks[0].submitted < GANG_PATIENCE) return
+	tryHold(item: PendingItem, need: Resources, now: number): void {
+		if (this.hold || now - item.tasks[0].submitted < MIN_WAIT_MS) return
 		this.hold = { item, need, workers: [], since: now }
-		this.grow(item.tasks.length)
+		this.reserveMore(item.tasks.length)
 	}
 
 	/** Holds more of what came free. @returns the whole gang once it is whole. */
-	extend(count: number, now: number): Whole | undefined {
+	extend(count: number, now: number): CompleteGang | undefined {
 		if (!this.hold) return undefined
 		const { workers, need, since } = this.hold
 		while (workers.length > count) this.ledger.release(workers.pop() as string, need)
@@ -79,22 +79,22 @@
 			this.hold = undefined
 			return undefined
 		}
-		this.grow(count)
+		this.reserveMore(count)
 		if (workers.length === count) {
 			this.hold = undefined
 			return { workers, need }
 		}
-		if (now - since > MOST_HELD) this.giveUp()
+		if (now - since > MAX_HOLD_MS) this.releaseHold()
 		return undefined
 	}
 
-	private grow(count: number): void {
+	private reserveMore(count: number): void {
 		if (!this.hold) return
 		const { workers, need } = this.hold
 		while (workers.length < count) if (!this.reserveOne(need, workers)) return
 	}
 
-	private giveUp(): void {
+	private releaseHold(): void {
 		if (!this.hold) return
 		for (const worker of this.hold.workers) this.ledger.release(worker, this.hold.need)
 		this.hold = undefined
--- a/packages/scheduler/src/lib/placement/Placement.ts
+++ b/packages/scheduler/src/lib/placement/Placement.ts
@@ -22,10 +22,10 @@
 	type Task,
 } from './Task'
 import type { QuotaTerms } from './QuotaAccount'
-import { giveWay, latestStart, TeamAccount, type Pending } from './TeamAccount'
+import { demoteIfLate, latestStartOf, TeamAccount, type PendingItem } from './TeamAccount'
 
 /** Tasks of one team that are passed over in one round when they do not fit. */
-const PASSED_OVER = 8
+const MAX_SKIPPED = 8
 const NO_RELEASE = -1
 
 /**
@@ -41,13 +41,13 @@
 export class Placement {
 	readonly estimator = new Estimator()
 	private readonly teams = new Map<string, TeamAccount>()
-	private readonly pending = new Map<string, Pending>()
+	private readonly pending = new Map<string, PendingItem>()
 	private readonly running = new Map<string, RunningTask>()
 	private readonly siblings = new SiblingCounts()
 	private readonly shapes = new Map<string, number>()
 	/** For each shape the release count at which it last did not fit. */
-	private readonly failedAt: number[] = []
-	private readonly gang: GangHold
+	private readonly failedAtRelease: number[] = []
+	private readonly gangHold: GangHold
 	private readonly preemption: Preemption
 
 	/**
@@ -58,7 +58,7 @@
 		private readonly ledger: Ledger,
 		random: Random
 	) {
-		this.gang = new GangHold(ledger)
+		this.gangHold = new GangHold(ledger)
 		this.preemption = new Preemption(ledger, random)
 	}
 
@@ -74,7 +74,7 @@
 
 	/** @param teams - the teams of the configuration in force. */
 	setTeams(teams: readonly QuotaTerms[]): void {
-		for (const team of teams) this.account(team.name).terms = team
+		for (const team of teams) this.accountOf(team.name).terms = team
 	}
 
 	/**
@@ -84,16 +84,16 @@
 	 */
 	submit(tasks: readonly Task[]): void {
 		const first = tasks[0]
-		const item: Pending = {
+		const item: PendingItem = {
 			tasks,
-			latestStart: latestStart(first, this.estimator.expectedRunTime(first) || undefined),
+			latestStart: latestStartOf(first, this.estimator.expectedRunTime(first) || undefined),
 			shape: this.shapeOf(first),
-			late: false,
-			waiting: WaitingReason.New,
-			cancelled: 0,
+			isLate: false,
+			waitingReason: WaitingReason.New,
+			cancelledCount: 0,
 		}
 		for (const task of tasks) this.pending.set(task.id, item)
-		this.account(first.team).waiting.push(item)
+		this.accountOf(first.team).waiting.push(item)
 	}
 
 	/**
@@ -106,14 +106,14 @@
 		const item = this.pending.get(id)
 		if (!item) return false
 		this.pending.delete(id)
-		item.cancelled += 1
+		item.cancelledCount += 1
 		return true
 	}
 
 	/** Takes up a task that a leader before this one has started. */
 	restore(task: Task, worker: string, reserved: Resources, since: number): void {
 		this.ledger.restore(worker, reserved)
-		this.enter({ task, worker, reserved, since, isBeingPreempted: false })
+		this.addRunning({ task, worker, reserved, since, isBeingPreempted: false })
 	}
 
 	/**
@@ -122,14 +122,14 @@
 	 * @param id - the task.
 	 */
 	onEnded(id: string): void {
-		const gone = this.running.get(id)
-		if (!gone) return
+		const ended = this.running.get(id)
+		if (!ended) return
 		this.running.delete(id)
-		this.ledger.release(gone.worker, gone.reserved)
-		this.account(gone.task.team).subtractUsage(gone.reserved)
-		this.preemption.left(gone)
-		const rack = this.ledger.find(gone.worker)?.rack ?? ''
-		this.siblings.adjust(gone.task.intent, gone.worker, rack, -1)
+		this.ledger.release(ended.worker, ended.reserved)
+		this.accountOf(ended.task.team).subtractUsage(ended.reserved)
+		this.preemption.onEnded(ended)
+		const rack = this.ledger.find(ended.worker)?.rack ?? ''
+		this.siblings.adjust(ended.task.intent, ended.worker, rack, -1)
 	}
 
 	/**
@@ -139,29 +139,29 @@
 	 * @param cpu - thousandths of a processor that it keeps.
 	 */
 	onThrottled(id: string, cpu: number): void {
-		const slowed = this.running.get(id)
-		if (!slowed || cpu >= slowed.reserved.cpu) return
-		const freed = { cpu: slowed.reserved.cpu - cpu, memory: 0, accelerators: 0 }
-		slowed.reserved = { ...slowed.reserved, cpu }
-		slowed.isBeingPreempted = false
-		this.ledger.release(slowed.worker, freed)
-		this.account(slowed.task.team).subtractUsage(freed)
-		this.preemption.slowed(slowed)
+		const throttled = this.running.get(id)
+		if (!throttled || cpu >= throttled.reserved.cpu) return
+		const freed = { cpu: throttled.reserved.cpu - cpu, memory: 0, accelerators: 0 }
+		throttled.reserved = { ...throttled.reserved, cpu }
+		throttled.isBeingPreempted = false
+		this.ledger.release(throttled.worker, freed)
+		this.accountOf(throttled.task.team).subtractUsage(freed)
+		this.preemption.onThrottled(throttled)
 	}
 
 	/**
 	 * Decides as much as can start now.
 	 *
 	 * @param now - milliseconds since the epoch.
-	 * @param most - how many decisions at most.
+	 * @param limit - how many decisions at most.
 	 * @returns what to carry out; starts are already reserved in the ledger.
 	 */
-	decide(now: number, most: number): Decision[] {
+	decide(now: number, limit: number): Decision[] {
 		const decisions: Decision[] = []
 		const blocked = new Set<TeamAccount>()
-		this.serveTeams(true, blocked, now, most, decisions)
+		this.startByTeam(true, blocked, now, limit, decisions)
 		this.continueGang(now, decisions)
-		this.serveTeams(false, blocked, now, most, decisions)
+		this.startByTeam(false, blocked, now, limit, decisions)
 		return decisions
 	}
 
@@ -170,7 +170,7 @@
 	 * @returns why it waits, or undefined when it does not.
 	 */
 	waitingReasonOf(id: string): WaitingReason | undefined {
-		return this.pending.get(id)?.waiting
+		return this.pending.get(id)?.waitingReason
 	}
 
 	/** @returns the running task, if it runs. */
@@ -180,20 +180,20 @@
 
 	/** @returns what a team uses, and where it stands against its weight. */
 	usageOf(team: string): Resources {
-		return this.account(team).used
+		return this.accountOf(team).used
 	}
 
-	private serveTeams(
+	private startByTeam(
 		urgent: boolean,
 		blocked: Set<TeamAccount>,
 		now: number,
-		most: number,
+		limit: number,
 		decisions: Decision[]
 	): void {
-		while (decisions.length < most) {
+		while (decisions.length < limit) {
 			const account = this.nextTeam(urgent, blocked)
 			if (!account) return
-			if (!this.serve(account, now, decisions)) blocked.add(account)
+			if (!this.startNextOf(account, now, decisions)) blocked.add(account)
 		}
 	}
 
@@ -215,40 +215,40 @@
 	}
 
 	/** Starts the first of a team's tasks that can start. @returns whether one did. */
-	private serve(account: TeamAccount, now: number, decisions: Decision[]): boolean {
-		const passed: Pending[] = []
+	private startNextOf(account: TeamAccount, now: number, decisions: Decision[]): boolean {
+		const skipped: PendingItem[] = []
 		let started = false
-		while (!started && passed.length < PASSED_OVER) {
+		while (!started && skipped.length < MAX_SKIPPED) {
 			const item = account.waiting.pop()
 			if (!item) break
-			if (item.cancelled === item.tasks.length) continue
-			if (giveWay(item, now)) {
+			if (item.cancelledCount === item.tasks.length) continue
+			if (demoteIfLate(item, now)) {
 				account.waiting.push(item)
 				continue
 			}
-			started = this.attempt(item, account, now, decisions)
-			if (!started) passed.push(item)
+			started = this.tryStart(item, account, now, decisions)
+			if (!started) skipped.push(item)
 		}
-		for (const item of passed) account.waiting.push(item)
+		for (const item of skipped) account.waiting.push(item)
 		return started
 	}
 
-	private attempt(
-		item: Pending,
+	private tryStart(
+		item: PendingItem,
 		account: TeamAccount,
 		now: number,
 		decisions: Decision[]
 	): boolean {
-		const tasks = this.live(item)
+		const tasks = this.uncancelledTasks(item)
 		const need = this.estimator.reservationFor(tasks[0])
 		if (!account.allows(times(need, tasks.length))) {
-			item.waiting = WaitingReason.Quota
+			item.waitingReason = WaitingReason.Quota
 			return false
 		}
-		if (tasks[0].kind === IntentKind.Gang) return this.attemptGang(item, tasks, now, decisions)
-		const worker = this.find(tasks[0], need, item.shape)
+		if (tasks[0].kind === IntentKind.Gang) return this.tryStartGang(item, tasks, now, decisions)
+		const worker = this.findWorker(tasks[0], need, item.shape)
 		if (!worker) {
-			this.makeRoom(item, tasks[0], need, decisions)
+			this.preemptFor(item, tasks[0], need, decisions)
 			return false
 		}
 		this.ledger.reserve(worker.id, need)
@@ -256,48 +256,54 @@
 		return true
 	}
 
-	private find(task: Task, need: Resources, shape: number) {
-		if (this.failedAt[shape] === this.ledger.releases) return undefined
+	private findWorker(task: Task, need: Resources, shape: number) {
+		if (this.failedAtRelease[shape] === this.ledger.releases) return undefined
 		const worker = chooseWorker(this.ledger, need, task.kind, this.siblings.countsOf(task.intent))
-		if (!worker) this.failedAt[shape] = this.ledger.releases
+		if (!worker) this.failedAtRelease[shape] = this.ledger.releases
 		return worker
 	}
 
-	private makeRoom(item: Pending, task: Task, need: Resources, decisions: Decision[]): void {
-		item.waiting = WaitingReason.Capacity
+	private preemptFor(item: PendingItem, task: Task, need: Resources, decisions: Decision[]): void {
+		item.waitingReason = WaitingReason.Capacity
 		if (!task.urgent) return
-		if (this.preemption.awaits(task.id)) {
-			item.waiting = WaitingReason.Preempting
+		if (this.preemption.isPreemptingFor(task.id)) {
+			item.waitingReason = WaitingReason.Preempting
 			return
 		}
-		const relief = this.preemption.plan(task, need, this.running)
-		if (relief.length === 0) return
-		item.waiting = WaitingReason.Preempting
-		decisions.push(...relief)
+		const preemptions = this.preemption.plan(task, need, this.running)
+		if (preemptions.length === 0) return
+		item.waitingReason = WaitingReason.Preempting
+		decisions.push(...preemptions)
 	}
 
-	private attemptGang(item: Pending, tasks: Task[], now: number, decisions: Decision[]): boolean {
-		item.waiting = WaitingReason.Gang
-		if (this.gang.holdsFor(item)) return false
+	private tryStartGang(
+		item: PendingItem,
+		tasks: Task[],
+		now: number,
+		decisions: Decision[]
+	): boolean {
+		item.waitingReason = WaitingReason.Gang
+		if (this.gangHold.isHeldBy(item)) return false
 		const need = this.estimator.reservationFor(tasks[0])
-		if (this.failedAt[item.shape] === this.ledger.releases && !this.gang.free) return false
-		const workers = this.gang.reserveAll(need, tasks.length)
+		if (this.failedAtRelease[item.shape] === this.ledger.releases && !this.gangHold.isFree)
+			return false
+		const workers = this.gangHold.reserveAll(need, tasks.length)
 		if (workers) {
 			this.startGang(tasks, workers, need, now, decisions)
 			return true
 		}
-		this.failedAt[item.shape] = this.ledger.releases
-		this.gang.consider(item, need, now)
+		this.failedAtRelease[item.shape] = this.ledger.releases
+		this.gangHold.tryHold(item, need, now)
 		return false
 	}
 
 	private continueGang(now: number, decisions: Decision[]): void {
-		const held = this.gang.held
+		const held = this.gangHold.holder
 		if (!held) return
-		const tasks = this.live(held)
-		const complete = this.gang.extend(tasks.length, now)
+		const tasks = this.uncancelledTasks(held)
+		const complete = this.gangHold.extend(tasks.length, now)
 		if (!complete) return
-		this.account(tasks[0].team).waiting.remove(held, (left, right) => left === right)
+		this.accountOf(tasks[0].team).waiting.remove(held, (left, right) => left === right)
 		this.startGang(tasks, complete.workers, complete.need, now, decisions)
 	}
 
@@ -316,27 +322,27 @@
 
 	private start(task: Task, worker: string, reserved: Resources, now: number): StartDecision {
 		this.pending.delete(task.id)
-		this.preemption.placed(task.id)
-		this.enter({ task, worker, reserved, since: now, isBeingPreempted: false })
+		this.preemption.onPlaced(task.id)
+		this.addRunning({ task, worker, reserved, since: now, isBeingPreempted: false })
 		const count = this.siblings
 			.countsOf(task.intent)
 			.countInRack(this.ledger.find(worker)?.rack ?? '')
-		return { kind: 'start', task, worker, reason: reasonFor(task, count) }
+		return { kind: 'start', task, worker, reason: reasonOf(task, count) }
 	}
 
-	private enter(running: RunningTask): void {
+	private addRunning(running: RunningTask): void {
 		const { task, worker, reserved } = running
 		this.running.set(task.id, running)
-		this.account(task.team).addUsage(reserved)
+		this.accountOf(task.team).addUsage(reserved)
 		this.siblings.adjust(task.intent, worker, this.ledger.find(worker)?.rack ?? '', 1)
 	}
 
-	private live(item: Pending): Task[] {
-		if (item.cancelled === 0) return item.tasks as Task[]
+	private uncancelledTasks(item: PendingItem): Task[] {
+		if (item.cancelledCount === 0) return item.tasks as Task[]
 		return item.tasks.filter((task) => this.pending.get(task.id) === item)
 	}
 
-	private account(name: string): TeamAccount {
+	private accountOf(name: string): TeamAccount {
 		let account = this.teams.get(name)
 		if (!account) {
 			account = new TeamAccount({ name, weight: 1 })
@@ -352,13 +358,13 @@
 		if (shape === undefined) {
 			shape = this.shapes.size
 			this.shapes.set(key, shape)
-			this.failedAt[shape] = NO_RELEASE
+			this.failedAtRelease[shape] = NO_RELEASE
 		}
 		return shape
 	}
 }
 
-function reasonFor(task: Task, inRack: number): string {
+function reasonOf(task: Task, inRack: number): string {
 	switch (task.kind) {
 		case IntentKind.Service:
 			return `fits, with ${inRack - 1} of the same service in its rack`
--- a/packages/scheduler/src/lib/placement/Preemption.ts
+++ b/packages/scheduler/src/lib/placement/Preemption.ts
@@ -5,10 +5,10 @@
 import { fits, minus, plus, type Resources } from '../capacity/Resources'
 import { PreemptionMethod, type PreemptionDecision, type RunningTask, type Task } from './Task'
 
-const WORKERS_LOOKED_AT = 64
+const SAMPLE_SIZE = 64
 const COST: Record<PreemptionMethod, number> = { throttle: 1, checkpoint: 10, stop: 100 }
 
-interface Option {
+interface PreemptionOption {
 	readonly running: RunningTask
 	readonly how: PreemptionMethod
 	readonly freed: Resources
@@ -21,8 +21,8 @@
  */
 export class Preemption {
 	/** For each urgent task, the tasks that are still to make room. */
-	private readonly awaited = new Map<string, Set<string>>()
-	private readonly beneficiary = new Map<string, string>()
+	private readonly victims = new Map<string, Set<string>>()
+	private readonly beneficiaries = new Map<string, string>()
 
 	constructor(
 		private readonly ledger: Ledger,
@@ -30,66 +30,66 @@
 	) {}
 
 	/** Whether room is being made for this task. */
-	awaits(task: string): boolean {
-		return (this.awaited.get(task)?.size ?? 0) > 0
+	isPreemptingFor(task: string): boolean {
+		return (this.victims.get(task)?.size ?? 0) > 0
 	}
 
 	/** The task has been placed or withdrawn; whoever still moves, moves for nobody. */
-	placed(task: string): void {
-		for (const victim of this.awaited.get(task) ?? []) this.beneficiary.delete(victim)
-		this.awaited.delete(task)
+	onPlaced(task: string): void {
+		for (const victim of this.victims.get(task) ?? []) this.beneficiaries.delete(victim)
+		this.victims.delete(task)
 	}
 
 	/** A task has gone. */
-	left(running: RunningTask): void {
-		this.done(running.task.id)
+	onEnded(running: RunningTask): void {
+		this.onPreempted(running.task.id)
 	}
 
 	/** A task has been throttled. */
-	slowed(running: RunningTask): void {
-		this.done(running.task.id)
+	onThrottled(running: RunningTask): void {
+		this.onPreempted(running.task.id)
 	}
 
 	/** Chooses the worker, among some, where making room costs the least. */
 	plan(task: Task, need: Resources, running: Map<string, RunningTask>): PreemptionDecision[] {
 		const byWorker = this.sample(running)
-		let best: Option[] = []
+		let best: PreemptionOption[] = []
 		let bestCost = Number.POSITIVE_INFINITY
-		for (const [worker, there] of byWorker) {
-			const options = this.optionsOn(worker, need, there)
+		for (const [worker, runningThere] of byWorker) {
+			const options = this.optionsOn(worker, need, runningThere)
 			const cost = options.reduce((sum, option) => sum + COST[option.how], 0)
 			if (options.length > 0 && cost < bestCost) {
 				best = options
 				bestCost = cost
 			}
 		}
-		return best.map((option) => this.relieve(task, option))
+		return best.map((option) => this.preempt(task, option))
 	}
 
 	private sample(running: Map<string, RunningTask>): Map<string, RunningTask[]> {
 		const byWorker = new Map<string, RunningTask[]>()
-		const movable = [...running.values()].filter(isMovable)
-		if (movable.length === 0) return byWorker
-		const wanted = new Set<string>()
-		for (let count = 0; count < WORKERS_LOOKED_AT; count++) {
-			wanted.add(this.random.pick(movable).worker)
+		const preemptible = [...running.values()].filter(isPreemptible)
+		if (preemptible.length === 0) return byWorker
+		const sampled = new Set<string>()
+		for (let count = 0; count < SAMPLE_SIZE; count++) {
+			sampled.add(this.random.pick(preemptible).worker)
 		}
-		for (const one of movable) {
-			if (!wanted.has(one.worker)) continue
-			const there = byWorker.get(one.worker) ?? []
-			there.push(one)
-			byWorker.set(one.worker, there)
+		for (const one of preemptible) {
+			if (!sampled.has(one.worker)) continue
+			const runningThere = byWorker.get(one.worker) ?? []
+			runningThere.push(one)
+			byWorker.set(one.worker, runningThere)
 		}
 		return byWorker
 	}
 
 	/** The gentlest set that frees enough on a worker; empty when there is none. */
-	private optionsOn(id: string, need: Resources, there: RunningTask[]): Option[] {
+	private optionsOn(id: string, need: Resources, runningThere: RunningTask[]): PreemptionOption[] {
 		const worker = this.ledger.find(id)
 		if (!worker?.isOpen) return []
-		const options = there.flatMap(waysToRelieve).sort((a, b) => COST[a.how] - COST[b.how])
+		const options = runningThere.flatMap(optionsFor).sort((a, b) => COST[a.how] - COST[b.how])
 		let free = worker.free
-		const chosen = new Map<string, Option>()
+		const chosen = new Map<string, PreemptionOption>()
 		for (const option of options) {
 			if (fits(need, free)) break
 			const earlier = chosen.get(option.running.task.id)
@@ -100,13 +100,13 @@
 		return fits(need, free) ? [...chosen.values()] : []
 	}
 
-	private relieve(task: Task, option: Option): PreemptionDecision {
+	private preempt(task: Task, option: PreemptionOption): PreemptionDecision {
 		const victim = option.running.task
 		option.running.isBeingPreempted = true
-		this.beneficiary.set(victim.id, task.id)
-		const awaited = this.awaited.get(task.id) ?? new Set()
+		this.beneficiaries.set(victim.id, task.id)
+		const awaited = this.victims.get(task.id) ?? new Set()
 		awaited.add(victim.id)
-		this.awaited.set(task.id, awaited)
+		this.victims.set(task.id, awaited)
 		return {
 			kind: 'relieve',
 			task: victim,
@@ -116,23 +116,23 @@
 		}
 	}
 
-	private done(victim: string): void {
-		const task = this.beneficiary.get(victim)
+	private onPreempted(victim: string): void {
+		const task = this.beneficiaries.get(victim)
 		if (task === undefined) return
-		this.beneficiary.delete(victim)
-		this.awaited.get(task)?.delete(victim)
+		this.beneficiaries.delete(victim)
+		this.victims.get(task)?.delete(victim)
 	}
 }
 
 /** Only batch work moves: services stay up, and a gang would have to move whole. */
-function isMovable(running: RunningTask): boolean {
+function isPreemptible(running: RunningTask): boolean {
 	const { kind, urgent } = running.task
 	return kind === IntentKind.Batch && !urgent && !running.isBeingPreempted
 }
 
-function waysToRelieve(running: RunningTask): Option[] {
+function optionsFor(running: RunningTask): PreemptionOption[] {
 	const { task, reserved } = running
-	const options: Option[] = []
+	const options: PreemptionOption[] = []
 	if (task.throttleTo !== undefined && task.throttleTo < reserved.cpu) {
 		const freed = { cpu: reserved.cpu - task.throttleTo, memory: 0, accelerators: 0 }
 		options.push({ running, how: PreemptionMethod.Throttle, freed })
--- a/packages/scheduler/src/lib/placement/QuotaAccount.ts
+++ b/packages/scheduler/src/lib/placement/QuotaAccount.ts
@@ -2,7 +2,7 @@
 import { minus, NO_RESOURCES, plus, type Resources } from '../capacity/Resources'
 
 /** Stands for a weight of nothing, so that a share against it is a number. */
-const LEAST_WEIGHT = 0.001
+const MIN_WEIGHT = 0.001
 
 /** The most that may be in use at a time; a resource that is left out is not limited. @public */
 export type Quota = Partial<Resources>
@@ -30,7 +30,7 @@
 
 	/** Its weight as a number to divide by. */
 	get weight(): number {
-		return Math.max(LEAST_WEIGHT, this.terms.weight)
+		return Math.max(MIN_WEIGHT, this.terms.weight)
 	}
 
 	/** The largest share of any resource that it uses, against its weight. */
--- a/packages/scheduler/src/lib/placement/TeamAccount.ts
+++ b/packages/scheduler/src/lib/placement/TeamAccount.ts
@@ -3,31 +3,31 @@
 import { QuotaAccount } from './QuotaAccount'
 import { WaitingReason, type Task } from './Task'
 
-const DEFAULT_RUN_TIME = 600_000
+const DEFAULT_RUN_TIME_MS = 600_000
 /**
  * Batch without a deadline counts as due this long after it was submitted, so that it can not
  * starve.
  */
-const PATIENCE = 3_600_000
+const BATCH_DUE_AFTER_MS = 3_600_000
 /** What has missed its deadline counts as due this long after that was seen. */
-const LATE_PATIENCE = 120_000
+const LATE_DUE_AFTER_MS = 120_000
 
 /** A task that waits, or a whole gang of them. @internal */
-export interface Pending {
+export interface PendingItem {
 	readonly tasks: readonly Task[]
 	/** Latest moment to start and still meet the deadline; the order within a team. */
 	latestStart: number
 	/** Whether it has missed its deadline. */
-	late: boolean
+	isLate: boolean
 	/** Tasks of the same need have the same number. */
 	readonly shape: number
-	waiting: WaitingReason
+	waitingReason: WaitingReason
 	/** Tasks of it that were cancelled while it waited. */
-	cancelled: number
+	cancelledCount: number
 }
 
 /** Orders what waits in one team: urgent first, then the least time left. @internal */
-export function before(left: Pending, right: Pending): number {
+export function comparePending(left: PendingItem, right: PendingItem): number {
 	const urgent = Number(right.tasks[0].urgent) - Number(left.tasks[0].urgent)
 	if (urgent !== 0) return urgent
 	if (left.latestStart !== right.latestStart) return left.latestStart - right.latestStart
@@ -40,7 +40,7 @@
  * @internal
  */
 export class TeamAccount extends QuotaAccount {
-	readonly waiting = new Heap<Pending>(before)
+	readonly waiting = new Heap<PendingItem>(comparePending)
 }
 
 /**
@@ -50,9 +50,9 @@
  * batch without one an hour later.
  * @internal
  */
-export function latestStart(task: Task, runTime = task.runTime || DEFAULT_RUN_TIME): number {
+export function latestStartOf(task: Task, runTime = task.runTime || DEFAULT_RUN_TIME_MS): number {
 	if (task.deadline !== undefined) return task.deadline - runTime
-	return task.kind === 'batch' ? task.submitted + PATIENCE : task.submitted
+	return task.kind === 'batch' ? task.submitted + BATCH_DUE_AFTER_MS : task.submitted
 }
 
 /**
@@ -65,11 +65,11 @@
  * @returns whether its place has changed, so that it goes back into the queue.
  * @internal
  */
-export function giveWay(item: Pending, now: number): boolean {
+export function demoteIfLate(item: PendingItem, now: number): boolean {
 	const [first] = item.tasks
-	if (item.late || first.urgent || first.deadline === undefined) return false
+	if (item.isLate || first.urgent || first.deadline === undefined) return false
 	if (first.deadline >= now) return false
-	item.late = true
-	item.latestStart = now + LATE_PATIENCE
+	item.isLate = true
+	item.latestStart = now + LATE_DUE_AFTER_MS
 	return true
 }
--- a/packages/scheduler/src/lib/placement/chooseWorker.ts
+++ b/packages/scheduler/src/lib/placement/chooseWorker.ts
@@ -42,7 +42,7 @@
 	let best: LedgerWorker | undefined
 	let bestScore = Number.POSITIVE_INFINITY
 	for (const worker of candidates) {
-		const score = leftOver(worker, need) + (spread ? crowding(worker, siblings) : 0)
+		const score = packingScoreOf(worker, need) + (spread ? spreadPenaltyOf(worker, siblings) : 0)
 		if (score < bestScore) {
 			bestScore = score
 			best = worker
@@ -52,19 +52,19 @@
 }
 
 /** What is left over after the task, as a share; lower is better packed. */
-function leftOver(worker: LedgerWorker, need: Resources): number {
+function packingScoreOf(worker: LedgerWorker, need: Resources): number {
 	const cpu = (worker.free.cpu - need.cpu) / Math.max(1, worker.capacity.cpu)
 	const memory = (worker.free.memory - need.memory) / Math.max(1, worker.capacity.memory)
-	const wasted = need.accelerators === 0 && worker.free.accelerators > 0
+	const leavesAcceleratorsIdle = need.accelerators === 0 && worker.free.accelerators > 0
 	return (
 		cpu +
 		memory +
 		Math.abs(cpu - memory) * IMBALANCE_WEIGHT +
-		(wasted ? IDLE_ACCELERATOR_PENALTY : 0)
+		(leavesAcceleratorsIdle ? IDLE_ACCELERATOR_PENALTY : 0)
 	)
 }
 
-function crowding(worker: LedgerWorker, siblings: TaskCounts): number {
+function spreadPenaltyOf(worker: LedgerWorker, siblings: TaskCounts): number {
 	return (
 		siblings.countOnWorker(worker.id) * SAME_WORKER_PENALTY +
 		siblings.countInRack(worker.rack) * SAME_RACK_PENALTY
--- a/packages/scheduler/src/lib/placement/explainInfeasibility.ts
+++ b/packages/scheduler/src/lib/placement/explainInfeasibility.ts
@@ -14,12 +14,14 @@
  */
 export function explainInfeasibility(ledger: Ledger, intent: Intent, quota?: Resources): string[] {
 	const reasons: string[] = []
-	let room = 0
-	for (const worker of ledger.all()) room += copiesThatFit(intent.each, worker.capacity)
-	if (room === 0) {
+	let copies = 0
+	for (const worker of ledger.all()) copies += countCopies(intent.each, worker.capacity)
+	if (copies === 0) {
 		reasons.push(`no worker is large enough for one task (${describe(intent.each)})`)
-	} else if (intent.kind === 'gang' && room < intent.tasks) {
-		reasons.push(`the gang needs ${intent.tasks} tasks at once; an empty data centre holds ${room}`)
+	} else if (intent.kind === 'gang' && copies < intent.tasks) {
+		reasons.push(
+			`the gang needs ${intent.tasks} tasks at once; an empty data centre holds ${copies}`
+		)
 	}
 	const together = intent.kind === 'gang' ? intent.tasks : 1
 	if (quota && !fits(times(intent.each, together), quota)) {
@@ -29,7 +31,7 @@
 	return reasons
 }
 
-function copiesThatFit(need: Resources, capacity: Resources): number {
+function countCopies(need: Resources, capacity: Resources): number {
 	if (!fits(need, capacity)) return 0
 	const cpu = need.cpu > 0 ? capacity.cpu / need.cpu : Number.POSITIVE_INFINITY
 	const memory = need.memory > 0 ? capacity.memory / need.memory : Number.POSITIVE_INFINITY
--- a/packages/scheduler/src/lib/placement/maxMinLevel.ts
+++ b/packages/scheduler/src/lib/placement/maxMinLevel.ts
@@ -15,17 +15,17 @@
  * can use.
  *
  * @param contenders - those who want room.
- * @param room - what there is for them.
+ * @param capacity - what there is for them.
  * @returns the level; infinite when there is room for all that they can use.
  * @public
  */
-export function maxMinLevel(contenders: readonly Contender[], room: number): number {
-	const byLevel = [...contenders].sort((left, right) => levelOf(left) - levelOf(right))
+export function maxMinLevel(contenders: readonly Contender[], capacity: number): number {
+	const byLevel = [...contenders].sort((remaining, right) => levelOf(remaining) - levelOf(right))
 	let weight = contenders.reduce((sum, contender) => sum + contender.weight, 0)
-	let left = Math.max(0, room)
+	let remaining = Math.max(0, capacity)
 	for (const contender of byLevel) {
-		if (levelOf(contender) * weight >= left) return left / weight
-		left -= contender.maxUse
+		if (levelOf(contender) * weight >= remaining) return remaining / weight
+		remaining -= contender.maxUse
 		weight -= contender.weight
 	}
 	return Number.POSITIVE_INFINITY
