--- a/packages/scheduler/src/index.ts
+++ b/packages/scheduler/src/index.ts
@@ -1,4 +1,7 @@
-/** Ledger, placement, queues and limits as pure decisions. */
+/**
+ * Pure scheduling decisions: ledger, placement, quotas, worker health, request slots and retry
+ * budgets.
+ */
 export { Ledger } from './lib/capacity/Ledger'
 export { LedgerWorker, type WorkerOffer } from './lib/capacity/LedgerWorker'
 export { fits, minus, NO_RESOURCES, plus, times, type Resources } from './lib/capacity/Resources'
--- a/packages/scheduler/src/lib/placement/Estimator.ts
+++ b/packages/scheduler/src/lib/placement/Estimator.ts
@@ -1,10 +1,16 @@
-/** Learns run times and sizes from what workers report, since declared ones are often far off. */
+/**
+ * Learns run times and resource usage from the reports of workers, since declared ones are often
+ * inaccurate.
+ */
 import type { Resources } from '../capacity/Resources'
 import type { Task } from './Task'
 
+/** Weight of a new observation in the moving averages. */
 const NEW_WEIGHT = 0.3
 const MAX_INTENTS = 50_000
+/** Factor by which a reservation exceeds the observed usage. */
 const HEADROOM = 1.15
+/** Minimum share of the declared processors that is reserved. */
 const MIN_SHARE_OF_DECLARED = 0.5
 
 interface Estimate {
@@ -14,20 +20,20 @@
 }
 
 /**
- * What is known of the tasks of each intent.
+ * The learned run time and usage of each intent's tasks.
  *
  * @public
  */
 export class Estimator {
 	private readonly intents = new Map<string, Estimate>()
 
-	/** A task has ended after running this long, in milliseconds. */
+	/** Records the run time of a task that has ended, in milliseconds. */
 	recordRunTime(task: Task, runTime: number): void {
 		const learned = this.entryOf(task)
 		learned.runTime = average(learned.runTime, runTime)
 	}
 
-	/** A task has been seen to use this much. */
+	/** Records the observed usage of a task. */
 	recordUsage(task: Task, usage: Resources): void {
 		const learned = this.entryOf(task)
 		learned.cpu = Math.max(usage.cpu, average(learned.cpu, usage.cpu))
--- a/packages/scheduler/src/lib/placement/GangHold.ts
+++ b/packages/scheduler/src/lib/placement/GangHold.ts
@@ -8,9 +8,13 @@
 import { chooseWorker, NO_TASKS } from './chooseWorker'
 import type { PendingItem } from './TeamAccount'
 
-/** How long a gang waits for its chance before it holds, in milliseconds. @internal */
+/** How long a gang waits before it may hold capacity, in milliseconds. @internal */
 export const MIN_WAIT_MS = 30_000
-/** How long it holds before another gang may have its turn. @internal */
+/**
+ * How long a gang may hold capacity before another one gets its turn, in milliseconds.
+ *
+ * @internal
+ */
 export const MAX_HOLD_MS = 600_000
 
 interface Hold {
@@ -20,14 +24,16 @@
 	readonly since: number
 }
 
-/** What a gang that became whole starts with. @internal */
+/** The reservations of a gang that is complete. @internal */
 export interface CompleteGang {
+	/** The worker of each task. */
 	readonly workers: string[]
+	/** What is reserved for each task. */
 	readonly need: Resources
 }
 
 /**
- * The gang that holds, if any.
+ * The capacity that a gang holds, if any.
  *
  * @internal
  */
@@ -36,22 +42,25 @@
 
 	constructor(private readonly ledger: Ledger) {}
 
-	/** Whether no gang holds. */
+	/** Whether no gang holds capacity. */
 	get isFree(): boolean {
 		return this.hold === undefined
 	}
 
-	/** The gang that holds. */
+	/** The gang that holds capacity. */
 	get holder(): PendingItem | undefined {
 		return this.hold?.item
 	}
 
-	/** Whether this gang is the one that holds. */
+	/** Whether the given gang holds capacity. */
 	isHeldBy(item: PendingItem): boolean {
 		return this.hold?.item === item
 	}
 
-	/** Reserves for all tasks, or for none. */
+	/**
+	 * Reserves capacity for all tasks or for none. @returns the workers, or undefined if not all
+	 * tasks fit.
+	 */
 	reserveAll(need: Resources, count: number): string[] | undefined {
 		const workers: string[] = []
 		while (workers.length < count) {
@@ -63,14 +72,22 @@
 		return workers
 	}
 
-	/** Lets a gang that has waited long enough start to hold. */
+	/**
+	 * Lets a gang start to hold capacity if it has waited long enough and no other gang holds any.
+	 */
 	tryHold(item: PendingItem, need: Resources, now: number): void {
 		if (this.hold || now - item.tasks[0].submitted < MIN_WAIT_MS) return
 		this.hold = { item, need, workers: [], since: now }
 		this.reserveMore(item.tasks.length)
 	}
 
-	/** Holds more of what came free. @returns the whole gang once it is whole. */
+	/**
+	 * Reserves more of the released capacity, and ends the hold when the gang is complete, is
+	 * cancelled or has held for too long.
+	 *
+	 * @param count - the number of tasks that the gang still has.
+	 * @returns the reservations once the gang is complete.
+	 */
 	extend(count: number, now: number): CompleteGang | undefined {
 		if (!this.hold) return undefined
 		const { workers, need, since } = this.hold
--- a/packages/scheduler/src/lib/placement/Placement.ts
+++ b/packages/scheduler/src/lib/placement/Placement.ts
@@ -24,7 +24,7 @@
 import type { QuotaTerms } from './QuotaAccount'
 import { demoteIfLate, latestStartOf, TeamAccount, type PendingItem } from './TeamAccount'
 
-/** Tasks of one team that are passed over in one round when they do not fit. */
+/** Maximum number of tasks of one team that are skipped in one round because they don't fit. */
 const MAX_SKIPPED = 8
 const NO_RELEASE = -1
 
@@ -45,14 +45,14 @@
 	private readonly running = new Map<string, RunningTask>()
 	private readonly siblings = new SiblingCounts()
 	private readonly shapes = new Map<string, number>()
-	/** For each shape the release count at which it last did not fit. */
+	/** The ledger's release count at the last failed search, by shape. */
 	private readonly failedAtRelease: number[] = []
 	private readonly gangHold: GangHold
 	private readonly preemption: Preemption
 
 	/**
-	 * @param ledger - what is free.
-	 * @param random - chooses samples.
+	 * @param ledger - the reserved and free capacity.
+	 * @param random - draws samples of workers.
 	 */
 	constructor(
 		private readonly ledger: Ledger,
@@ -62,12 +62,12 @@
 		this.preemption = new Preemption(ledger, random)
 	}
 
-	/** How many tasks wait. */
+	/** The number of waiting tasks. */
 	get waitingCount(): number {
 		return this.pending.size
 	}
 
-	/** How many tasks run. */
+	/** The number of running tasks. */
 	get runningCount(): number {
 		return this.running.size
 	}
@@ -78,7 +78,7 @@
 	}
 
 	/**
-	 * Takes tasks in; those of a gang come together and start together.
+	 * Adds waiting tasks. The tasks of a gang are submitted together and start together.
 	 *
 	 * @param tasks - one task, or all tasks of a gang.
 	 */
@@ -97,7 +97,7 @@
 	}
 
 	/**
-	 * Withdraws a task that waits. It costs the same however many wait.
+	 * Cancels a waiting task in constant time, whatever the number of waiting tasks.
 	 *
 	 * @param id - a task.
 	 * @returns whether it was waiting.
@@ -110,14 +110,14 @@
 		return true
 	}
 
-	/** Takes up a task that a leader before this one has started. */
+	/** Restores a task that an earlier leader has started. */
 	restore(task: Task, worker: string, reserved: Resources, since: number): void {
 		this.ledger.restore(worker, reserved)
 		this.addRunning({ task, worker, reserved, since, isBeingPreempted: false })
 	}
 
 	/**
-	 * A task no longer runs and its lease is over.
+	 * Handles the end of a task whose lease is over.
 	 *
 	 * @param id - the task.
 	 */
@@ -133,7 +133,7 @@
 	}
 
 	/**
-	 * A task goes on with fewer processors.
+	 * Handles the throttling of a task.
 	 *
 	 * @param id - the task.
 	 * @param cpu - thousandths of a processor that it keeps.
@@ -150,11 +150,11 @@
 	}
 
 	/**
-	 * Decides as much as can start now.
+	 * Decides what can start now.
 	 *
 	 * @param now - milliseconds since the epoch.
-	 * @param limit - how many decisions at most.
-	 * @returns what to carry out; starts are already reserved in the ledger.
+	 * @param limit - maximum number of decisions.
+	 * @returns the decisions to carry out; starts are already reserved in the ledger.
 	 */
 	decide(now: number, limit: number): Decision[] {
 		const decisions: Decision[] = []
@@ -167,7 +167,7 @@
 
 	/**
 	 * @param id - a task.
-	 * @returns why it waits, or undefined when it does not.
+	 * @returns why it waits; undefined if it doesn't.
 	 */
 	waitingReasonOf(id: string): WaitingReason | undefined {
 		return this.pending.get(id)?.waitingReason
@@ -178,7 +178,7 @@
 		return this.running.get(id)
 	}
 
-	/** @returns what a team uses, and where it stands against its weight. */
+	/** @returns the resources that a team uses. */
 	usageOf(team: string): Resources {
 		return this.accountOf(team).used
 	}
@@ -214,7 +214,7 @@
 		return best
 	}
 
-	/** Starts the first of a team's tasks that can start. @returns whether one did. */
+	/** Starts the first of a team's tasks that can start. @returns whether any was started. */
 	private startNextOf(account: TeamAccount, now: number, decisions: Decision[]): boolean {
 		const skipped: PendingItem[] = []
 		let started = false
@@ -298,12 +298,12 @@
 	}
 
 	private continueGang(now: number, decisions: Decision[]): void {
-		const held = this.gangHold.holder
-		if (!held) return
-		const tasks = this.uncancelledTasks(held)
+		const holder = this.gangHold.holder
+		if (!holder) return
+		const tasks = this.uncancelledTasks(holder)
 		const complete = this.gangHold.extend(tasks.length, now)
 		if (!complete) return
-		this.accountOf(tasks[0].team).waiting.remove(held, (left, right) => left === right)
+		this.accountOf(tasks[0].team).waiting.remove(holder, (left, right) => left === right)
 		this.startGang(tasks, complete.workers, complete.need, now, decisions)
 	}
 
--- a/packages/scheduler/src/lib/placement/Preemption.ts
+++ b/packages/scheduler/src/lib/placement/Preemption.ts
@@ -1,11 +1,16 @@
-/** Makes room for urgent work: throttles before it checkpoints, and checkpoints before it stops. */
+/**
+ * Preempts batch work for urgent work: prefers throttling to checkpointing, and checkpointing to
+ * stopping.
+ */
 import type { Random } from '@rillrudder/utils'
 import { IntentKind } from '@rillrudder/settings'
 import type { Ledger } from '../capacity/Ledger'
 import { fits, minus, plus, type Resources } from '../capacity/Resources'
 import { PreemptionMethod, type PreemptionDecision, type RunningTask, type Task } from './Task'
 
+/** The number of preemptible tasks that are drawn at random; their workers are considered. */
 const SAMPLE_SIZE = 64
+/** Relative cost of each method. */
 const COST: Record<PreemptionMethod, number> = { throttle: 1, checkpoint: 10, stop: 100 }
 
 interface PreemptionOption {
@@ -15,12 +20,12 @@
 }
 
 /**
- * Moves batch work out of the way of urgent work.
+ * Preempts batch work for urgent work.
  *
  * @internal
  */
 export class Preemption {
-	/** For each urgent task, the tasks that are still to make room. */
+	/** The tasks that are being preempted, by the urgent task that they are preempted for. */
 	private readonly victims = new Map<string, Set<string>>()
 	private readonly beneficiaries = new Map<string, string>()
 
@@ -29,28 +34,38 @@
 		private readonly random: Random
 	) {}
 
-	/** Whether room is being made for this task. */
+	/** Whether tasks are being preempted for the given task. */
 	isPreemptingFor(task: string): boolean {
 		return (this.victims.get(task)?.size ?? 0) > 0
 	}
 
-	/** The task has been placed or withdrawn; whoever still moves, moves for nobody. */
+	/**
+	 * Handles the placement of an urgent task: preemptions still in progress no longer have a
+	 * beneficiary.
+	 */
 	onPlaced(task: string): void {
 		for (const victim of this.victims.get(task) ?? []) this.beneficiaries.delete(victim)
 		this.victims.delete(task)
 	}
 
-	/** A task has gone. */
+	/** Handles the end of a task. */
 	onEnded(running: RunningTask): void {
 		this.onPreempted(running.task.id)
 	}
 
-	/** A task has been throttled. */
+	/** Handles the throttling of a task. */
 	onThrottled(running: RunningTask): void {
 		this.onPreempted(running.task.id)
 	}
 
-	/** Chooses the worker, among some, where making room costs the least. */
+	/**
+	 * Chooses the worker where preemption costs the least, among a random sample.
+	 *
+	 * @param task - the urgent task.
+	 * @param need - what it needs.
+	 * @param running - all running tasks, by id.
+	 * @returns the preemptions to carry out; empty if none would free enough.
+	 */
 	plan(task: Task, need: Resources, running: Map<string, RunningTask>): PreemptionDecision[] {
 		const byWorker = this.sample(running)
 		let best: PreemptionOption[] = []
@@ -83,7 +98,7 @@
 		return byWorker
 	}
 
-	/** The gentlest set that frees enough on a worker; empty when there is none. */
+	/** The options, cheapest first, that free enough on a worker; empty if there are none. */
 	private optionsOn(id: string, need: Resources, runningThere: RunningTask[]): PreemptionOption[] {
 		const worker = this.ledger.find(id)
 		if (!worker?.isOpen) return []
@@ -104,9 +119,9 @@
 		const victim = option.running.task
 		option.running.isBeingPreempted = true
 		this.beneficiaries.set(victim.id, task.id)
-		const awaited = this.victims.get(task.id) ?? new Set()
-		awaited.add(victim.id)
-		this.victims.set(task.id, awaited)
+		const victims = this.victims.get(task.id) ?? new Set()
+		victims.add(victim.id)
+		this.victims.set(task.id, victims)
 		return {
 			kind: 'relieve',
 			task: victim,
@@ -124,7 +139,9 @@
 	}
 }
 
-/** Only batch work moves: services stay up, and a gang would have to move whole. */
+/**
+ * Only batch work is preempted: services stay up, and a gang could only be preempted as a whole.
+ */
 function isPreemptible(running: RunningTask): boolean {
 	const { kind, urgent } = running.task
 	return kind === IntentKind.Batch && !urgent && !running.isBeingPreempted
--- a/packages/scheduler/src/lib/placement/QuotaAccount.test.ts
+++ b/packages/scheduler/src/lib/placement/QuotaAccount.test.ts
@@ -1,4 +1,4 @@
-/** What holders of quotas may use, and their shares. */
+/** Quotas and shares of their holders. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import { isWithinQuota, QuotaAccount, scaleQuota } from './QuotaAccount'
@@ -6,7 +6,7 @@
 const TOTAL = { cpu: 10_000, memory: 1000, accelerators: 0 }
 const SOME = { cpu: 1000, memory: 500, accelerators: 0 }
 
-test('a resource that a quota leaves out is not limited', () => {
+test('a resource that is absent from a quota is not limited', () => {
 	assert.ok(isWithinQuota(SOME, undefined))
 	assert.ok(isWithinQuota(SOME, { cpu: 1000 }))
 	assert.ok(!isWithinQuota(SOME, { cpu: 999 }))
@@ -14,7 +14,7 @@
 	assert.deepEqual({ ...scaleQuota({ cpu: 1000 }, 1.5) }.cpu, 1500)
 })
 
-test('what is taken counts until it is given back', () => {
+test('usage counts against the quota until it is subtracted', () => {
 	const account = new QuotaAccount({ name: 'town', weight: 1, quota: { memory: 900 } })
 	assert.ok(account.allows(SOME))
 	account.addUsage(SOME)
@@ -23,7 +23,7 @@
 	assert.ok(account.allows(SOME))
 })
 
-test('the share is that of the scarcest resource, against the weight, and a number without one', () => {
+test('the weighted share is the dominant share by weight, and finite for a weight of 0', () => {
 	const account = new QuotaAccount({ name: 'town', weight: 2 })
 	account.addUsage(SOME)
 	assert.equal(account.weightedShareOf(TOTAL), 0.25)
--- a/packages/scheduler/src/lib/placement/QuotaAccount.ts
+++ b/packages/scheduler/src/lib/placement/QuotaAccount.ts
@@ -1,16 +1,16 @@
-/** What one holder of a quota has reserved, against its quota and its weight. */
+/** What one holder of a quota has reserved, compared with its quota and its weight. */
 import { minus, NO_RESOURCES, plus, type Resources } from '../capacity/Resources'
 
-/** Stands for a weight of nothing, so that a share against it is a number. */
+/** Replaces a weight of 0, so that a weighted share stays finite. */
 const MIN_WEIGHT = 0.001
 
-/** The most that may be in use at a time; a resource that is left out is not limited. @public */
+/** The most that may be in use at a time; an absent resource is not limited. @public */
 export type Quota = Partial<Resources>
 
 /** What a holder may use. @public */
 export interface QuotaTerms {
 	readonly name: string
-	/** Its part of what all holders share, against the other holders' weights. */
+	/** Its part of what all holders share, relative to the weights of the others. */
 	readonly weight: number
 	/** Absent for no limit. */
 	readonly quota?: Quota
@@ -23,17 +23,17 @@
  */
 export class QuotaAccount {
 	used: Resources = NO_RESOURCES
-	/** What it has reserved at each service, where that is told. */
+	/** What it has reserved at each service, if that is recorded. */
 	private readonly reserved = new Map<string, Resources>()
 
 	constructor(public terms: QuotaTerms) {}
 
-	/** Its weight as a number to divide by. */
+	/** Its weight, above 0. */
 	get weight(): number {
 		return Math.max(MIN_WEIGHT, this.terms.weight)
 	}
 
-	/** The largest share of any resource that it uses, against its weight. */
+	/** @returns its dominant share of a total, divided by its weight. */
 	weightedShareOf(total: Resources): number {
 		return dominantShare(this.used, total) / this.weight
 	}
@@ -43,12 +43,12 @@
 		return this.reserved.get(service) ?? NO_RESOURCES
 	}
 
-	/** Notes that it has reserved an amount at a service. */
+	/** Records a reservation at a service. */
 	reserve(service: string, amount: Resources): void {
 		this.reserved.set(service, plus(this.reservedAt(service), amount))
 	}
 
-	/** Notes that it has given an amount back at a service. */
+	/** Records a release at a service. */
 	release(service: string, amount: Resources): void {
 		const left = minus(this.reservedAt(service), amount)
 		const isNothing = left.cpu <= 0 && left.memory <= 0 && left.accelerators <= 0
@@ -56,23 +56,27 @@
 		else this.reserved.set(service, left)
 	}
 
-	/** Whether the quota has room for that much more. */
+	/** Whether the quota allows that much more. */
 	allows(need: Resources): boolean {
 		return isWithinQuota(plus(this.used, need), this.terms.quota)
 	}
 
-	/** Takes an amount, whether the quota has room for it or not. */
+	/** Adds an amount to what is used, whether the quota allows it or not. */
 	addUsage(need: Resources): void {
 		this.used = plus(this.used, need)
 	}
 
-	/** Gives an amount back. */
+	/** Subtracts an amount from what is used. */
 	subtractUsage(need: Resources): void {
 		this.used = minus(this.used, need)
 	}
 }
 
-/** @returns the largest share of any resource that an amount is of a total. @public */
+/**
+ * @returns the dominant share: the largest share of a total that an amount takes of any resource.
+ *
+ * @public
+ */
 export function dominantShare(amount: Resources, total: Resources): number {
 	const cpu = amount.cpu / Math.max(1, total.cpu)
 	const memory = amount.memory / Math.max(1, total.memory)
@@ -80,7 +84,7 @@
 	return Math.max(cpu, memory, accelerators)
 }
 
-/** @returns a quota of so many times another. @public */
+/** @returns a quota multiplied by a factor. @public */
 export function scaleQuota({ cpu, memory, accelerators }: Quota, factor: number): Quota {
 	const scale = (amount: number | undefined): number | undefined =>
 		amount === undefined ? undefined : amount * factor
--- a/packages/scheduler/src/lib/placement/SiblingCounts.ts
+++ b/packages/scheduler/src/lib/placement/SiblingCounts.ts
@@ -1,4 +1,4 @@
-/** Counts where the running tasks of each intent are. */
+/** Counts the running tasks of each intent by worker and rack. */
 import { NO_TASKS, type TaskCounts } from './chooseWorker'
 
 class IntentCounts implements TaskCounts {
@@ -24,19 +24,23 @@
 }
 
 /**
- * Where the running tasks of each intent are.
+ * The running tasks of each intent, by worker and rack.
  *
  * @public
  */
 export class SiblingCounts {
 	private readonly intents = new Map<string, IntentCounts>()
 
-	/** Where an intent's tasks are. */
+	/** @returns the counts of an intent. */
 	countsOf(intent: string): TaskCounts {
 		return this.intents.get(intent) ?? NO_TASKS
 	}
 
-	/** A task has come to a worker, or with -1 has gone. */
+	/**
+	 * Counts a change of an intent's running tasks.
+	 *
+	 * @param by - 1 for a task that has started on the worker, -1 for one that has ended.
+	 */
 	adjust(intent: string, worker: string, rack: string, by: 1 | -1): void {
 		let counts = this.intents.get(intent)
 		if (!counts) {
--- a/packages/scheduler/src/lib/placement/Task.ts
+++ b/packages/scheduler/src/lib/placement/Task.ts
@@ -1,8 +1,8 @@
-/** Tasks as the placement knows them. */
+/** Tasks and decisions of the placement. */
 import type { IntentKind } from '@rillrudder/settings'
 import type { Resources } from '../capacity/Resources'
 
-/** A task that is to run. @public */
+/** A task to run. @public */
 export interface Task {
 	readonly id: string
 	readonly intent: string
@@ -12,21 +12,21 @@
 	readonly urgent: boolean
 	/** Milliseconds since the epoch; absent for none. */
 	readonly deadline?: number
-	/** Expected run time in milliseconds; a hint. */
+	/** Declared run time in milliseconds; a hint. */
 	readonly runTime: number
 	/** Milliseconds since the epoch. */
 	readonly submitted: number
-	/** Whether it can be stopped and go on later. */
+	/** Whether it can be stopped and resumed later. */
 	readonly checkpoints: boolean
-	/** Least processors that it goes on with; absent when it can't be throttled. */
+	/** Thousandths of a processor to which it can be throttled; absent if it can't be. */
 	readonly throttleTo?: number
-	/** For a gang: how many tasks must start together. */
+	/** The number of tasks that must start together; 1 for a task outside a gang. */
 	readonly gangSize: number
 }
 
 /** Why a task waits. @public */
 export const WaitingReason = {
-	/** Nobody has looked at it yet. */
+	/** It has not been considered yet. */
 	New: 'new',
 	/** Its team has used up its quota. */
 	Quota: 'quota',
@@ -34,22 +34,22 @@
 	Capacity: 'capacity',
 	/** Not all tasks of its gang can start yet. */
 	Gang: 'gang',
-	/** Lower work is being moved out of its way. */
+	/** Batch work is being preempted for it. */
 	Preempting: 'preempting',
 } as const
-/** One of the reasons. @public */
+/** One of the reasons of {@link WaitingReason}. @public */
 export type WaitingReason = (typeof WaitingReason)[keyof typeof WaitingReason]
 
-/** How work is moved out of the way of urgent work, gentlest first. @public */
+/** How a task is preempted, least disruptive first. @public */
 export const PreemptionMethod = {
 	Throttle: 'throttle',
 	Checkpoint: 'checkpoint',
 	Stop: 'stop',
 } as const
-/** One of the ways. @public */
+/** One of the methods of {@link PreemptionMethod}. @public */
 export type PreemptionMethod = (typeof PreemptionMethod)[keyof typeof PreemptionMethod]
 
-/** A task that runs. @public */
+/** A running task. @public */
 export interface RunningTask {
 	readonly task: Task
 	readonly worker: string
@@ -57,27 +57,28 @@
 	reserved: Resources
 	/** When it was placed, milliseconds since the epoch. */
 	readonly since: number
-	/** Set while it is being moved out of the way. */
+	/** Set while the task is being preempted. */
 	isBeingPreempted: boolean
 }
 
-/** A task starts on a worker. @public */
+/** The decision to start a task on a worker. @public */
 export interface StartDecision {
 	readonly kind: 'start'
 	readonly task: Task
 	readonly worker: string
-	/** Why there, for people. */
+	/** Why this worker was chosen, as text for people. */
 	readonly reason: string
 }
 
-/** A task makes room for another. @public */
+/** The decision to preempt a task for another one. @public */
 export interface PreemptionDecision {
 	readonly kind: 'relieve'
 	readonly task: Task
 	readonly worker: string
 	readonly how: PreemptionMethod
+	/** Id of the urgent task. */
 	readonly for: string
 }
 
-/** What the placement decides. @public */
+/** A decision of the placement. @public */
 export type Decision = StartDecision | PreemptionDecision
--- a/packages/scheduler/src/lib/placement/TeamAccount.ts
+++ b/packages/scheduler/src/lib/placement/TeamAccount.ts
@@ -1,4 +1,4 @@
-/** What a team uses and may use, and its tasks that wait. */
+/** What a team uses and may use, and its waiting tasks. */
 import Heap from 'heap-js'
 import { QuotaAccount } from './QuotaAccount'
 import { WaitingReason, type Task } from './Task'
@@ -9,24 +9,24 @@
  * starve.
  */
 const BATCH_DUE_AFTER_MS = 3_600_000
-/** What has missed its deadline counts as due this long after that was seen. */
+/** Work that has missed its deadline counts as due this long after that was detected. */
 const LATE_DUE_AFTER_MS = 120_000
 
-/** A task that waits, or a whole gang of them. @internal */
+/** A waiting task, or all waiting tasks of a gang. @internal */
 export interface PendingItem {
 	readonly tasks: readonly Task[]
-	/** Latest moment to start and still meet the deadline; the order within a team. */
+	/** The latest moment to start and still meet the deadline; orders the tasks of a team. */
 	latestStart: number
-	/** Whether it has missed its deadline. */
+	/** Whether it was demoted because it has missed its deadline. */
 	isLate: boolean
-	/** Tasks of the same need have the same number. */
+	/** Number of the need: tasks with equal needs and gang sizes have the same one. */
 	readonly shape: number
 	waitingReason: WaitingReason
-	/** Tasks of it that were cancelled while it waited. */
+	/** The number of its tasks that were cancelled while it waited. */
 	cancelledCount: number
 }
 
-/** Orders what waits in one team: urgent first, then the least time left. @internal */
+/** Orders the waiting tasks of one team: urgent ones first, then by latest start. @internal */
 export function comparePending(left: PendingItem, right: PendingItem): number {
 	const urgent = Number(right.tasks[0].urgent) - Number(left.tasks[0].urgent)
 	if (urgent !== 0) return urgent
@@ -35,7 +35,7 @@
 }
 
 /**
- * One team's account, with its tasks that wait.
+ * One team's account, with its waiting tasks.
  *
  * @internal
  */
--- a/packages/scheduler/src/lib/placement/chooseWorker.ts
+++ b/packages/scheduler/src/lib/placement/chooseWorker.ts
@@ -11,13 +11,13 @@
 const IMBALANCE_WEIGHT = 0.5
 const IDLE_ACCELERATOR_PENALTY = 2
 
-/** Where the tasks of one intent already are. @public */
+/** Counts of the running tasks of one intent. @public */
 export interface TaskCounts {
 	countOnWorker(worker: string): number
 	countInRack(rack: string): number
 }
 
-/** An intent that has no tasks yet. @public */
+/** The counts of an intent that has no running tasks. @public */
 export const NO_TASKS: TaskCounts = { countOnWorker: () => 0, countInRack: () => 0 }
 
 /**
@@ -51,7 +51,10 @@
 	return best
 }
 
-/** What is left over after the task, as a share; lower is better packed. */
+/**
+ * The shares of processors and memory that stay free after the placement, with penalties; lower is
+ * better.
+ */
 function packingScoreOf(worker: LedgerWorker, need: Resources): number {
 	const cpu = (worker.free.cpu - need.cpu) / Math.max(1, worker.capacity.cpu)
 	const memory = (worker.free.memory - need.memory) / Math.max(1, worker.capacity.memory)
--- a/packages/scheduler/src/lib/placement/explainInfeasibility.ts
+++ b/packages/scheduler/src/lib/placement/explainInfeasibility.ts
@@ -1,15 +1,15 @@
-/** Tells at once what can never run, with the reason. */
+/** Explains why an intent can never run, so that it is refused at once. */
 import type { Intent } from '@rillrudder/settings'
 import type { Ledger } from '../capacity/Ledger'
 import { fits, times, type Resources } from '../capacity/Resources'
 
 /**
- * WorkerPolls whether an intent could run in an empty data centre.
+ * Checks whether an intent could run in an empty data centre.
  *
  * @param ledger - the workers.
  * @param intent - the intent.
  * @param quota - its team's quota, if it has one.
- * @returns reasons why it can never run; empty when it can.
+ * @returns the reasons why it can never run; empty if it can.
  * @public
  */
 export function explainInfeasibility(ledger: Ledger, intent: Intent, quota?: Resources): string[] {
--- a/packages/scheduler/src/lib/placement/maxMinLevel.test.ts
+++ b/packages/scheduler/src/lib/placement/maxMinLevel.test.ts
@@ -1,10 +1,10 @@
-/** How scarce room is divided among those who want more than there is. */
+/** The division of scarce capacity among contenders that want more than there is. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import fc from 'fast-check'
 import { maxMinLevel, type Contender } from './maxMinLevel'
 
-test('what a modest one leaves goes to the others by weight', () => {
+test('capacity that one contender does not want goes to the others by weight', () => {
 	const modest = { weight: 1, maxUse: 0.1 }
 	const greedy = { weight: 1, maxUse: Infinity }
 	const heavy = { weight: 2, maxUse: Infinity }
@@ -18,7 +18,7 @@
 	maxUse: fc.double({ min: 0, max: 2, noNaN: true }),
 })
 
-test('whatever is wanted, all room is given out or all wishes are met, and never more', () => {
+test('the parts add up to the capacity or to all demands, whichever is less', () => {
 	fc.assert(
 		fc.property(fc.array(contender, { maxLength: 30 }), (contenders) => {
 			const level = maxMinLevel(contenders, 1)
--- a/packages/scheduler/src/lib/placement/maxMinLevel.ts
+++ b/packages/scheduler/src/lib/placement/maxMinLevel.ts
@@ -4,9 +4,9 @@
 
 /** One that wants a part of the room. @public */
 export interface Contender {
-	/** Its part against the others' weights, above 0. */
+	/** Its weight relative to the others, above 0. */
 	readonly weight: number
-	/** The most that it can use, in the unit of the room; infinite for no limit. */
+	/** The most that it can use, in the unit of the capacity; infinite for no limit. */
 	readonly maxUse: number
 }
 
@@ -20,7 +20,7 @@
  * @public
  */
 export function maxMinLevel(contenders: readonly Contender[], capacity: number): number {
-	const byLevel = [...contenders].sort((remaining, right) => levelOf(remaining) - levelOf(right))
+	const byLevel = [...contenders].sort((left, right) => levelOf(left) - levelOf(right))
 	let weight = contenders.reduce((sum, contender) => sum + contender.weight, 0)
 	let remaining = Math.max(0, capacity)
 	for (const contender of byLevel) {
@@ -31,7 +31,7 @@
 	return Number.POSITIVE_INFINITY
 }
 
-/** The level at which a contender has the most that it can use. */
+/** The level at which a contender gets the most that it can use. */
 function levelOf({ maxUse, weight }: Contender): number {
 	return maxUse / weight
 }
--- a/packages/scheduler/src/lib/scheduler.test.ts
+++ b/packages/scheduler/src/lib/scheduler.test.ts
@@ -40,7 +40,7 @@
 	return { ledger, placement: new Placement(ledger, random) }
 }
 
-test('whatever starts and ends, no worker is overcommitted and all comes back', () => {
+test('no worker is overcommitted, and all reservations are released, for any order of starts and ends', () => {
 	const step = fc.record({
 		cpu: fc.integer({ min: 1, max: 9000 }),
 		memory: fc.integer({ min: 1, max: 9000 }),
@@ -63,7 +63,7 @@
 	)
 })
 
-test('a gang starts whole or not at all, and in the end it starts', () => {
+test('a gang starts all at once or not at all, and starts eventually', () => {
 	const { placement } = cell(2)
 	const small = Array.from({ length: 12 }, () => task({}))
 	for (const one of small) placement.submit([one])
@@ -74,7 +74,7 @@
 	placement.submit(gang)
 	assert.equal(placement.decide(1000, 100).length, 0)
 	assert.equal(placement.waitingReasonOf(gang[0].id), WaitingReason.Gang)
-	// Small work goes on arriving; without a hold it would take what comes free for ever.
+	// Small tasks keep arriving; without a hold they would take all released capacity forever.
 	let started = 0
 	for (let now = 31_000; now < 60_000 && started === 0; now += 1000) {
 		const gone = small.shift()
@@ -86,7 +86,7 @@
 	assert.equal(started, 8)
 })
 
-test('urgent work makes batch give way, gentlest first', () => {
+test('urgent work preempts batch work, with the least disruptive method first', () => {
 	const { placement } = cell(1)
 	for (let count = 0; count < 8; count++) {
 		placement.submit([task({ throttleTo: count === 0 ? 100 : undefined, checkpoints: true })])
@@ -102,7 +102,7 @@
 	assert.equal(start.kind, 'start')
 })
 
-test('a team at its quota waits, and others go on', () => {
+test('a team at its quota waits while others start', () => {
 	const { placement } = cell(2)
 	placement.setTeams([
 		{ name: 'small', weight: 1, quota: { cpu: 1000, memory: 9000, accelerators: 0 } },
@@ -114,7 +114,7 @@
 	assert.equal(placement.waitingReasonOf(tasks[2].id), WaitingReason.Quota)
 })
 
-test('services keep away from their siblings', () => {
+test('the tasks of a service are spread over workers', () => {
 	const { placement } = cell(8)
 	const tasks = Array.from({ length: 8 }, () => task({ kind: IntentKind.Service }))
 	for (const one of tasks) placement.submit([one])
@@ -122,7 +122,7 @@
 	assert.equal(new Set(workers).size, 8)
 })
 
-test('a worker that fails for several customers is closed, tried again, and comes back', () => {
+test('a worker that fails for several customers is closed, probed and reopened', () => {
 	const health = new WorkerHealth()
 	for (let count = 0; count < 20; count++) for (const id of ['w1', 'w2', 'w3']) health.onSuccess(id)
 	for (let count = 0; count < 40; count++) health.onFailure('w1', `c${count % 3}`, 0)
@@ -133,7 +133,7 @@
 	assert.equal(health.closed, 0)
 })
 
-test('one customer whose requests fail closes no worker, and never are most workers closed', () => {
+test('failures of one customer close no worker, and at most a share of the workers is closed', () => {
 	const health = new WorkerHealth()
 	for (let count = 0; count < 50; count++) health.onFailure('w1', 'one customer', 0)
 	assert.equal(health.isOpen('w1', 1), true)
@@ -146,7 +146,7 @@
 	assert.ok(closed.length <= 2)
 })
 
-test('slots in use are held until they are free, also when the loan shrinks', () => {
+test('slots in use are held until they are released, even if fewer slots are lent', () => {
 	const pool = new SlotPool(new Random(1))
 	const lent = (slots: number) => [{ worker: 'w1', address: 'a', slots }]
 	pool.update(lent(2))
@@ -164,7 +164,7 @@
 	assert.deepEqual(pool.held(), [])
 })
 
-test('a worker that has refused work gets none until it is lent anew', () => {
+test('a worker that has refused work gets none until it is dropped and lent again', () => {
 	const pool = new SlotPool(new Random(1))
 	pool.update([{ worker: 'w1', address: 'a', slots: 2 }])
 	pool.close('w1')
