--- a/packages/scheduler/src/lib/placement/Estimator.ts
+++ b/packages/scheduler/src/lib/placement/Estimator.ts
@@ -41,15 +41,16 @@
 	}
 
 	/**
-	 * @returns the expected run time in milliseconds; the declared one until something is learned.
+	 * @returns the expected run time in milliseconds; the declared one until one is learned.
 	 */
 	expectedRunTime(task: Task): number {
 		return this.intents.get(keyOf(task))?.runTime ?? task.runTime
 	}
 
 	/**
-	 * @returns what to reserve for the next task of the intent: more where more was used, less only
-	 * for processors, since a task that lacks memory fails while one that lacks processors is slow.
+	 * @returns what to reserve for the next task of the intent. The reservation exceeds the declared
+	 * need if more was used. It is below the need only for processors: a task that lacks memory fails,
+	 * while one that lacks processors is only slow.
 	 */
 	reservationFor(task: Task): Resources {
 		const learned = this.intents.get(keyOf(task))
--- a/packages/scheduler/src/lib/placement/GangHold.ts
+++ b/packages/scheduler/src/lib/placement/GangHold.ts
@@ -1,6 +1,7 @@
 /**
- * Starts gangs whole. A gang that has waited too long may hold what comes free until it is whole.
- * Only one gang holds at a time, so that two never keep halves of what both need.
+ * Starts gangs all at once. A gang that has waited too long may hold released capacity until it is
+ * complete. Only one gang holds capacity at a time, so that two gangs can't deadlock, each with half
+ * of what it needs.
  */
 import { IntentKind } from '@rillrudder/settings'
 import type { Ledger } from '../capacity/Ledger'
--- a/packages/scheduler/src/lib/placement/Placement.ts
+++ b/packages/scheduler/src/lib/placement/Placement.ts
@@ -1,9 +1,9 @@
 /**
- * Decides which waiting task starts where, and what makes room for urgent work.
+ * Decides which waiting task starts where, and what is preempted for urgent work.
  *
- * Urgent work goes first; then gangs, one of which at a time may hold what comes free until it is
- * whole; then the team that uses the least of its share, and in it the task with the least time
- * left. What does not fit is passed over for what does.
+ * Urgent work goes first, then the gang that holds released capacity until it is complete, then the
+ * team with the lowest weighted share, and within it the task with the earliest latest start. Tasks
+ * that don't fit are skipped in favour of tasks that do.
  */
 import { invariant, type Random } from '@rillrudder/utils'
 import { IntentKind } from '@rillrudder/settings'
@@ -198,7 +198,10 @@
 	}
 
 	/**
-	 * The team that uses the least of its share, among those with urgent work where that is asked.
+	 * Returns the team with the lowest weighted share among those with waiting tasks.
+	 *
+	 * @param urgent - whether to consider only teams with urgent work.
+	 * @param blocked - teams to leave out, none of whose tasks can start.
 	 */
 	private nextTeam(urgent: boolean, blocked: Set<TeamAccount>): TeamAccount | undefined {
 		let best: TeamAccount | undefined
--- a/packages/scheduler/src/lib/placement/TeamAccount.ts
+++ b/packages/scheduler/src/lib/placement/TeamAccount.ts
@@ -5,7 +5,7 @@
 
 const DEFAULT_RUN_TIME_MS = 600_000
 /**
- * Batch without a deadline counts as due this long after it was submitted, so that it can not
+ * Batch work without a deadline counts as due this long after it was submitted, so that it can't
  * starve.
  */
 const BATCH_DUE_AFTER_MS = 3_600_000
@@ -45,9 +45,9 @@
 
 /**
  * @param task - a task.
- * @param runTime - how long it is expected to run, in milliseconds.
- * @returns the latest moment to start it; work without a deadline is due when it was submitted,
- * batch without one an hour later.
+ * @param runTime - its expected run time, in milliseconds.
+ * @returns the latest moment to start it. Without a deadline batch work is due an hour after it was
+ * submitted, and other work at once.
  * @internal
  */
 export function latestStartOf(task: Task, runTime = task.runTime || DEFAULT_RUN_TIME_MS): number {
@@ -56,13 +56,13 @@
 }
 
 /**
- * Lets what has missed its deadline give way to what has not: helping the late first would make the
- * next ones late as well. What is only expected to miss it keeps its place, since the expectation
- * is often wrong.
+ * Demotes work that has missed its deadline behind work that has not: serving late work first would
+ * make the next work late as well. Work that is only expected to miss its deadline keeps its place,
+ * since the estimate is often wrong.
  *
- * @param item - what waits, taken from the queue.
+ * @param item - the waiting work, already removed from the queue.
  * @param now - milliseconds since the epoch.
- * @returns whether its place has changed, so that it goes back into the queue.
+ * @returns whether it was demoted, so that it has to be queued again.
  * @internal
  */
 export function demoteIfLate(item: PendingItem, now: number): boolean {
--- a/packages/scheduler/src/lib/placement/chooseWorker.ts
+++ b/packages/scheduler/src/lib/placement/chooseWorker.ts
@@ -21,14 +21,15 @@
 export const NO_TASKS: TaskCounts = { countOnWorker: () => 0, countInRack: () => 0 }
 
 /**
- * Chooses the worker for one task: services away from their siblings, everything else where the
- * least is left over, and processors and memory run out together.
+ * Chooses the worker for one task. Tasks are packed where the least is left over, with a penalty if
+ * processors and memory are left in different proportions. The tasks of a service are also spread
+ * away from their siblings.
  *
- * @param ledger - what is free.
- * @param need - what the task takes.
+ * @param ledger - the free capacity.
+ * @param need - what the task needs.
  * @param kind - the kind of its intent.
- * @param siblings - where the intent's other tasks are.
- * @returns the worker, or undefined when none fits.
+ * @param siblings - the running tasks of the same intent.
+ * @returns the worker, or undefined if none fits.
  * @public
  */
 export function chooseWorker(
--- a/packages/scheduler/src/lib/placement/maxMinLevel.ts
+++ b/packages/scheduler/src/lib/placement/maxMinLevel.ts
@@ -1,8 +1,9 @@
 /**
- * Divides room among those who want it: by weight, and what one doesn't want goes to the others.
+ * Weighted max-min fairness: capacity is divided by weight, and what one contender doesn't want
+ * goes to the others.
  */
 
-/** One that wants a part of the room. @public */
+/** One of those that compete for capacity. @public */
 export interface Contender {
 	/** Its weight relative to the others, above 0. */
 	readonly weight: number
@@ -11,12 +12,12 @@
 }
 
 /**
- * Weighted max-min fairness: each contender gets its weight times the level, or the most that it
- * can use.
+ * Computes the max-min fair level: each contender gets its weight times the level, or the most that
+ * it can use.
  *
- * @param contenders - those who want room.
- * @param capacity - what there is for them.
- * @returns the level; infinite when there is room for all that they can use.
+ * @param contenders - the contenders.
+ * @param capacity - the capacity to divide among them.
+ * @returns the level; infinite if the capacity suffices for all that they can use.
  * @public
  */
 export function maxMinLevel(contenders: readonly Contender[], capacity: number): number {
