--- a/packages/jobs/src/lib/shares/AccountShares.ts
+++ b/packages/jobs/src/lib/shares/AccountShares.ts
@@ -66,8 +66,9 @@
 	}
 
 	/**
-	 * Updates the shares. @returns the accounts that have gone over a share, or have come back within
-	 * it.
+	 * Updates the shares.
+	 *
+	 * @returns the accounts that have gone over a share, or have come back within it.
 	 */
 	update({ now, capacities, accounts, demands }: ShareInputs): ServiceStanding[] {
 		const holders = [...accounts]
--- a/packages/jobs/src/lib/shares/AdviceShares.test.ts
+++ b/packages/jobs/src/lib/shares/AdviceShares.test.ts
@@ -1,4 +1,4 @@
-/** Accounts that compete for the instances that ask workers for advice. */
+/** Accounts that compete for the instances that ask for advice. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import { QuotaAccount } from '@rillrudder/scheduler'
--- a/packages/jobs/src/lib/shares/AdviceShares.ts
+++ b/packages/jobs/src/lib/shares/AdviceShares.ts
@@ -1,4 +1,4 @@
-/** How client accounts share the time of the instances that ask workers for advice. */
+/** How client accounts share the time of the instances that ask for advice. */
 import type { QuotaAccount } from '@rillrudder/scheduler'
 import { compareTier, type Urgency } from '../placement/StepUrgency'
 
--- a/packages/jobs/src/lib/shares/ServiceShares.ts
+++ b/packages/jobs/src/lib/shares/ServiceShares.ts
@@ -162,8 +162,8 @@
 	}
 
 	/**
-	 * The account's share beside the waiting accounts; one that does not wait is assumed to want all
-	 * that it can get.
+	 * The account's share in competition with the waiting accounts. An account that does not wait is
+	 * assumed to want all that it can get.
 	 */
 	private computeShare(account: QuotaAccount): number {
 		const entry = this.entries.get(account.terms.name)
--- a/packages/jobs/src/lib/shares/StepShares.ts
+++ b/packages/jobs/src/lib/shares/StepShares.ts
@@ -112,15 +112,15 @@
 
 	/** The capacity of all workers, by service. */
 	private capacitiesOf({ workers }: WaitingSteps): Map<string, ServiceCapacity> {
-		const accounts = new Map<string, LedgerWorker[]>()
+		const byService = new Map<string, LedgerWorker[]>()
 		for (const { id, worker } of workers) {
-			const account = this.context.ledger.find(id)
-			if (!account) continue
-			const others = accounts.get(worker.service)
-			if (others) others.push(account)
-			else accounts.set(worker.service, [account])
+			const entry = this.context.ledger.find(id)
+			if (!entry) continue
+			const others = byService.get(worker.service)
+			if (others) others.push(entry)
+			else byService.set(worker.service, [entry])
 		}
-		return new Map([...accounts].map(([service, each]) => [service, capacityOf(each)]))
+		return new Map([...byService].map(([service, each]) => [service, capacityOf(each)]))
 	}
 
 	/** The demands of steps that wait only for capacity, not for a quota or for preceding steps. */
--- a/packages/jobs/src/lib/shares/orderByShare.test.ts
+++ b/packages/jobs/src/lib/shares/orderByShare.test.ts
@@ -28,8 +28,10 @@
 })
 
 /**
- * Starts the steps that fit, in order. @returns the steps as tried, with whether each was started
- * and whether its account was over its share.
+ * Starts the steps that fit, in order.
+ *
+ * @returns the steps as tried, with whether each was started and whether its account was over its
+ * share.
  */
 function place(steps: readonly Step[], capacity: number) {
 	const held = new Map<number, number>()
--- a/packages/jobs/src/lib/speeds/SpeedSpread.ts
+++ b/packages/jobs/src/lib/speeds/SpeedSpread.ts
@@ -13,7 +13,7 @@
  */
 const ERROR_MARGIN = 1.5
 /**
- * Speed of the slowest quarter, as a share of the median, below which the spread becomes
+ * Speed of the slowest quarter, as a share of the median, below which the spread is
  * wide.
  */
 const DIFFERENT_BELOW = 0.65
--- a/packages/jobs/src/lib/speeds/WorkerSpeeds.ts
+++ b/packages/jobs/src/lib/speeds/WorkerSpeeds.ts
@@ -18,8 +18,7 @@
 /** The changes of an update. @internal */
 export interface SpeedChanges {
 	/**
-	 * Whether the spread of speeds has become wide or no longer is; undefined if that hasn't
-	 * changed.
+	 * Whether the spread of speeds has become wide or no longer is; undefined if unchanged.
 	 */
 	readonly isSpreadWide: boolean | undefined
 	/** Workers that have become slow. */
@@ -74,8 +73,7 @@
 	}
 
 	/**
-	 * @returns a worker's speed as a share of the median; 1 if it isn't known or the spread isn't
-	 * wide.
+	 * @returns a worker's speed as a share of the median; 1 if it is unknown or the spread isn't wide.
 	 */
 	speedOf(worker: string): number {
 		const estimate = this.spread.isWide ? this.find(worker) : undefined
--- a/packages/scheduler/src/lib/placement/GangHold.ts
+++ b/packages/scheduler/src/lib/placement/GangHold.ts
@@ -59,8 +59,9 @@
 	}
 
 	/**
-	 * Reserves capacity for all tasks or for none. @returns the workers, or undefined if not all
-	 * tasks fit.
+	 * Reserves capacity for all tasks or for none.
+	 *
+	 * @returns the workers, or undefined if not all tasks fit.
 	 */
 	reserveAll(need: Resources, count: number): string[] | undefined {
 		const workers: string[] = []
