--- a/packages/cell/src/lib/leader/PlanController.ts
+++ b/packages/cell/src/lib/leader/PlanController.ts
@@ -1,9 +1,9 @@
 /** Turns an intent into a plan that a person can read, without moving anything. */
 import {
 	chooseWorker,
-	Siblings,
+	SiblingCounts,
 	times,
-	whyImpossible,
+	explainInfeasibility,
 	type Ledger,
 	type Resources,
 } from '@rillrudder/scheduler'
@@ -43,7 +43,7 @@
 	 */
 	draft(intent: Intent, name: string): DraftPlan {
 		const quota = this.configuration().teams.find((team) => team.name === intent.team)?.quota
-		const impossible = whyImpossible(this.ledger(), intent, quota)
+		const impossible = explainInfeasibility(this.ledger(), intent, quota)
 		if (impossible.length > 0) return { steps: [], impossible }
 		const allowed = this.allowedByQuota(intent, quota)
 		const tried = this.tryOut(intent, Math.min(intent.tasks, allowed, MOST_TRIED))
@@ -75,12 +75,12 @@
 	private tryOut(intent: Intent, most: number): Tried[] {
 		const ledger = this.ledger()
 		const tried: Tried[] = []
-		const siblings = new Siblings()
+		const siblings = new SiblingCounts()
 		while (tried.length < most) {
-			const there = siblings.of(intent.name)
+			const there = siblings.countsOf(intent.name)
 			const worker = chooseWorker(ledger, intent.each, intent.kind, there)
 			if (!worker || !ledger.reserve(worker.id, intent.each)) break
-			siblings.change(intent.name, worker.id, worker.rack, 1)
+			siblings.adjust(intent.name, worker.id, worker.rack, 1)
 			tried.push({ worker: worker.id, rack: worker.rack })
 		}
 		for (const { worker } of tried) ledger.release(worker, intent.each)
--- a/packages/cell/src/lib/leader/TaskController.ts
+++ b/packages/cell/src/lib/leader/TaskController.ts
@@ -3,12 +3,12 @@
 import {
 	Ledger,
 	Placement,
-	Relief,
+	PreemptionMethod,
 	type Decision,
 	type Estimator,
-	type Relieve,
+	type PreemptionDecision,
 	type Resources,
-	type Waiting,
+	type WaitingReason,
 } from '@rillrudder/scheduler'
 import type { Random } from '@rillrudder/utils'
 import type { CommandOf } from '../commands/DataCentreCommand'
@@ -125,7 +125,7 @@
 		this.busy.delete(command.task)
 		const record = this.state.tasks.find(command.task)
 		if (!counted || !record) {
-			this.placement.ended(command.task)
+			this.placement.onEnded(command.task)
 			if (record && !hasEnded(record)) this.submit([record])
 			return
 		}
@@ -137,7 +137,7 @@
 	unplaced(command: CommandOf<'unplace'>): void {
 		this.busy.delete(command.task)
 		this.leaving.delete(command.task)
-		this.placement.ended(command.task)
+		this.placement.onEnded(command.task)
 		const record = this.state.tasks.find(command.task)
 		if (record?.phase === TaskPhase.Waiting) this.submitWhenDue([record], command.at)
 		this.again = true
@@ -147,7 +147,7 @@
 	throttled(command: CommandOf<'throttle'>): void {
 		this.busy.delete(command.task)
 		this.leaving.delete(command.task)
-		this.placement.throttled(command.task, command.cpu)
+		this.placement.onThrottled(command.task, command.cpu)
 		this.again = true
 	}
 
@@ -178,8 +178,8 @@
 	}
 
 	/** @returns why a task waits. */
-	whyWaiting(task: string): Waiting | undefined {
-		return this.placement.whyWaiting(task)
+	whyWaiting(task: string): WaitingReason | undefined {
+		return this.placement.waitingReasonOf(task)
 	}
 
 	private decide(moment: Moment): void {
@@ -201,16 +201,16 @@
 		this.effects.commands.push({ kind: 'place', task: task.id, worker, reserved, reason, at })
 	}
 
-	private relieve(decision: Relieve): void {
+	private relieve(decision: PreemptionDecision): void {
 		const record = this.state.tasks.find(decision.task.id)
 		if (!record) return
 		this.leaving.set(decision.task.id, `made room for ${decision.for}`)
 		switch (decision.how) {
-			case Relief.Throttle:
+			case PreemptionMethod.Throttle:
 				return this.leases.orderThrottle(record, decision.task.throttleTo ?? 0)
-			case Relief.Checkpoint:
+			case PreemptionMethod.Checkpoint:
 				return this.leases.orderCheckpoint(record)
-			case Relief.Stop:
+			case PreemptionMethod.Stop:
 				return this.leases.orderStop(record)
 		}
 	}
@@ -240,7 +240,7 @@
 		const record = this.state.tasks.find(one.task)
 		if (!record) return
 		const over = one.result === 'done' && record.task.kind !== IntentKind.Service
-		if (over) this.estimator.ended(record.task, moment.at - record.placedAt)
+		if (over) this.estimator.recordRunTime(record.task, moment.at - record.placedAt)
 		const reason = this.leaving.get(one.task) ?? one.result
 		this.left(worker, one, over, reason, moment)
 	}
@@ -260,7 +260,7 @@
 	private usage(one: ExchangeReply['running'][number]): void {
 		const record = this.state.tasks.find(one.task)
 		if (record?.fence !== one.fence) return
-		this.estimator.used(record.task, one)
+		this.estimator.recordUsage(record.task, one)
 		const slowed = this.leases.throttledTo(record)
 		if (slowed === undefined || this.busy.has(one.task)) return
 		this.busy.add(one.task)
--- a/packages/jobs/src/lib/commands/CellCommand.ts
+++ b/packages/jobs/src/lib/commands/CellCommand.ts
@@ -3,7 +3,7 @@
 import { VError } from 'verror'
 import type { CellConfiguration, Queue, Worker } from '../records/Cell'
 import type { JobRequest, RunEnd } from '../records/Job'
-import type { HadShares } from '../shares/HadShares'
+import type { RecentUsage } from '../shares/RecentUsage'
 import type { CrashEvidence } from '../state/TaskCrashes'
 
 /**
@@ -111,7 +111,7 @@
 	| { readonly kind: 'at-work'; readonly runs: readonly RunRef[] }
 	| { readonly kind: 'forget'; readonly jobs: readonly string[] }
 	/** Records the shares that accounts recently had; replaces the previous record. */
-	| { readonly kind: 'shares'; readonly had: HadShares }
+	| { readonly kind: 'shares'; readonly had: RecentUsage }
 
 interface Batch {
 	readonly version: number
--- a/packages/jobs/src/lib/leader/runs/RunOrders.ts
+++ b/packages/jobs/src/lib/leader/runs/RunOrders.ts
@@ -77,7 +77,7 @@
 		const { clock, timing, ledger } = this.context
 		if (!this.accounts.mayGoOn(run.account, run.step)) return StartObstacle.Quota
 		// What was free when this was decided may be gone: a worker's room can shrink while its run is on its way.
-		if (ledger.find(run.worker)?.isOver) return StartObstacle.Room
+		if (ledger.find(run.worker)?.isOverbooked) return StartObstacle.Room
 		// So may be that of a worker which an earlier leader chose and this one has not heard yet.
 		return view.heartbeatAge(clock.now()) >= timing.workerSilent ? StartObstacle.Unheard : undefined
 	}
@@ -213,7 +213,7 @@
 			return
 		}
 		if (reason === Refusal.Ticket) this.host.ticketRefused(run)
-		if (reason === Refusal.Unhealthy) health.failed(worker, run.name.job, clock.now())
+		if (reason === Refusal.Unhealthy) health.onFailure(worker, run.name.job, clock.now())
 		// An earlier copy of the order may still be on its way; a stop makes sure that it does nothing.
 		if (run.isInDoubt) this.host.beginStop(run, StopReason.Withdrawn)
 		else this.host.proposeEnd(run, RunEnd.Refused)
--- a/packages/jobs/src/lib/state/CellState.ts
+++ b/packages/jobs/src/lib/state/CellState.ts
@@ -8,7 +8,7 @@
 import { decodeCommands, type RunStart, type CellCommand } from '../commands/CellCommand'
 import type { CellConfiguration, Worker } from '../records/Cell'
 import { workerNameOf } from '../records/Incarnation'
-import type { HadShares } from '../shares/HadShares'
+import type { RecentUsage } from '../shares/RecentUsage'
 import type { Change } from './Change'
 import { JobTable } from './JobTable'
 import type { JobRecord } from './JobRecord'
@@ -33,7 +33,7 @@
 	readonly configuration?: CellConfiguration
 	readonly workers: KnownWorkersSnapshot
 	readonly jobs: readonly JobRecord[]
-	readonly shares?: HadShares
+	readonly shares?: RecentUsage
 }
 
 /**
@@ -49,7 +49,7 @@
 	/**
 	 * The shares that accounts recently had, as last recorded by a leader; undefined where none did.
 	 */
-	shares: HadShares | undefined
+	shares: RecentUsage | undefined
 	/** Called with each change, if set. */
 	observer: ((change: Change) => void) | undefined
 
--- a/packages/scheduler/src/lib/placement/Placement.ts
+++ b/packages/scheduler/src/lib/placement/Placement.ts
@@ -1,9 +1,9 @@
 /**
- * Decides which waiting task starts where, and what makes room for urgent work.
+ * Decides which waiting task starts where, and what is preempted for urgent work.
  *
- * Urgent work goes first; then gangs, one of which at a time may hold what comes free until it is
- * whole; then the team that uses the least of its share, and in it the task with the least time left.
- * What does not fit is passed over for what does.
+ * Urgent work goes first, then the gang that holds released capacity until it is complete, then the
+ * team with the lowest weighted share, and within it the task with the earliest latest start. Tasks
+ * that don't fit are skipped in favour of tasks that do.
  */
 import { invariant, type Random } from '@rillrudder/utils'
 import { IntentKind } from '@rillrudder/settings'
@@ -13,13 +13,19 @@
 import { Estimator } from './Estimator'
 import { GangHold } from './GangHold'
 import { Preemption } from './Preemption'
-import { Siblings } from './Siblings'
-import { Waiting, type Decision, type Running, type Start, type Task } from './Task'
+import { SiblingCounts } from './SiblingCounts'
+import {
+	WaitingReason,
+	type Decision,
+	type RunningTask,
+	type StartDecision,
+	type Task,
+} from './Task'
 import type { QuotaTerms } from './QuotaAccount'
-import { giveWay, latestStart, TeamAccount, type Pending } from './TeamAccount'
+import { demoteIfLate, latestStartOf, TeamAccount, type PendingItem } from './TeamAccount'
 
-/** Tasks of one team that are passed over in one round when they do not fit. */
-const PASSED_OVER = 8
+/** Maximum number of tasks of one team that are skipped in one round because they don't fit. */
+const MAX_SKIPPED = 8
 const NO_RELEASE = -1
 
 /**
@@ -35,63 +41,63 @@
 export class Placement {
 	readonly estimator = new Estimator()
 	private readonly teams = new Map<string, TeamAccount>()
-	private readonly pending = new Map<string, Pending>()
-	private readonly running = new Map<string, Running>()
-	private readonly siblings = new Siblings()
+	private readonly pending = new Map<string, PendingItem>()
+	private readonly running = new Map<string, RunningTask>()
+	private readonly siblings = new SiblingCounts()
 	private readonly shapes = new Map<string, number>()
-	/** For each shape the release count at which it last did not fit. */
-	private readonly failedAt: number[] = []
-	private readonly gang: GangHold
+	/** The ledger's release count at the last failed search, by shape. */
+	private readonly failedAtRelease: number[] = []
+	private readonly gangHold: GangHold
 	private readonly preemption: Preemption
 
 	/**
-	 * @param ledger - what is free.
-	 * @param random - chooses samples.
+	 * @param ledger - the reserved and free capacity.
+	 * @param random - draws samples of workers.
 	 */
 	constructor(
 		private readonly ledger: Ledger,
 		random: Random
 	) {
-		this.gang = new GangHold(ledger)
+		this.gangHold = new GangHold(ledger)
 		this.preemption = new Preemption(ledger, random)
 	}
 
-	/** How many tasks wait. */
+	/** The number of waiting tasks. */
 	get waitingCount(): number {
 		return this.pending.size
 	}
 
-	/** How many tasks run. */
-	get tasksRunning(): number {
+	/** The number of running tasks. */
+	get runningCount(): number {
 		return this.running.size
 	}
 
 	/** @param teams - the teams of the configuration in force. */
 	setTeams(teams: readonly QuotaTerms[]): void {
-		for (const team of teams) this.account(team.name).terms = team
+		for (const team of teams) this.accountOf(team.name).terms = team
 	}
 
 	/**
-	 * Takes tasks in; those of a gang come together and start together.
+	 * Adds waiting tasks. The tasks of a gang are submitted together and start together.
 	 *
 	 * @param tasks - one task, or all tasks of a gang.
 	 */
 	submit(tasks: readonly Task[]): void {
 		const first = tasks[0]
-		const item: Pending = {
+		const item: PendingItem = {
 			tasks,
-			latestStart: latestStart(first, this.estimator.runTime(first) || undefined),
+			latestStart: latestStartOf(first, this.estimator.expectedRunTime(first) || undefined),
 			shape: this.shapeOf(first),
-			late: false,
-			waiting: Waiting.New,
-			cancelled: 0,
+			isLate: false,
+			waitingReason: WaitingReason.New,
+			cancelledCount: 0,
 		}
 		for (const task of tasks) this.pending.set(task.id, item)
-		this.account(first.team).waiting.push(item)
+		this.accountOf(first.team).waiting.push(item)
 	}
 
 	/**
-	 * Withdraws a task that waits. It costs the same however many wait.
+	 * Cancels a waiting task in constant time, whatever the number of waiting tasks.
 	 *
 	 * @param id - a task.
 	 * @returns whether it was waiting.
@@ -100,105 +106,110 @@
 		const item = this.pending.get(id)
 		if (!item) return false
 		this.pending.delete(id)
-		item.cancelled += 1
+		item.cancelledCount += 1
 		return true
 	}
 
-	/** Takes up a task that a leader before this one has started. */
+	/** Restores a task that an earlier leader has started. */
 	restore(task: Task, worker: string, reserved: Resources, since: number): void {
 		this.ledger.restore(worker, reserved)
-		this.enter({ task, worker, reserved, since, leaving: false })
+		this.addRunning({ task, worker, reserved, since, isBeingPreempted: false })
 	}
 
 	/**
-	 * A task no longer runs and its lease is over.
+	 * Handles the end of a task whose lease is over.
 	 *
 	 * @param id - the task.
 	 */
-	ended(id: string): void {
-		const gone = this.running.get(id)
-		if (!gone) return
+	onEnded(id: string): void {
+		const ended = this.running.get(id)
+		if (!ended) return
 		this.running.delete(id)
-		this.ledger.release(gone.worker, gone.reserved)
-		this.account(gone.task.team).giveBack(gone.reserved)
-		this.preemption.left(gone)
-		const rack = this.ledger.find(gone.worker)?.rack ?? ''
-		this.siblings.change(gone.task.intent, gone.worker, rack, -1)
+		this.ledger.release(ended.worker, ended.reserved)
+		this.accountOf(ended.task.team).subtractUsage(ended.reserved)
+		this.preemption.onEnded(ended)
+		const rack = this.ledger.find(ended.worker)?.rack ?? ''
+		this.siblings.adjust(ended.task.intent, ended.worker, rack, -1)
 	}
 
 	/**
-	 * A task goes on with fewer processors.
+	 * Handles the throttling of a task.
 	 *
 	 * @param id - the task.
 	 * @param cpu - thousandths of a processor that it keeps.
 	 */
-	throttled(id: string, cpu: number): void {
-		const slowed = this.running.get(id)
-		if (!slowed || cpu >= slowed.reserved.cpu) return
-		const freed = { cpu: slowed.reserved.cpu - cpu, memory: 0, accelerators: 0 }
-		slowed.reserved = { ...slowed.reserved, cpu }
-		slowed.leaving = false
-		this.ledger.release(slowed.worker, freed)
-		this.account(slowed.task.team).giveBack(freed)
-		this.preemption.slowed(slowed)
+	onThrottled(id: string, cpu: number): void {
+		const throttled = this.running.get(id)
+		if (!throttled || cpu >= throttled.reserved.cpu) return
+		const freed = { cpu: throttled.reserved.cpu - cpu, memory: 0, accelerators: 0 }
+		throttled.reserved = { ...throttled.reserved, cpu }
+		throttled.isBeingPreempted = false
+		this.ledger.release(throttled.worker, freed)
+		this.accountOf(throttled.task.team).subtractUsage(freed)
+		this.preemption.onThrottled(throttled)
 	}
 
 	/**
-	 * Decides as much as can start now.
+	 * Decides what can start now.
 	 *
 	 * @param now - milliseconds since the epoch.
-	 * @param most - how many decisions at most.
-	 * @returns what to carry out; starts are already reserved in the ledger.
+	 * @param limit - maximum number of decisions.
+	 * @returns the decisions to carry out; starts are already reserved in the ledger.
 	 */
-	decide(now: number, most: number): Decision[] {
+	decide(now: number, limit: number): Decision[] {
 		const decisions: Decision[] = []
 		const blocked = new Set<TeamAccount>()
-		this.serveTeams(true, blocked, now, most, decisions)
+		this.startByTeam(true, blocked, now, limit, decisions)
 		this.continueGang(now, decisions)
-		this.serveTeams(false, blocked, now, most, decisions)
+		this.startByTeam(false, blocked, now, limit, decisions)
 		return decisions
 	}
 
 	/**
 	 * @param id - a task.
-	 * @returns why it waits, or undefined when it does not.
+	 * @returns why it waits; undefined if it doesn't.
 	 */
-	whyWaiting(id: string): Waiting | undefined {
-		return this.pending.get(id)?.waiting
+	waitingReasonOf(id: string): WaitingReason | undefined {
+		return this.pending.get(id)?.waitingReason
 	}
 
 	/** @returns the running task, if it runs. */
-	runningTask(id: string): Running | undefined {
+	runningTask(id: string): RunningTask | undefined {
 		return this.running.get(id)
 	}
 
-	/** @returns what a team uses, and where it stands against its weight. */
-	usage(team: string): Resources {
-		return this.account(team).used
+	/** @returns the resources that a team uses. */
+	usageOf(team: string): Resources {
+		return this.accountOf(team).used
 	}
 
-	private serveTeams(
+	private startByTeam(
 		urgent: boolean,
 		blocked: Set<TeamAccount>,
 		now: number,
-		most: number,
+		limit: number,
 		decisions: Decision[]
 	): void {
-		while (decisions.length < most) {
+		while (decisions.length < limit) {
 			const account = this.nextTeam(urgent, blocked)
 			if (!account) return
-			if (!this.serve(account, now, decisions)) blocked.add(account)
+			if (!this.startNextOf(account, now, decisions)) blocked.add(account)
 		}
 	}
 
-	/** The team that uses the least of its share, among those with urgent work where that is asked. */
+	/**
+	 * Returns the team with the lowest weighted share among those with waiting tasks.
+	 *
+	 * @param urgent - whether to consider only teams with urgent work.
+	 * @param blocked - teams to leave out, none of whose tasks can start.
+	 */
 	private nextTeam(urgent: boolean, blocked: Set<TeamAccount>): TeamAccount | undefined {
 		let best: TeamAccount | undefined
 		let bestShare = Number.POSITIVE_INFINITY
 		for (const account of this.teams.values()) {
 			const head = account.waiting.peek()
 			if (!head || blocked.has(account) || (urgent && !head.tasks[0].urgent)) continue
-			const share = account.share(this.ledger.total)
+			const share = account.weightedShareOf(this.ledger.total)
 			if (share >= bestShare) continue
 			best = account
 			bestShare = share
@@ -206,41 +217,41 @@
 		return best
 	}
 
-	/** Starts the first of a team's tasks that can start. @returns whether one did. */
-	private serve(account: TeamAccount, now: number, decisions: Decision[]): boolean {
-		const passed: Pending[] = []
+	/** Starts the first of a team's tasks that can start. @returns whether any was started. */
+	private startNextOf(account: TeamAccount, now: number, decisions: Decision[]): boolean {
+		const skipped: PendingItem[] = []
 		let started = false
-		while (!started && passed.length < PASSED_OVER) {
+		while (!started && skipped.length < MAX_SKIPPED) {
 			const item = account.waiting.pop()
 			if (!item) break
-			if (item.cancelled === item.tasks.length) continue
-			if (giveWay(item, now)) {
+			if (item.cancelledCount === item.tasks.length) continue
+			if (demoteIfLate(item, now)) {
 				account.waiting.push(item)
 				continue
 			}
-			started = this.attempt(item, account, now, decisions)
-			if (!started) passed.push(item)
+			started = this.tryStart(item, account, now, decisions)
+			if (!started) skipped.push(item)
 		}
-		for (const item of passed) account.waiting.push(item)
+		for (const item of skipped) account.waiting.push(item)
 		return started
 	}
 
-	private attempt(
-		item: Pending,
+	private tryStart(
+		item: PendingItem,
 		account: TeamAccount,
 		now: number,
 		decisions: Decision[]
 	): boolean {
-		const tasks = this.live(item)
-		const need = this.estimator.need(tasks[0])
+		const tasks = this.uncancelledTasks(item)
+		const need = this.estimator.reservationFor(tasks[0])
 		if (!account.allows(times(need, tasks.length))) {
-			item.waiting = Waiting.Quota
+			item.waitingReason = WaitingReason.Quota
 			return false
 		}
-		if (tasks[0].kind === IntentKind.Gang) return this.attemptGang(item, tasks, now, decisions)
-		const worker = this.find(tasks[0], need, item.shape)
+		if (tasks[0].kind === IntentKind.Gang) return this.tryStartGang(item, tasks, now, decisions)
+		const worker = this.findWorker(tasks[0], need, item.shape)
 		if (!worker) {
-			this.makeRoom(item, tasks[0], need, decisions)
+			this.preemptFor(item, tasks[0], need, decisions)
 			return false
 		}
 		this.ledger.reserve(worker.id, need)
@@ -248,48 +259,54 @@
 		return true
 	}
 
-	private find(task: Task, need: Resources, shape: number) {
-		if (this.failedAt[shape] === this.ledger.releases) return undefined
-		const worker = chooseWorker(this.ledger, need, task.kind, this.siblings.of(task.intent))
-		if (!worker) this.failedAt[shape] = this.ledger.releases
+	private findWorker(task: Task, need: Resources, shape: number) {
+		if (this.failedAtRelease[shape] === this.ledger.releases) return undefined
+		const worker = chooseWorker(this.ledger, need, task.kind, this.siblings.countsOf(task.intent))
+		if (!worker) this.failedAtRelease[shape] = this.ledger.releases
 		return worker
 	}
 
-	private makeRoom(item: Pending, task: Task, need: Resources, decisions: Decision[]): void {
-		item.waiting = Waiting.Capacity
+	private preemptFor(item: PendingItem, task: Task, need: Resources, decisions: Decision[]): void {
+		item.waitingReason = WaitingReason.Capacity
 		if (!task.urgent) return
-		if (this.preemption.awaits(task.id)) {
-			item.waiting = Waiting.Preempting
+		if (this.preemption.isPreemptingFor(task.id)) {
+			item.waitingReason = WaitingReason.Preempting
 			return
 		}
-		const relief = this.preemption.plan(task, need, this.running)
-		if (relief.length === 0) return
-		item.waiting = Waiting.Preempting
-		decisions.push(...relief)
+		const preemptions = this.preemption.plan(task, need, this.running)
+		if (preemptions.length === 0) return
+		item.waitingReason = WaitingReason.Preempting
+		decisions.push(...preemptions)
 	}
 
-	private attemptGang(item: Pending, tasks: Task[], now: number, decisions: Decision[]): boolean {
-		item.waiting = Waiting.Gang
-		if (this.gang.holdsFor(item)) return false
-		const need = this.estimator.need(tasks[0])
-		if (this.failedAt[item.shape] === this.ledger.releases && !this.gang.free) return false
-		const workers = this.gang.reserveAll(need, tasks.length)
+	private tryStartGang(
+		item: PendingItem,
+		tasks: Task[],
+		now: number,
+		decisions: Decision[]
+	): boolean {
+		item.waitingReason = WaitingReason.Gang
+		if (this.gangHold.isHeldBy(item)) return false
+		const need = this.estimator.reservationFor(tasks[0])
+		if (this.failedAtRelease[item.shape] === this.ledger.releases && !this.gangHold.isFree)
+			return false
+		const workers = this.gangHold.reserveAll(need, tasks.length)
 		if (workers) {
 			this.startGang(tasks, workers, need, now, decisions)
 			return true
 		}
-		this.failedAt[item.shape] = this.ledger.releases
-		this.gang.consider(item, need, now)
+		this.failedAtRelease[item.shape] = this.ledger.releases
+		this.gangHold.tryHold(item, need, now)
 		return false
 	}
 
 	private continueGang(now: number, decisions: Decision[]): void {
-		const held = this.gang.held
-		if (!held) return
-		const tasks = this.live(held)
-		const complete = this.gang.extend(tasks.length, now)
+		const holder = this.gangHold.holder
+		if (!holder) return
+		const tasks = this.uncancelledTasks(holder)
+		const complete = this.gangHold.extend(tasks.length, now)
 		if (!complete) return
-		this.account(tasks[0].team).waiting.remove(held, (left, right) => left === right)
+		this.accountOf(tasks[0].team).waiting.remove(holder, (left, right) => left === right)
 		this.startGang(tasks, complete.workers, complete.need, now, decisions)
 	}
 
@@ -306,27 +323,29 @@
 		})
 	}
 
-	private start(task: Task, worker: string, reserved: Resources, now: number): Start {
+	private start(task: Task, worker: string, reserved: Resources, now: number): StartDecision {
 		this.pending.delete(task.id)
-		this.preemption.placed(task.id)
-		this.enter({ task, worker, reserved, since: now, leaving: false })
-		const count = this.siblings.of(task.intent).countInRack(this.ledger.find(worker)?.rack ?? '')
-		return { kind: 'start', task, worker, reason: reasonFor(task, count) }
+		this.preemption.onPlaced(task.id)
+		this.addRunning({ task, worker, reserved, since: now, isBeingPreempted: false })
+		const count = this.siblings
+			.countsOf(task.intent)
+			.countInRack(this.ledger.find(worker)?.rack ?? '')
+		return { kind: 'start', task, worker, reason: reasonOf(task, count) }
 	}
 
-	private enter(running: Running): void {
+	private addRunning(running: RunningTask): void {
 		const { task, worker, reserved } = running
 		this.running.set(task.id, running)
-		this.account(task.team).take(reserved)
-		this.siblings.change(task.intent, worker, this.ledger.find(worker)?.rack ?? '', 1)
+		this.accountOf(task.team).addUsage(reserved)
+		this.siblings.adjust(task.intent, worker, this.ledger.find(worker)?.rack ?? '', 1)
 	}
 
-	private live(item: Pending): Task[] {
-		if (item.cancelled === 0) return item.tasks as Task[]
+	private uncancelledTasks(item: PendingItem): Task[] {
+		if (item.cancelledCount === 0) return item.tasks as Task[]
 		return item.tasks.filter((task) => this.pending.get(task.id) === item)
 	}
 
-	private account(name: string): TeamAccount {
+	private accountOf(name: string): TeamAccount {
 		let account = this.teams.get(name)
 		if (!account) {
 			account = new TeamAccount({ name, weight: 1 })
@@ -342,13 +361,13 @@
 		if (shape === undefined) {
 			shape = this.shapes.size
 			this.shapes.set(key, shape)
-			this.failedAt[shape] = NO_RELEASE
+			this.failedAtRelease[shape] = NO_RELEASE
 		}
 		return shape
 	}
 }
 
-function reasonFor(task: Task, inRack: number): string {
+function reasonOf(task: Task, inRack: number): string {
 	switch (task.kind) {
 		case IntentKind.Service:
 			return `fits, with ${inRack - 1} of the same service in its rack`
--- a/packages/scheduler/src/lib/placement/feasibility.ts
+++ b/packages/scheduler/src/lib/placement/explainInfeasibility.ts
@@ -1,25 +1,27 @@
-/** Tells at once what can never run, with the reason. */
+/** Explains why an intent can never run, so that it is refused at once. */
 import type { Intent } from '@rillrudder/settings'
 import type { Ledger } from '../capacity/Ledger'
 import { fits, times, type Resources } from '../capacity/Resources'
 
 /**
- * WorkerPolls whether an intent could run in an empty data centre.
+ * Checks whether an intent could run in an empty data centre.
  *
  * @param ledger - the workers.
  * @param intent - the intent.
  * @param quota - its team's quota, if it has one.
- * @returns reasons why it can never run; empty when it can.
+ * @returns the reasons why it can never run; empty if it can.
  * @public
  */
-export function whyImpossible(ledger: Ledger, intent: Intent, quota?: Resources): string[] {
+export function explainInfeasibility(ledger: Ledger, intent: Intent, quota?: Resources): string[] {
 	const reasons: string[] = []
-	let room = 0
-	for (const worker of ledger.all()) room += copiesThatFit(intent.each, worker.capacity)
-	if (room === 0) {
+	let copies = 0
+	for (const worker of ledger.all()) copies += countCopies(intent.each, worker.capacity)
+	if (copies === 0) {
 		reasons.push(`no worker is large enough for one task (${describe(intent.each)})`)
-	} else if (intent.kind === 'gang' && room < intent.tasks) {
-		reasons.push(`the gang needs ${intent.tasks} tasks at once; an empty data centre holds ${room}`)
+	} else if (intent.kind === 'gang' && copies < intent.tasks) {
+		reasons.push(
+			`the gang needs ${intent.tasks} tasks at once; an empty data centre holds ${copies}`
+		)
 	}
 	const together = intent.kind === 'gang' ? intent.tasks : 1
 	if (quota && !fits(times(intent.each, together), quota)) {
@@ -29,7 +31,7 @@
 	return reasons
 }
 
-function copiesThatFit(need: Resources, capacity: Resources): number {
+function countCopies(need: Resources, capacity: Resources): number {
 	if (!fits(need, capacity)) return 0
 	const cpu = need.cpu > 0 ? capacity.cpu / need.cpu : Number.POSITIVE_INFINITY
 	const memory = need.memory > 0 ? capacity.memory / need.memory : Number.POSITIVE_INFINITY
