--- a/packages/jobs/src/lib/leader/runs/LostRuns.ts
+++ b/packages/jobs/src/lib/leader/runs/LostRunHandler.ts
@@ -18,7 +18,7 @@
  *
  * @internal
  */
-export class LostRuns {
+export class LostRunHandler {
 	constructor(
 		private readonly context: LeaderContext,
 		private readonly suspects: SuspectRuns,
@@ -26,13 +26,13 @@
 	) {}
 
 	/** The lease of a silent worker is certainly over: nothing runs there any more. */
-	giveUp(view: WorkerView): void {
+	abandonAll(view: WorkerView): void {
 		this.suspects.clear(view)
 		this.lose(view, [...view.runs.values()], 'lease over')
 	}
 
 	/** Of steps that allow copies a run begins elsewhere at once; this one may go on meanwhile. */
-	giveUpCopies(view: WorkerView, now: number): void {
+	abandonRepeatable(view: WorkerView, now: number): void {
 		if (now - view.lostAt < COPY_PATIENCE) return
 		const copies = [...view.runs.values()].filter((run) => run.step.copies)
 		for (const { text, attempt } of copies) this.suspects.raise(view, text, attempt)
--- a/packages/jobs/src/lib/leader/runs/RunController.ts
+++ b/packages/jobs/src/lib/leader/runs/RunController.ts
@@ -13,7 +13,7 @@
 import { Suspicion, suspicionOf } from '../../state/TaskCrashes'
 import { epochOf, type LeaderContext } from '../LeaderContext'
 import { LeaderEvent } from '../LeaderEvent'
-import { Pacing } from './Pacing'
+import { RunPacer } from './RunPacer'
 import type { PollResult } from '../ports'
 import { claimAgain, claimOf, unclaim } from '../steps/reservation'
 import { newRun } from './newRun'
@@ -71,7 +71,7 @@
 	private readonly pending = new Map<string, Decision>()
 	/** Runs that this leader has begun and no worker has confirmed. */
 	private readonly unconfirmed = new Set<Run>()
-	private readonly pacing: Pacing
+	private readonly pacing: RunPacer
 	private readonly gangs: GangAttempts
 	private readonly orders: RunOrders
 
@@ -82,7 +82,7 @@
 		private readonly accounts: AccountUsage,
 		private readonly listener: RunListener
 	) {
-		this.pacing = new Pacing(context)
+		this.pacing = new RunPacer(context)
 		this.orders = new RunOrders(context, workers, accounts, {
 			isCurrent: (run) => this.runs.get(run.text) === run,
 			enter: (run, phase) => this.enter(run, phase),
--- a/packages/jobs/src/lib/leader/runs/Pacing.ts
+++ b/packages/jobs/src/lib/leader/runs/RunPacer.ts
@@ -24,7 +24,7 @@
  *
  * @internal
  */
-export class Pacing {
+export class RunPacer {
 	constructor(private readonly context: LeaderContext) {}
 
 	/** Sets the pace after a poll of a worker. */
--- a/packages/jobs/src/lib/leader/workers/WorkerRegistry.ts
+++ b/packages/jobs/src/lib/leader/workers/WorkerRegistry.ts
@@ -7,7 +7,7 @@
 import { Lease } from './Lease'
 import { WorkerHeartbeats } from './WorkerHeartbeats'
 import { WorkerPolls } from './WorkerPolls'
-import { LostRuns } from '../runs/LostRuns'
+import { LostRunHandler } from '../runs/LostRunHandler'
 import { endsOf } from '../runs/endsOf'
 import { FenceTokens } from './FenceTokens'
 import { LifeChanges } from './LifeChanges'
@@ -50,7 +50,7 @@
 	readonly losses: WorkerLosses
 	private readonly suspects: SuspectRuns
 	private readonly polls: WorkerPolls
-	private readonly lostRuns: LostRuns
+	private readonly lostRuns: LostRunHandler
 	private readonly heartbeats: WorkerHeartbeats
 	private readonly fences: FenceTokens
 	private readonly lives: LifeChanges
@@ -69,7 +69,7 @@
 			polled: (view, result, sentAt) => this.polled(view, result, sentAt),
 		})
 		this.losses = new WorkerLosses(context, this.views)
-		this.lostRuns = new LostRuns(context, this.suspects, this.losses)
+		this.lostRuns = new LostRunHandler(context, this.suspects, this.losses)
 		this.silence = new SilenceNotes(context)
 		this.fences = new FenceTokens(context.term)
 		this.lives = new LifeChanges(context, this.fences, {
@@ -209,13 +209,13 @@
 		this.lives.tick(now)
 		this.polls.begin(this.views.values(), now)
 		for (const view of this.views.values()) {
-			if (view.unreachable) this.lostRuns.giveUpCopies(view, now)
+			if (view.unreachable) this.lostRuns.abandonRepeatable(view, now)
 			if (!view.unreachable) this.suspects.settle(view)
 			if (view.left && (view.runs.size === 0 || view.lease.isOver(now))) {
 				this.proposeGone(view.id, WorkerEnd.Left)
 				view.left = false
 			}
-			if (view.unreachable && view.lease.isOver(now)) this.lostRuns.giveUp(view)
+			if (view.unreachable && view.lease.isOver(now)) this.lostRuns.abandonAll(view)
 			const silence = now - view.heartbeatAt
 			if (silence > this.context.timing.workerForgotten && view.runs.size === 0) {
 				this.proposeGone(view.id, WorkerEnd.Forgotten)
