--- a/packages/jobs/src/lib/gangs/GangAttempts.ts
+++ b/packages/jobs/src/lib/gangs/GangAttempts.ts
@@ -25,7 +25,7 @@
 	/** Orders a member to start. */
 	order(run: Run): void
 	/** Gives members up: what was never ordered ends, the others are stopped. */
-	giveUp(runs: readonly Run[]): void
+	abandon(runs: readonly Run[]): void
 }
 
 type AttemptsContext = Pick<LeaderContext, 'clock' | 'log' | 'meter' | 'timing'>
@@ -52,7 +52,7 @@
 	begun(run: Run): void {
 		const attempt = this.open(run.name, run.attempt, run.step.count)
 		attempt.add(run)
-		if (attempt.failure) this.host.giveUp([run])
+		if (attempt.failure) this.host.abandon([run])
 		else if (attempt.isCommitted) this.orderAll(attempt)
 	}
 
@@ -120,7 +120,7 @@
 			const obstacle = this.host.obstacleOf(run)
 			if (obstacle === undefined) continue
 			this.fail(attempt, GangFailure.Blocked, run, obstacle)
-			return this.host.giveUp([run])
+			return this.host.abandon([run])
 		}
 		attempt.orderedAt = this.context.clock.now()
 		for (const run of attempt.present) {
@@ -134,7 +134,7 @@
 		attempt.failure = failure
 		const others = attempt.present.filter((run) => run !== cause)
 		this.tell(attempt, failure, cause, detail)
-		this.host.giveUp(others)
+		this.host.abandon(others)
 	}
 
 	private tell(attempt: GangAttempt, reason: GangFailure, cause?: Run, detail?: string): void {
--- a/packages/jobs/src/lib/leader/JobController.ts
+++ b/packages/jobs/src/lib/leader/JobController.ts
@@ -76,16 +76,16 @@
 		this.shares = new LeaderShares(context, this.accounts, use)
 		this.workers = new WorkerRegistry(context, this.accounts, {
 			polled: (view, result, sentAt) => {
-				this.runs.polled(view, result, sentAt)
+				this.runs.onPolled(view, result, sentAt)
 				this.speeds.polled(view, result)
 			},
 		})
 		this.speeds = new SpeedWatch(context, this.workers, use)
 		this.precedence.configured(state.configuration?.queues ?? [], context.clock.now())
 		this.runs = new RunController(context, this.workers, this.precedence, this.accounts, {
-			ticketRefused: (task, worker) => this.steps.ticketRefused(task, worker),
-			moved: (task, worker) => this.steps.movedAway(task, worker),
-			started: (delay) => this.startDelays.confirmed(delay),
+			onTicketRefused: (task, worker) => this.steps.ticketRefused(task, worker),
+			onMoved: (task, worker) => this.steps.movedAway(task, worker),
+			onStarted: (delay) => this.startDelays.confirmed(delay),
 		})
 		const { workers, runs, precedence, accounts, shares } = this
 		this.steps = new StepScheduler(
@@ -97,7 +97,7 @@
 			shares,
 			this.startWindow
 		)
-		this.clients = new ClientCalls(context, (job) => this.runs.hasBegun(job))
+		this.clients = new ClientCalls(context, (job) => this.runs.hasStarted(job))
 		this.reconciliation = new Reconciliation(context, this.steps)
 		for (const job of state.jobs.all()) this.takeUp(job)
 		log.info(LeaderEvent.LeadershipGained, {
@@ -163,12 +163,12 @@
 				return this.jobEnded(change.job)
 			case 'run-begun':
 				this.steps.begun(change.task, change.worker)
-				return this.runs.begun(change.task, change.attempt, change.worker)
+				return this.runs.onStartCommitted(change.task, change.attempt, change.worker)
 			case 'run-void':
 				this.steps.voided(change.task, change.worker)
-				return this.runs.voided(change.task, change.attempt, change.worker)
+				return this.runs.onStartVoided(change.task, change.attempt, change.worker)
 			case 'run-ended':
-				this.runs.ended(change.task, change.attempt, change.worker, change.how)
+				this.runs.onEnded(change.task, change.attempt, change.worker, change.how)
 				return this.steps.ended(change.task, change.worker, change.how)
 			case 'crash-counted':
 				return this.crashCounted(change)
@@ -219,11 +219,11 @@
 	/** A cell is behind when half of its starts take longer than its most urgent queue allows a whole job. */
 	private judgeStarts(now: number): void {
 		const { runs, startWindow: window, context } = this
-		const delay = this.startDelays.take(now, () => runs.awaitedStarts())
+		const delay = this.startDelays.take(now, () => runs.unconfirmedStartAges())
 		if (delay === undefined) return
 		const { size: before } = window
 		const bound = shortestTarget(context.state.configuration?.queues ?? [])
-		const { startsUnderWay: starts } = runs
+		const { startsInProgress: starts } = runs
 		window.judge(delay, bound, starts)
 		const { size } = window
 		if (size === before) return
@@ -239,7 +239,7 @@
 
 	private takeUp(job: JobRecord): void {
 		this.workers.restoreGivenUp(job)
-		this.runs.restore(job)
+		this.runs.restoreJob(job)
 		if (isActive(job)) this.steps.accept(job)
 	}
 
--- a/packages/jobs/src/lib/leader/runs/RunController.ts
+++ b/packages/jobs/src/lib/leader/runs/RunController.ts
@@ -53,11 +53,11 @@
 /** Told of orders that show that a choice was wrong. @internal */
 export interface RunListener {
 	/** The ticket that a run was started with does not hold. */
-	ticketRefused(task: TaskName, worker: string): void
+	onTicketRefused(task: TaskName, worker: string): void
 	/** A worker has confirmed a run, so many milliseconds after this leader had decided to begin it. */
-	started(delay: number): void
+	onStarted(delay: number): void
 	/** A run is moved away from a worker on which it stood still. */
-	moved(task: TaskName, worker: string): void
+	onMoved(task: TaskName, worker: string): void
 }
 
 /**
@@ -85,17 +85,17 @@
 		this.pacing = new RunPacer(context)
 		this.orders = new RunOrders(context, workers, accounts, {
 			isCurrent: (run) => this.runs.get(run.text) === run,
-			enter: (run, phase) => this.enter(run, phase),
-			beginStop: (run, reason) => this.beginStop(run, reason),
+			enterPhase: (run, phase) => this.enterPhase(run, phase),
+			requestStop: (run, reason) => this.requestStop(run, reason),
 			proposeEnd: (run, how) => this.proposeEnd(run, how),
-			progressed: (run) => this.gangs.progressed(run),
-			gangFailed: (run, failure, detail) => this.gangs.failed(run, failure, detail),
-			ticketRefused: ({ name, worker }) => this.listener.ticketRefused(name, worker),
+			onProgress: (run) => this.gangs.progressed(run),
+			onGangMemberFailed: (run, failure, detail) => this.gangs.failed(run, failure, detail),
+			onTicketRefused: ({ name, worker }) => this.listener.onTicketRefused(name, worker),
 		})
 		this.gangs = new GangAttempts(context, {
-			obstacleOf: (run) => this.orders.obstacleOf(run),
-			order: (run) => this.orders.order(run),
-			giveUp: (runs) => this.giveUp(runs),
+			obstacleOf: (run) => this.orders.startObstacleOf(run),
+			order: (run) => this.orders.sendOrder(run),
+			abandon: (runs) => this.abandon(runs),
 		})
 	}
 
@@ -105,7 +105,7 @@
 	}
 
 	/** @returns whether a worker has confirmed a run of a job, as far as is known; what an earlier leader began counts as confirmed. */
-	hasBegun(job: JobRecord): boolean {
+	hasStarted(job: JobRecord): boolean {
 		for (const { text, task } of tasksOf(job)) {
 			if (task.status === TaskStatus.Done || task.failures > 0 || task.lost) return true
 			const run = this.runs.get(text)
@@ -120,18 +120,18 @@
 	}
 
 	/** How many starts are decided that no worker has confirmed; what a worker has that has been silent for a while holds nothing up. */
-	get startsUnderWay(): number {
-		return this.pending.size + [...this.awaited()].length
+	get startsInProgress(): number {
+		return this.pending.size + [...this.unconfirmedStarts()].length
 	}
 
 	/** @returns milliseconds since each start was decided that its worker has not confirmed. */
-	*awaitedStarts(): Generator<number> {
+	*unconfirmedStartAges(): Generator<number> {
 		const now = this.context.clock.now()
-		for (const { decidedAt = now } of this.awaited()) yield now - decidedAt
+		for (const { decidedAt = now } of this.unconfirmedStarts()) yield now - decidedAt
 	}
 
 	/** Starts that have been ordered and not confirmed, but for those that are so late that they tell of their workers. */
-	private *awaited(): Generator<Run> {
+	private *unconfirmedStarts(): Generator<Run> {
 		const now = this.context.clock.now()
 		for (const run of this.unconfirmed) {
 			const { ordered, decidedAt = now } = run
@@ -145,18 +145,18 @@
 	}
 
 	/** Takes up the runs that an earlier leader began. */
-	restore(job: JobRecord): void {
+	restoreJob(job: JobRecord): void {
 		const members: Run[] = []
 		for (const { text, task } of tasksOf(job)) {
 			if (task.status !== TaskStatus.Placed) continue
-			const run = this.takeUp(job, text, task)
+			const run = this.restoreRun(job, text, task)
 			if (run?.step.gang && run.phase === RunPhase.Starting && !isGangDone(job, run))
 				members.push(run)
 		}
 		this.gangs.restored(members)
 	}
 
-	private takeUp(job: JobRecord, text: string, task: TaskRecord): Run | undefined {
+	private restoreRun(job: JobRecord, text: string, task: TaskRecord): Run | undefined {
 		const place = this.context.state.jobs.locate(text)
 		if (!place) return undefined
 		const run = this.add(text, place.name, job, task.attempt, task.worker)
@@ -164,12 +164,12 @@
 		run.checkpoint = task.checkpoint
 		run.restored = true
 		run.seenAtWork = task.seenAtWork === task.attempt
-		if (!isActive(job) || task.finished) this.beginStop(run, StopReason.Over)
+		if (!isActive(job) || task.finished) this.requestStop(run, StopReason.Over)
 		return run
 	}
 
 	/** Remembers a run that has been decided, until it begins or will not. */
-	decided(task: string, decision: Decision): void {
+	onDecided(task: string, decision: Decision): void {
 		this.pending.set(task, decision)
 	}
 
@@ -180,17 +180,17 @@
 	}
 
 	/** A run has begun: its worker is told. */
-	begun(name: TaskName, attempt: number, worker: string): void {
+	onStartCommitted(name: TaskName, attempt: number, worker: string): void {
 		const text = formatTaskName(name)
 		const job = this.context.state.jobs.find(name.job)
 		if (!job) return
 		const run = this.add(text, name, job, attempt, worker)
 		if (run.step.gang) this.gangs.begun(run)
-		else this.orders.order(run)
+		else this.orders.sendOrder(run)
 	}
 
 	/** A run that was decided will not begin. */
-	voided(name: TaskName, attempt: number, worker: string): void {
+	onStartVoided(name: TaskName, attempt: number, worker: string): void {
 		const job = this.context.state.jobs.find(name.job)
 		const decision = this.takeDecision(formatTaskName(name))
 		if (!job) return
@@ -201,7 +201,7 @@
 	}
 
 	/** A run has ended: what it had is free. */
-	ended(name: TaskName, attempt: number, worker: string, how: RunEnd): void {
+	onEnded(name: TaskName, attempt: number, worker: string, how: RunEnd): void {
 		const text = formatTaskName(name)
 		const run = this.runs.get(text)
 		if (!run || run.attempt !== attempt) return
@@ -215,13 +215,13 @@
 		if (how === RunEnd.Failed) health.failed(worker, name.job, clock.now())
 		if (how === RunEnd.Failed || how === RunEnd.Lapsed)
 			this.workers.losses.reliability.failed(worker, clock.now())
-		this.noteGangEnds(run)
+		this.markGangEnding(run)
 		this.gangs.ended(run, how === RunEnd.Done)
 		if (how !== RunEnd.Done) tellWaste(this.context, run, how)
 	}
 
 	/** The first end of a member of a gang that is planned as a whole tells that the others end soon. */
-	private noteGangEnds(run: Run): void {
+	private markGangEnding(run: Run): void {
 		const job = this.context.state.jobs.find(run.name.job)
 		if (run.ending || !job || !needsPlan({ step: run.step, queue: job.queue })) return
 		for (const member of this.gangs.together(run)) member.ending = true
@@ -231,7 +231,7 @@
 	stopJob(job: JobRecord): void {
 		for (const { text } of tasksOf(job)) {
 			const run = this.runs.get(text)
-			if (run) this.beginStop(run, StopReason.Over)
+			if (run) this.requestStop(run, StopReason.Over)
 		}
 	}
 
@@ -239,7 +239,7 @@
 	stopTask(name: TaskName): void {
 		const run = this.runs.get(formatTaskName(name))
 		if (!run) return
-		for (const one of this.gangs.together(run)) this.beginStop(one, StopReason.Over)
+		for (const one of this.gangs.together(run)) this.requestStop(one, StopReason.Over)
 	}
 
 	/** Stops a run so that a step of the highest priority finds room; it goes on from its checkpoint later. */
@@ -247,16 +247,16 @@
 		const { text: task, attempt, worker, percent } = run
 		this.context.log.info(LeaderEvent.RunPreempted, { task, attempt, worker, percent, for: step })
 		this.context.meter.count(Measure.Preemptions)
-		this.beginStop(run, StopReason.Preempted)
+		this.requestStop(run, StopReason.Preempted)
 	}
 
 	/** Stops what a leaving worker should not be caught with. */
-	leaving(view: WorkerView, now: number): void {
+	stopMovableRuns(view: WorkerView, now: number): void {
 		const { timing } = this.context
 		const soon = view.leavesAt - now < timing.leaveMargin
 		for (const run of view.runs.values()) {
 			const movable = run.step.lasting || (soon && run.step.checkpoints)
-			if (movable && run.phase === RunPhase.Running) this.beginStop(run, StopReason.Leaving)
+			if (movable && run.phase === RunPhase.Running) this.requestStop(run, StopReason.Leaving)
 		}
 	}
 
@@ -264,14 +264,15 @@
 	tick(now: number): void {
 		for (const run of this.runs.values()) {
 			if (run.busy || now < run.retryAt) continue
-			if (run.phase === RunPhase.Starting || run.phase === RunPhase.Stopping) this.orders.order(run)
+			if (run.phase === RunPhase.Starting || run.phase === RunPhase.Stopping)
+				this.orders.sendOrder(run)
 		}
 		this.gangs.tick(now)
-		for (const view of this.workers.all()) if (view.draining) this.leaving(view, now)
+		for (const view of this.workers.all()) if (view.draining) this.stopMovableRuns(view, now)
 	}
 
 	/** Compares what a worker lists with what it should run. */
-	polled(view: WorkerView, result: PollResult & { kind: 'done' }, sentAt: number): void {
+	onPolled(view: WorkerView, result: PollResult & { kind: 'done' }, sentAt: number): void {
 		const listed = new Set<string>()
 		for (const { task, attempt, checkpoint, percent, measure } of result.running) {
 			const run = this.runs.get(task)
@@ -287,18 +288,18 @@
 			run.atWork.listed(result.clock)
 			this.clearIfHarmless(run)
 			this.noteAtWork(run)
-			if (run.phase === RunPhase.Starting) this.enter(run, RunPhase.Running)
+			if (run.phase === RunPhase.Starting) this.enterPhase(run, RunPhase.Running)
 			this.gangs.progressed(run)
 		}
 		for (const { task, attempt } of result.ended) {
 			listed.add(task)
-			this.foundEnded(view, task, attempt)
+			this.onListedEnded(view, task, attempt)
 		}
 		for (const run of view.runs.values()) {
-			if (!listed.has(run.text)) this.notListed(run, sentAt)
+			if (!listed.has(run.text)) this.onNotListed(run, sentAt)
 		}
 		this.pacing.adjust(view)
-		this.watchStalls(view)
+		this.checkStalls(view)
 	}
 
 	/** Workers that crashed under a lasting task which is at work for long were not its doing. */
@@ -319,14 +320,14 @@
 	}
 
 	/** A run that its worker lists as ended is not ordered again while that is being committed. */
-	private foundEnded(view: WorkerView, task: string, attempt: number): void {
+	private onListedEnded(view: WorkerView, task: string, attempt: number): void {
 		const run = this.runs.get(task)
 		if (!run || run.worker !== view.id || run.attempt !== attempt) return
-		if (run.phase === RunPhase.Starting && !run.busy) this.enter(run, RunPhase.Stopped)
+		if (run.phase === RunPhase.Starting && !run.busy) this.enterPhase(run, RunPhase.Stopped)
 	}
 
 	/** Closes a worker on which runs stand still, and moves those. */
-	private watchStalls(view: WorkerView): void {
+	private checkStalls(view: WorkerView): void {
 		const now = this.context.clock.now()
 		const { stalls } = this.workers
 		if (stalls.judge(view, this.workers.size, now)) {
@@ -343,8 +344,8 @@
 		const { text: task, attempt, worker, percent } = run
 		this.context.log.info(LeaderEvent.RunMoved, { task, attempt, worker, percent })
 		this.context.meter.count(Measure.Moves)
-		this.listener.moved(run.name, worker)
-		this.beginStop(run, StopReason.Moved)
+		this.listener.onMoved(run.name, worker)
+		this.requestStop(run, StopReason.Moved)
 	}
 
 	private add(text: string, name: TaskName, job: JobRecord, attempt: number, worker: string): Run {
@@ -384,7 +385,7 @@
 		return decision
 	}
 
-	private enter(run: Run, phase: RunPhase): void {
+	private enterPhase(run: Run, phase: RunPhase): void {
 		run.phase = phase
 		if (phase !== RunPhase.Starting) this.unconfirmed.delete(run)
 		run.since = this.context.clock.now()
@@ -398,27 +399,27 @@
 		if (run.decidedAt === undefined) return
 		const delay = run.since - run.decidedAt
 		this.context.meter.observe(Measure.StartDelay, delay)
-		this.listener.started(delay)
+		this.listener.onStarted(delay)
 	}
 
-	private beginStop(run: Run, reason: StopReason): void {
+	private requestStop(run: Run, reason: StopReason): void {
 		if (run.phase === RunPhase.Stopping || run.phase === RunPhase.Stopped) return
 		if (reason !== StopReason.Over) this.gangs.failed(run, GangFailure.Stopped, reason)
 		run.stopReason = reason
-		this.enter(run, RunPhase.Stopping)
-		if (!run.busy) this.orders.order(run)
+		this.enterPhase(run, RunPhase.Stopping)
+		if (!run.busy) this.orders.sendOrder(run)
 	}
 
 	/** Gives members of a gang up: what no order can have reached has ended, the others are stopped. */
-	private giveUp(runs: readonly Run[]): void {
+	private abandon(runs: readonly Run[]): void {
 		const unordered = runs.filter(({ ordered, restored }) => !ordered && !restored)
 		if (unordered.length > 0) this.proposeEnds(unordered, RunEnd.Refused)
 		for (const run of runs) {
-			if (!unordered.includes(run)) this.beginStop(run, StopReason.Withdrawn)
+			if (!unordered.includes(run)) this.requestStop(run, StopReason.Withdrawn)
 		}
 	}
 
-	private notListed(run: Run, sentAt: number): void {
+	private onNotListed(run: Run, sentAt: number): void {
 		if (run.restored && run.phase === RunPhase.Starting && (run.ticketed || run.step.gang)) {
 			// It never began, and no order of an earlier leader is obeyed any more. Its ticket is not known here.
 			this.gangs.failed(run, GangFailure.NotBegun)
--- a/packages/jobs/src/lib/leader/runs/RunOrders.ts
+++ b/packages/jobs/src/lib/leader/runs/RunOrders.ts
@@ -17,9 +17,9 @@
 	/** Its account has more running than its quota allows. */
 	Quota: 'quota',
 	/** Its worker has more on it than it offers. */
-	Room: 'room',
+	Capacity: 'room',
 	/** Its worker has not been heard for too long. */
-	Unheard: 'unheard',
+	NoHeartbeat: 'unheard',
 	/** Its worker can't be reached, or does not take new work. */
 	Unreachable: 'unreachable',
 } as const
@@ -31,16 +31,16 @@
 	/** @returns whether a run is the present one of its task. */
 	isCurrent(run: Run): boolean
 	/** A run is in another phase from now on. */
-	enter(run: Run, phase: RunPhase): void
-	beginStop(run: Run, reason: StopReason): void
+	enterPhase(run: Run, phase: RunPhase): void
+	requestStop(run: Run, reason: StopReason): void
 	/** A run has ended without a word of its worker. */
 	proposeEnd(run: Run, how: RunEnd): void
 	/** A run's worker has confirmed it. */
-	progressed(run: Run): void
+	onProgress(run: Run): void
 	/** A member of a gang can't begin. */
-	gangFailed(run: Run, failure: GangFailure, detail: string): void
+	onGangMemberFailed(run: Run, failure: GangFailure, detail: string): void
 	/** The ticket that a run was started with does not hold. */
-	ticketRefused(run: Run): void
+	onTicketRefused(run: Run): void
 }
 
 /**
@@ -63,7 +63,7 @@
 	) {}
 
 	/** Sends the order of the run's phase. */
-	order(run: Run): void {
+	sendOrder(run: Run): void {
 		const view = this.workers.find(run.worker)
 		if (!view || view.unreachable || view.givenUp) return
 		// Only a list tells what an earlier leader's orders came to.
@@ -73,27 +73,27 @@
 	}
 
 	/** @returns why a run may not be ordered to start now, though its worker can be reached. */
-	private startObstacle(run: Run, view: WorkerView): StartObstacle | undefined {
+	private findStartObstacle(run: Run, view: WorkerView): StartObstacle | undefined {
 		const { clock, timing, ledger } = this.context
 		if (!this.accounts.mayGoOn(run.account, run.step)) return StartObstacle.Quota
 		// What was free when this was decided may be gone: a worker's room can shrink while its run is on its way.
-		if (ledger.find(run.worker)?.isOver) return StartObstacle.Room
+		if (ledger.find(run.worker)?.isOver) return StartObstacle.Capacity
 		// So may be that of a worker which an earlier leader chose and this one has not heard yet.
-		return view.silence(clock.now()) >= timing.workerSilent ? StartObstacle.Unheard : undefined
+		return view.silence(clock.now()) >= timing.workerSilent ? StartObstacle.NoHeartbeat : undefined
 	}
 
 	/** @returns why a member of a gang may not be ordered to start now. */
-	obstacleOf(run: Run): StartObstacle | undefined {
+	startObstacleOf(run: Run): StartObstacle | undefined {
 		const view = this.workers.find(run.worker)
 		if (!view || view.givenUp || view.unreachable || !view.listed) return StartObstacle.Unreachable
-		return this.startObstacle(run, view)
+		return this.findStartObstacle(run, view)
 	}
 
 	private orderStart(run: Run, view: WorkerView): void {
 		const { orders, clock, state } = this.context
 		const place = state.jobs.locate(run.text)
-		const obstacle = this.startObstacle(run, view)
-		if (obstacle === StartObstacle.Unheard) return this.awaitWord(run)
+		const obstacle = this.findStartObstacle(run, view)
+		if (obstacle === StartObstacle.NoHeartbeat) return this.awaitHeartbeat(run)
 		if (obstacle) return this.withdraw(run, obstacle)
 		const leaseUntil = view.lease.renew(clock.now())
 		if (!place || leaseUntil === undefined) return
@@ -110,14 +110,14 @@
 		const sentAt = clock.now()
 		run.ordered = true
 		orders.start(view.worker, order, (result) =>
-			this.answered(run, RunPhase.Starting, result, sentAt)
+			this.onAnswer(run, RunPhase.Starting, result, sentAt)
 		)
 	}
 
 	/** A run is not ordered before its worker is heard; it goes elsewhere if that takes longer than a heartbeat should. */
-	private awaitWord(run: Run): void {
+	private awaitHeartbeat(run: Run): void {
 		const { clock, timing } = this.context
-		if (clock.now() - run.since > timing.workerQuiet) this.withdraw(run, StartObstacle.Unheard)
+		if (clock.now() - run.since > timing.workerQuiet) this.withdraw(run, StartObstacle.NoHeartbeat)
 		else run.retryAt = clock.now() + timing.retryPause
 	}
 
@@ -127,7 +127,7 @@
 		const { log } = this.context
 		const name = account?.terms.name
 		log.info(LeaderEvent.RunWithdrawn, { task, attempt, worker, reason, account: name })
-		this.host.beginStop(run, StopReason.Withdrawn)
+		this.host.requestStop(run, StopReason.Withdrawn)
 	}
 
 	private orderStop(run: Run, view: WorkerView): void {
@@ -136,29 +136,29 @@
 		const order = { task: run.text, attempt: run.attempt, fence: view.fence }
 		const sentAt = clock.now()
 		orders.stop(view.worker, order, (result) =>
-			this.answered(run, RunPhase.Stopping, result, sentAt)
+			this.onAnswer(run, RunPhase.Stopping, result, sentAt)
 		)
 	}
 
-	private answered(run: Run, asked: RunPhase, result: OrderResult, sentAt: number): void {
+	private onAnswer(run: Run, asked: RunPhase, result: OrderResult, sentAt: number): void {
 		run.busy = false
 		const { meter, clock } = this.context
-		meter.count(Measure.Orders, { order: asked, result: result.kind })
-		meter.observe(Measure.OrderTime, clock.now() - sentAt, { order: asked })
+		meter.count(Measure.Orders, { sendOrder: asked, result: result.kind })
+		meter.observe(Measure.OrderTime, clock.now() - sentAt, { sendOrder: asked })
 		const view = this.workers.find(run.worker)
 		if (!view || !this.host.isCurrent(run)) return
 		switch (result.kind) {
 			case 'done':
 				this.workers.answered(view, result.clock)
-				return this.obeyed(run, asked, result.clock)
+				return this.onDone(run, asked, result.clock)
 			case 'refused':
 				this.workers.answered(view, result.clock)
-				return this.refused(run, view, asked, result.reason)
+				return this.onRefused(run, view, asked, result.reason)
 			case 'other-incarnation':
 				return this.workers.proposeGone(run.worker, WorkerEnd.OtherIncarnation)
 			case 'not-carried':
 				if (asked === RunPhase.Starting) run.isInDoubt = true
-				return this.orderAgain(run)
+				return this.resendOrder(run)
 			case 'unknown':
 				if (asked === RunPhase.Starting) run.isInDoubt = true
 				this.workers.unanswered(view, result.message, sentAt)
@@ -166,55 +166,55 @@
 	}
 
 	/** Sends the order of the run's phase again at once, if it still waits for an answer. */
-	private orderAgain(run: Run): void {
-		if (run.phase === RunPhase.Starting || run.phase === RunPhase.Stopping) this.order(run)
+	private resendOrder(run: Run): void {
+		if (run.phase === RunPhase.Starting || run.phase === RunPhase.Stopping) this.sendOrder(run)
 	}
 
-	private obeyed(run: Run, asked: RunPhase, clock: number | undefined): void {
+	private onDone(run: Run, asked: RunPhase, clock: number | undefined): void {
 		if (asked === RunPhase.Starting) {
 			run.atWork.confirmed(clock)
-			if (run.phase === RunPhase.Starting) this.host.enter(run, RunPhase.Running)
-			else if (run.phase === RunPhase.Stopping) this.orderStopOfBegun(run)
-			this.host.progressed(run)
+			if (run.phase === RunPhase.Starting) this.host.enterPhase(run, RunPhase.Running)
+			else if (run.phase === RunPhase.Stopping) this.stopStartedRun(run)
+			this.host.onProgress(run)
 			const view = this.workers.find(run.worker)
 			if (view && !view.polling) view.pollDue = 0
 		} else if (run.phase === RunPhase.Stopping) {
-			this.host.enter(run, RunPhase.Stopped)
+			this.host.enterPhase(run, RunPhase.Stopped)
 		}
 	}
 
 	/** A run has begun that is to stop already: if its worker crashes meanwhile, that counts as for any other run. */
-	private orderStopOfBegun(run: Run): void {
+	private stopStartedRun(run: Run): void {
 		run.confirmedAt ??= this.context.clock.now()
-		this.order(run)
+		this.sendOrder(run)
 	}
 
-	private refused(run: Run, view: WorkerView, asked: RunPhase, reason: Refusal): void {
+	private onRefused(run: Run, view: WorkerView, asked: RunPhase, reason: Refusal): void {
 		const { log, health, clock, timing } = this.context
 		const { text, attempt, worker } = run
-		log.info(LeaderEvent.OrderRefused, { task: text, attempt, worker, reason, order: asked })
+		log.info(LeaderEvent.OrderRefused, { task: text, attempt, worker, reason, sendOrder: asked })
 		if (reason === Refusal.Fence) {
 			this.workers.fenced(view)
 			return
 		}
 		run.retryAt = clock.now() + timing.retryPause
 		if (asked === RunPhase.Stopping || run.phase === RunPhase.Stopping) {
-			if (!run.busy && reason === Refusal.Old) this.host.enter(run, RunPhase.Stopped)
+			if (!run.busy && reason === Refusal.Old) this.host.enterPhase(run, RunPhase.Stopped)
 			else if (asked === RunPhase.Starting && !run.isInDoubt)
 				this.host.proposeEnd(run, RunEnd.Refused)
 			return
 		}
 		if (reason === Refusal.Late) return
-		this.host.gangFailed(run, GangFailure.Refused, reason)
+		this.host.onGangMemberFailed(run, GangFailure.Refused, reason)
 		if (reason === Refusal.Old) {
 			// Its end is listed, or it was stopped by an order of an earlier leader.
-			this.host.enter(run, RunPhase.Stopped)
+			this.host.enterPhase(run, RunPhase.Stopped)
 			return
 		}
-		if (reason === Refusal.Ticket) this.host.ticketRefused(run)
+		if (reason === Refusal.Ticket) this.host.onTicketRefused(run)
 		if (reason === Refusal.Unhealthy) health.failed(worker, run.name.job, clock.now())
 		// An earlier copy of the order may still be on its way; a stop makes sure that it does nothing.
-		if (run.isInDoubt) this.host.beginStop(run, StopReason.Withdrawn)
+		if (run.isInDoubt) this.host.requestStop(run, StopReason.Withdrawn)
 		else this.host.proposeEnd(run, RunEnd.Refused)
 	}
 }
--- a/packages/jobs/src/lib/leader/steps/StepScheduler.ts
+++ b/packages/jobs/src/lib/leader/steps/StepScheduler.ts
@@ -286,7 +286,7 @@
 
 	/** How many starts are under way; they are counted only where there is a bound. */
 	private get boundedStarts(): number {
-		return this.startWindow.isBounded ? this.runs.startsUnderWay : 0
+		return this.startWindow.isBounded ? this.runs.startsInProgress : 0
 	}
 
 	private isReady({ job, repeat, number }: StepWork): boolean {
@@ -437,7 +437,7 @@
 			if (isolated) this.quarantine.decided(task, job.id, worker)
 			const ticket = work.advice.ticket(worker, now) ?? ''
 			const { urgent, yields } = work
-			this.runs.decided(task, { worker, ticket, urgent, yields, at: now })
+			this.runs.onDecided(task, { worker, ticket, urgent, yields, at: now })
 			return { task, attempt, worker }
 		})
 		this.log.placed(work, placed, now)
--- a/packages/runs/src/lib/jobs/missedWork.test.ts
+++ b/packages/runs/src/lib/jobs/missedWork.test.ts
@@ -64,7 +64,7 @@
 test('a run that nobody is told has begun is not found by looking again: the runs fail', () => {
 	const untold: Breakage = [
 		jobsClass('leader/runs', 'RunController'),
-		'begun',
+		'onStartCommitted',
 		() => () => undefined,
 	]
 	assert.match(failureWithout(untold), /an accepted job ends|a lasting task is at work/)
