--- a/packages/jobs/src/lib/leader/JobController.ts
+++ b/packages/jobs/src/lib/leader/JobController.ts
@@ -85,7 +85,7 @@
 		this.runs = new RunController(context, this.workers, this.precedence, this.accounts, {
 			onTicketRefused: (task, worker) => this.steps.ticketRefused(task, worker),
 			onMoved: (task, worker) => this.steps.movedAway(task, worker),
-			onStarted: (delay) => this.startDelays.confirmed(delay),
+			onStarted: (delay) => this.startDelays.record(delay),
 		})
 		const { workers, runs, precedence, accounts, shares } = this
 		this.steps = new StepScheduler(
@@ -219,7 +219,7 @@
 	/** A cell is behind when half of its starts take longer than its most urgent queue allows a whole job. */
 	private judgeStarts(now: number): void {
 		const { runs, startWindow: window, context } = this
-		const delay = this.startDelays.take(now, () => runs.unconfirmedStartAges())
+		const delay = this.startDelays.takeMedian(now, () => runs.unconfirmedStartAges())
 		if (delay === undefined) return
 		const { size: before } = window
 		const bound = shortestTarget(context.state.configuration?.queues ?? [])
--- a/packages/jobs/src/lib/leader/runs/LostRunHandler.ts
+++ b/packages/jobs/src/lib/leader/runs/LostRunHandler.ts
@@ -35,7 +35,7 @@
 	abandonRepeatable(view: WorkerView, now: number): void {
 		if (now - view.lostAt < COPY_PATIENCE) return
 		const copies = [...view.runs.values()].filter((run) => run.step.copies)
-		for (const { text, attempt } of copies) this.suspects.raise(view, text, attempt)
+		for (const { text, attempt } of copies) this.suspects.add(view, text, attempt)
 		this.lose(view, copies, 'copies allowed')
 	}
 
--- a/packages/jobs/src/lib/leader/runs/TimeAtWork.ts
+++ b/packages/jobs/src/lib/leader/runs/ObservedRunTime.ts
@@ -11,28 +11,28 @@
  *
  * @internal
  */
-export class TimeAtWork {
+export class ObservedRunTime {
 	/** What its worker's clock showed when it first told of the run; absent before. */
 	private since: number | undefined
 	private longest = 0
 
 	/** Milliseconds for which it has been at work at least; 0 before two answers have told of it. */
-	get least(): number {
+	get minimum(): number {
 		return this.longest
 	}
 
 	/** Whether it has outlived its beginning, in which a task that crashes its worker does so. */
-	get hasOutlivedBeginning(): boolean {
+	get hasOutlivedStartup(): boolean {
 		return this.longest > BEGINNING
 	}
 
 	/** Its worker has confirmed it. @param clock - what the worker's clock showed; absent where it does not tell. */
-	confirmed(clock: number | undefined): void {
+	onConfirmed(clock: number | undefined): void {
 		this.since ??= clock
 	}
 
 	/** Its worker lists it as running. @param clock - what the worker's clock showed. */
-	listed(clock: number): void {
+	onListed(clock: number): void {
 		this.since ??= clock
 		this.longest = Math.max(this.longest, clock - this.since)
 	}
--- a/packages/jobs/src/lib/leader/runs/Run.ts
+++ b/packages/jobs/src/lib/leader/runs/Run.ts
@@ -3,7 +3,7 @@
 import type { RunProgress } from '../../placement/RunProgress'
 import type { StepTimes } from '../../placement/StepUrgency'
 import type { Step, TaskName } from '../../records/Job'
-import type { TimeAtWork } from './TimeAtWork'
+import type { ObservedRunTime } from './ObservedRunTime'
 import type { StopReason } from './WastedWork'
 
 /** What has been asked of a run's worker. @internal */
@@ -60,7 +60,7 @@
 	/** When its worker first confirmed or listed it, on the leader's clock; absent before. */
 	confirmedAt: number | undefined
 	/** For how long it has been at work, by its worker's clock. */
-	readonly atWork: TimeAtWork
+	readonly atWork: ObservedRunTime
 	/** Whether an order is under way. */
 	busy: boolean
 	/** When an order without an answer is sent again. */
--- a/packages/jobs/src/lib/leader/runs/RunController.ts
+++ b/packages/jobs/src/lib/leader/runs/RunController.ts
@@ -16,10 +16,10 @@
 import { RunPacer } from './RunPacer'
 import type { PollResult } from '../ports'
 import { claimAgain, claimOf, unclaim } from '../steps/reservation'
-import { newRun } from './newRun'
+import { createRun } from './createRun'
 import { RunOrders } from './RunOrders'
 import { RunPhase, type Run } from './Run'
-import { tellWaste } from './tellWaste'
+import { reportWaste } from './reportWaste'
 import { StopReason } from './WastedWork'
 import type { WorkerRegistry } from '../workers/WorkerRegistry'
 import type { WorkerView } from '../workers/WorkerView'
@@ -164,7 +164,7 @@
 		run.checkpoint = task.checkpoint
 		run.restored = true
 		run.seenAtWork = task.seenAtWork === task.attempt
-		if (!isActive(job) || task.finished) this.requestStop(run, StopReason.Over)
+		if (!isActive(job) || task.finished) this.requestStop(run, StopReason.NoLongerNeeded)
 		return run
 	}
 
@@ -217,7 +217,7 @@
 			this.workers.losses.reliability.failed(worker, clock.now())
 		this.markGangEnding(run)
 		this.gangs.ended(run, how === RunEnd.Done)
-		if (how !== RunEnd.Done) tellWaste(this.context, run, how)
+		if (how !== RunEnd.Done) reportWaste(this.context, run, how)
 	}
 
 	/** The first end of a member of a gang that is planned as a whole tells that the others end soon. */
@@ -231,7 +231,7 @@
 	stopJob(job: JobRecord): void {
 		for (const { text } of tasksOf(job)) {
 			const run = this.runs.get(text)
-			if (run) this.requestStop(run, StopReason.Over)
+			if (run) this.requestStop(run, StopReason.NoLongerNeeded)
 		}
 	}
 
@@ -239,7 +239,7 @@
 	stopTask(name: TaskName): void {
 		const run = this.runs.get(formatTaskName(name))
 		if (!run) return
-		for (const one of this.gangs.together(run)) this.requestStop(one, StopReason.Over)
+		for (const one of this.gangs.together(run)) this.requestStop(one, StopReason.NoLongerNeeded)
 	}
 
 	/** Stops a run so that a step of the highest priority finds room; it goes on from its checkpoint later. */
@@ -285,7 +285,7 @@
 			if (checkpoint !== run.checkpoint) run.checkpointAt = now
 			Object.assign(run, { checkpoint, percent, measure, absent: 0 })
 			run.progress.read(percent, result.clock, now)
-			run.atWork.listed(result.clock)
+			run.atWork.onListed(result.clock)
 			this.clearIfHarmless(run)
 			this.noteAtWork(run)
 			if (run.phase === RunPhase.Starting) this.enterPhase(run, RunPhase.Running)
@@ -305,7 +305,7 @@
 	/** Workers that crashed under a lasting task which is at work for long were not its doing. */
 	private clearIfHarmless(run: Run): void {
 		const { state, proposals } = this.context
-		if (!run.step.lasting || run.atWork.least < HARMLESS_AFTER) return
+		if (!run.step.lasting || run.atWork.minimum < HARMLESS_AFTER) return
 		if (!state.jobs.locate(run.text)?.task.crashed || run.clearing) return
 		run.clearing = true
 		proposals.propose({ kind: 'cleared', tasks: [run.text] })
@@ -313,7 +313,7 @@
 
 	/** What a leader has seen of a suspected task outlives it: if the worker crashes under the next leader, the task is not blamed as if it had just begun. */
 	private noteAtWork(run: Run): void {
-		if (!run.suspected || run.seenAtWork || !run.atWork.hasOutlivedBeginning) return
+		if (!run.suspected || run.seenAtWork || !run.atWork.hasOutlivedStartup) return
 		run.seenAtWork = true
 		const { text: task, attempt } = run
 		this.context.proposals.propose({ kind: 'at-work', runs: [{ task, attempt }] })
@@ -367,7 +367,7 @@
 			ticketed: job.queue.advice !== undefined,
 			suspected: this.isSuspected(text),
 		}
-		const run = newRun(origin, now, this.workers.find(worker)?.speed)
+		const run = createRun(origin, now, this.workers.find(worker)?.speed)
 		this.runs.set(text, run)
 		if (run.decidedAt !== undefined) this.unconfirmed.add(run)
 		this.workers.find(worker)?.runs.set(text, run)
@@ -404,7 +404,7 @@
 
 	private requestStop(run: Run, reason: StopReason): void {
 		if (run.phase === RunPhase.Stopping || run.phase === RunPhase.Stopped) return
-		if (reason !== StopReason.Over) this.gangs.failed(run, GangFailure.Stopped, reason)
+		if (reason !== StopReason.NoLongerNeeded) this.gangs.failed(run, GangFailure.Stopped, reason)
 		run.stopReason = reason
 		this.enterPhase(run, RunPhase.Stopping)
 		if (!run.busy) this.orders.sendOrder(run)
--- a/packages/jobs/src/lib/leader/runs/RunOrders.ts
+++ b/packages/jobs/src/lib/leader/runs/RunOrders.ts
@@ -172,7 +172,7 @@
 
 	private onDone(run: Run, asked: RunPhase, clock: number | undefined): void {
 		if (asked === RunPhase.Starting) {
-			run.atWork.confirmed(clock)
+			run.atWork.onConfirmed(clock)
 			if (run.phase === RunPhase.Starting) this.host.enterPhase(run, RunPhase.Running)
 			else if (run.phase === RunPhase.Stopping) this.stopStartedRun(run)
 			this.host.onProgress(run)
--- a/packages/jobs/src/lib/leader/runs/StartDelays.ts
+++ b/packages/jobs/src/lib/leader/runs/StartDelays.ts
@@ -20,7 +20,7 @@
 	}
 
 	/** A worker has confirmed a start. @param delay - milliseconds since it was decided. */
-	confirmed(delay: number): void {
+	record(delay: number): void {
 		this.delays.push(delay)
 	}
 
@@ -31,7 +31,7 @@
 	 * @param awaited - milliseconds since each start was decided that no worker has confirmed yet: they will have taken longer.
 	 * @returns the milliseconds that half of the starts took at least, 0 where there were too few to tell; undefined while the period goes on.
 	 */
-	take(now: number, awaited: () => Iterable<number>): number | undefined {
+	takeMedian(now: number, awaited: () => Iterable<number>): number | undefined {
 		if (now - this.since < PERIOD) return undefined
 		this.since = now
 		const delays = [...this.delays, ...awaited()]
--- a/packages/jobs/src/lib/leader/runs/SuspectRuns.ts
+++ b/packages/jobs/src/lib/leader/runs/SuspectRuns.ts
@@ -26,7 +26,7 @@
 	) {}
 
 	/** A worker has, or may have, a run that it should not have. */
-	raise(view: WorkerView, task: string, attempt: number): void {
+	add(view: WorkerView, task: string, attempt: number): void {
 		const known = view.suspects.get(task)
 		if (known && known.attempt >= attempt) return
 		if (known) uncount(known)
@@ -35,7 +35,7 @@
 	}
 
 	/** Once a stop is acknowledged, neither the run nor a late order to start it can take room. */
-	settle(view: WorkerView): void {
+	stopAll(view: WorkerView): void {
 		const { orders, clock } = this.context
 		const { fence } = view
 		if (view.givenUp) return
@@ -52,7 +52,7 @@
 	}
 
 	/** A run is suspect no more when a poll that was sent after the stop does not list the run. */
-	drop(view: WorkerView, running: readonly ListedRun[], sentAt: number): void {
+	removeStopped(view: WorkerView, running: readonly ListedRun[], sentAt: number): void {
 		if (view.suspects.size === 0) return
 		const listed = new Set(running.map((run) => run.task))
 		for (const [task, suspect] of view.suspects) {
--- a/packages/jobs/src/lib/leader/runs/WastedWork.ts
+++ b/packages/jobs/src/lib/leader/runs/WastedWork.ts
@@ -7,7 +7,7 @@
 /** Why the leader stops a run. @internal */
 export const StopReason = {
 	/** Its job has ended, or an earlier run has done its task. */
-	Over: 'over',
+	NoLongerNeeded: 'over',
 	/** To make room for urgent work. */
 	Preempted: 'preempted',
 	/** Its worker is leaving. */
@@ -46,7 +46,7 @@
 export type WasteCause = (typeof WasteCause)[keyof typeof WasteCause]
 
 const CAUSE_OF_STOP: { readonly [reason in StopReason]: WasteCause } = {
-	[StopReason.Over]: WasteCause.Superseded,
+	[StopReason.NoLongerNeeded]: WasteCause.Superseded,
 	[StopReason.Preempted]: WasteCause.Preempted,
 	[StopReason.Leaving]: WasteCause.Leaving,
 	[StopReason.Moved]: WasteCause.Moved,
@@ -94,7 +94,7 @@
  * @returns processor seconds that were reserved for work which is lost.
  * @internal
  */
-export function wastedBy(run: Run, goesOn: boolean, now: number): number {
+export function wastedProcessorSecondsOf(run: Run, goesOn: boolean, now: number): number {
 	const { confirmedAt, checkpointAt, need, step } = run
 	if (confirmedAt === undefined || step.lasting) return 0
 	const since = goesOn ? Math.max(confirmedAt, checkpointAt) : confirmedAt
--- a/packages/jobs/src/lib/leader/runs/newRun.ts
+++ b/packages/jobs/src/lib/leader/runs/createRun.ts
@@ -1,7 +1,7 @@
 /** A run as it is before its worker has been told of it. */
 import { RunProgress } from '../../placement/RunProgress'
 import { RunPhase, type Run } from './Run'
-import { TimeAtWork } from './TimeAtWork'
+import { ObservedRunTime } from './ObservedRunTime'
 
 /** What tells one run from others. @internal */
 export type RunOrigin = Pick<
@@ -29,7 +29,7 @@
  * @returns the run.
  * @internal
  */
-export function newRun(origin: RunOrigin, now: number, speed = 1): Run {
+export function createRun(origin: RunOrigin, now: number, speed = 1): Run {
 	return {
 		...origin,
 		restored: false,
@@ -39,7 +39,7 @@
 		seenAtWork: false,
 		ordered: false,
 		confirmedAt: undefined,
-		atWork: new TimeAtWork(),
+		atWork: new ObservedRunTime(),
 		busy: false,
 		retryAt: 0,
 		checkpoint: '',
--- a/packages/jobs/src/lib/leader/runs/tellsOfWorker.ts
+++ b/packages/jobs/src/lib/leader/runs/isWorkerSpeedSample.ts
@@ -12,7 +12,7 @@
  *
  * @internal
  */
-export function tellsOfWorker({ phase, step, pace, percent }: Run): boolean {
+export function isWorkerSpeedSample({ phase, step, pace, percent }: Run): boolean {
 	if (phase !== RunPhase.Running || pace < FULL_PACE || percent >= ALL_DONE) return false
 	return !step.lasting && !step.bestEffort && !step.gang && step.expectedTime > 0
 }
--- a/packages/jobs/src/lib/leader/runs/tellWaste.ts
+++ b/packages/jobs/src/lib/leader/runs/reportWaste.ts
@@ -5,7 +5,7 @@
 import type { LeaderContext } from '../LeaderContext'
 import { LeaderEvent } from '../LeaderEvent'
 import type { Run } from './Run'
-import { wasteCauseOf, wastedBy } from './WastedWork'
+import { wasteCauseOf, wastedProcessorSecondsOf } from './WastedWork'
 
 /**
  * @param context - what the parts of the leader share.
@@ -13,7 +13,7 @@
  * @param how - how it ended.
  * @internal
  */
-export function tellWaste(
+export function reportWaste(
 	{ log, clock, meter, state }: LeaderContext,
 	run: Run,
 	how: RunEnd
@@ -22,7 +22,7 @@
 	if (!place) return
 	const now = clock.now()
 	const cause = wasteCauseOf(run, how, place)
-	const processorSeconds = wastedBy(run, isActive(place.job), now)
+	const processorSeconds = wastedProcessorSecondsOf(run, isActive(place.job), now)
 	meter.count(Measure.WastedWork, { cause }, processorSeconds)
 	const { text: task, attempt, worker, phase } = run
 	const ran = Math.round(now - run.since)
--- a/packages/jobs/src/lib/leader/runs/endsOf.ts
+++ b/packages/jobs/src/lib/leader/runs/toCommandEnds.ts
@@ -3,6 +3,6 @@
 import type { ListedEnd } from '../ports'
 
 /** @returns the ends, without the numbers that only their worker's life gives a meaning. @internal */
-export function endsOf(listed: readonly ListedEnd[]): End[] {
+export function toCommandEnds(listed: readonly ListedEnd[]): End[] {
 	return listed.map(({ task, attempt, how, checkpoint }) => ({ task, attempt, how, checkpoint }))
 }
--- a/packages/jobs/src/lib/leader/workers/LifeChanges.ts
+++ b/packages/jobs/src/lib/leader/workers/LifeChanges.ts
@@ -10,7 +10,7 @@
  */
 import type { Worker } from '../../records/Cell'
 import { isOtherLife } from '../../records/Incarnation'
-import { endsOf } from '../runs/endsOf'
+import { toCommandEnds } from '../runs/toCommandEnds'
 import type { FenceTokens } from './FenceTokens'
 import { epochOf, type LeaderContext } from '../LeaderContext'
 import type { OrderTarget, PollResult } from '../ports'
@@ -177,7 +177,7 @@
 	/** They come before whatever follows from the change in the log, so a run that has ended there is not lost. */
 	private commitEnds({ ended }: Listed): void {
 		if (ended.length === 0) return
-		const runs = endsOf(ended)
+		const runs = toCommandEnds(ended)
 		this.context.proposals.propose({ kind: 'end', runs, at: epochOf(this.context) })
 	}
 
--- a/packages/jobs/src/lib/leader/workers/WorkerRegistry.ts
+++ b/packages/jobs/src/lib/leader/workers/WorkerRegistry.ts
@@ -8,7 +8,7 @@
 import { WorkerHeartbeats } from './WorkerHeartbeats'
 import { WorkerPolls } from './WorkerPolls'
 import { LostRunHandler } from '../runs/LostRunHandler'
-import { endsOf } from '../runs/endsOf'
+import { toCommandEnds } from '../runs/toCommandEnds'
 import { FenceTokens } from './FenceTokens'
 import { LifeChanges } from './LifeChanges'
 import { isOtherLife, parseIncarnation } from '../../records/Incarnation'
@@ -210,7 +210,7 @@
 		this.polls.begin(this.views.values(), now)
 		for (const view of this.views.values()) {
 			if (view.unreachable) this.lostRuns.abandonRepeatable(view, now)
-			if (!view.unreachable) this.suspects.settle(view)
+			if (!view.unreachable) this.suspects.stopAll(view)
 			if (view.left && (view.runs.size === 0 || view.lease.isOver(now))) {
 				this.proposeGone(view.id, WorkerEnd.Left)
 				view.left = false
@@ -266,15 +266,15 @@
 		for (const { text, task } of tasksOf(job)) {
 			for (const { worker } of task.silent ?? []) {
 				const view = this.views.get(worker)
-				if (view) this.suspects.raise(view, text, Math.max(0, ...(task.lost ?? [])))
+				if (view) this.suspects.add(view, text, Math.max(0, ...(task.lost ?? [])))
 			}
 		}
 	}
 
 	/** A worker lists a run that it should not have: of a job that ended, or given up earlier. */
 	foundStray(view: WorkerView, task: string, attempt: number): void {
-		this.suspects.raise(view, task, attempt)
-		this.suspects.settle(view)
+		this.suspects.add(view, task, attempt)
+		this.suspects.stopAll(view)
 	}
 
 	/** Another life answers in a worker's place: what it holds of this one's runs has to end before they may begin elsewhere. */
@@ -332,7 +332,7 @@
 				view.pollDue = 0
 				this.noteAnswer(view, sentAt)
 				this.takeEnds(view, result.ended)
-				this.suspects.drop(view, result.running, sentAt)
+				this.suspects.removeStopped(view, result.running, sentAt)
 				this.listener.polled(view, result, sentAt)
 				return
 			case 'refused':
@@ -363,7 +363,7 @@
 		if (fresh.length === 0) return
 		const last = Math.max(...fresh.map((end) => end.number))
 		view.endsProposed = last
-		const runs = endsOf(fresh)
+		const runs = toCommandEnds(fresh)
 		this.context.proposals.propose({ kind: 'end', runs, at: epochOf(this.context) }, () => {
 			view.endsCommitted = Math.max(view.endsCommitted, last)
 		})
--- a/packages/jobs/src/lib/leader/workers/crashEvidence.test.ts
+++ b/packages/jobs/src/lib/leader/workers/crashEvidence.test.ts
@@ -8,16 +8,16 @@
 import { DEFAULT_LEADER_TIMING } from '../LeaderTiming'
 import { Lease } from './Lease'
 import type { Run } from '../runs/Run'
-import { TimeAtWork } from '../runs/TimeAtWork'
+import { ObservedRunTime } from '../runs/ObservedRunTime'
 import { WorkerView } from './WorkerView'
 
 const { Strong, Doubtful, Weak } = CrashEvidence
 
 /** @returns what its worker's clock tells of a run that was at work for a span, in milliseconds. */
-function atWorkFor(span: number): TimeAtWork {
-	const time = new TimeAtWork()
-	time.confirmed(7000)
-	time.listed(7000 + span)
+function atWorkFor(span: number): ObservedRunTime {
+	const time = new ObservedRunTime()
+	time.onConfirmed(7000)
+	time.onListed(7000 + span)
 	return time
 }
 
@@ -107,7 +107,7 @@
 	// Any other answer may have been made before the worker crashed.
 	view.answeredAt = 1300
 	assert.equal(hidesSurvival(view, 1400), true)
-	atWork.listed(7300)
+	atWork.onListed(7300)
 	assert.equal(hidesSurvival(view, 1400), false)
 })
 
--- a/packages/jobs/src/lib/leader/workers/crashEvidence.ts
+++ b/packages/jobs/src/lib/leader/workers/crashEvidence.ts
@@ -44,8 +44,8 @@
 	const { restored, confirmedAt, atWork } = run
 	if (!mayHaveBegun(run)) return undefined
 	if (confirmedAt === undefined) return run.seenAtWork ? CrashEvidence.Weak : CrashEvidence.Doubtful
-	if (run.step.lasting && atWork.least > SETTLED) return undefined
-	if (atWork.hasOutlivedBeginning || run.seenAtWork) return CrashEvidence.Weak
+	if (run.step.lasting && atWork.minimum > SETTLED) return undefined
+	if (atWork.hasOutlivedStartup || run.seenAtWork) return CrashEvidence.Weak
 	const leaves = view.draining || view.left
 	return leaves || restored || inWave ? CrashEvidence.Doubtful : CrashEvidence.Strong
 }
@@ -70,7 +70,7 @@
 export function hidesSurvival(view: WorkerView, now: number): boolean {
 	for (const { suspected, confirmedAt, atWork } of view.runs.values()) {
 		if (!suspected || confirmedAt === undefined) continue
-		if (now - confirmedAt > ASK_AFTER && !atWork.hasOutlivedBeginning) return true
+		if (now - confirmedAt > ASK_AFTER && !atWork.hasOutlivedStartup) return true
 	}
 	return false
 }
--- a/packages/jobs/src/lib/placement/StallWatch.ts
+++ b/packages/jobs/src/lib/placement/StallWatch.ts
@@ -6,7 +6,7 @@
  * seemed slow at some moment (see docs/POLICY.md).
  */
 import type { Run } from '../leader/runs/Run'
-import { tellsOfWorker } from '../leader/runs/tellsOfWorker'
+import { isWorkerSpeedSample } from '../leader/runs/isWorkerSpeedSample'
 import type { WorkerView } from '../leader/workers/WorkerView'
 
 /**
@@ -51,7 +51,7 @@
 	 * @returns whether it was found to stand still, and was not known to.
 	 */
 	judge(view: WorkerView, workers: number, now: number): boolean {
-		const judged = [...view.runs.values()].filter(tellsOfWorker)
+		const judged = [...view.runs.values()].filter(isWorkerSpeedSample)
 		const standing = judged.filter(isStanding)
 		if (standing.length === 0 || standing.length < judged.length * MOST_RUNS) return false
 		const known = this.isStalled(view.id, now)
@@ -63,7 +63,7 @@
 	/** @returns the runs of a worker that stand still and may begin elsewhere. */
 	runsToMove(view: WorkerView): Run[] {
 		return [...view.runs.values()].filter(
-			(run) => tellsOfWorker(run) && isStanding(run) && run.attempt <= LAST_MOVED_ATTEMPT
+			(run) => isWorkerSpeedSample(run) && isStanding(run) && run.attempt <= LAST_MOVED_ATTEMPT
 		)
 	}
 
--- a/packages/jobs/src/lib/speeds/SpeedWatch.ts
+++ b/packages/jobs/src/lib/speeds/SpeedWatch.ts
@@ -4,7 +4,7 @@
 import { LeaderEvent } from '../leader/LeaderEvent'
 import type { PollResult } from '../leader/ports'
 import type { Run } from '../leader/runs/Run'
-import { tellsOfWorker } from '../leader/runs/tellsOfWorker'
+import { isWorkerSpeedSample } from '../leader/runs/isWorkerSpeedSample'
 import { stepName } from '../leader/steps/StepWork'
 import type { WorkerRegistry } from '../leader/workers/WorkerRegistry'
 import type { WorkerView } from '../leader/workers/WorkerView'
@@ -80,7 +80,7 @@
 	}
 
 	private note(view: WorkerView, run: Run, milliseconds: number | undefined): void {
-		if (milliseconds === undefined || !tellsOfWorker(run)) return
+		if (milliseconds === undefined || !isWorkerSpeedSample(run)) return
 		if (run.progress.stoodStillFor >= STANDS_AFTER) return
 		const { job, repeat, step } = run.name
 		// Away from its data a task takes longer, whatever the worker.
--- a/packages/runs/src/lib/jobs/jobRun.test.ts
+++ b/packages/runs/src/lib/jobs/jobRun.test.ts
@@ -319,7 +319,7 @@
 	{
 		rule: /no worker is given more than it has|a task runs once at a time/,
 		without: 'closing a worker while it has what it should not have',
-		breaks: () => [[jobsClass('leader/runs', 'SuspectRuns'), 'raise', () => () => undefined]],
+		breaks: () => [[jobsClass('leader/runs', 'SuspectRuns'), 'add', () => () => undefined]],
 	},
 	{
 		rule: /a task runs once at a time/,
