--- a/packages/jobs/src/lib/gangs/GangAttempt.ts
+++ b/packages/jobs/src/lib/gangs/GangAttempt.ts
@@ -81,7 +81,7 @@
 
 	/** The beginning of a member is committed. */
 	add(run: Run): void {
-		this.members.set(run.text, run)
+		this.members.set(run.taskId, run)
 		this.begun += 1
 	}
 
@@ -97,7 +97,7 @@
 
 	/** A member has ended. */
 	remove(run: Run): void {
-		this.members.delete(run.text)
+		this.members.delete(run.taskId)
 	}
 
 	/** A member was confirmed or has got on. @returns whether all are there, as was not known before. */
--- a/packages/jobs/src/lib/gangs/GangAttempts.ts
+++ b/packages/jobs/src/lib/gangs/GangAttempts.ts
@@ -87,7 +87,8 @@
 		const attempt = this.find(run)
 		if (!attempt?.noteProgress(run)) return
 		const { clock, meter } = this.context
-		if (!run.restored) meter.observe(Measure.GangGathering, clock.now() - (attempt.orderedAt ?? 0))
+		if (!run.isRestored)
+			meter.observe(Measure.GangGathering, clock.now() - (attempt.orderedAt ?? 0))
 	}
 
 	/** A member can't begin, or is about to be stopped: so are the others. The caller sees to the member itself. */
@@ -142,14 +143,14 @@
 		meter.count(Measure.GangsGivenUp, { reason })
 		const { step, number, size, orderedAt, missing } = attempt
 		const gathered = orderedAt === undefined ? 0 : Math.round(clock.now() - orderedAt)
-		const named = missing.slice(0, MOST_NAMES).map(({ text }) => text)
+		const named = missing.slice(0, MOST_NAMES).map(({ taskId }) => taskId)
 		log.info(LeaderEvent.GangGivenUp, {
 			step,
 			attempt: number,
 			members: size,
 			reason,
 			detail,
-			task: cause?.text,
+			task: cause?.taskId,
 			worker: cause?.worker,
 			gathered,
 			missing: named.join(' '),
--- a/packages/jobs/src/lib/leader/runs/LostRunHandler.ts
+++ b/packages/jobs/src/lib/leader/runs/LostRunHandler.ts
@@ -35,7 +35,7 @@
 	abandonRepeatable(view: WorkerView, now: number): void {
 		if (now - view.lostAt < COPY_PATIENCE) return
 		const copies = [...view.runs.values()].filter((run) => run.step.copies)
-		for (const { text, attempt } of copies) this.suspects.add(view, text, attempt)
+		for (const { taskId, attempt } of copies) this.suspects.add(view, taskId, attempt)
 		this.lose(view, copies, 'copies allowed')
 	}
 
@@ -44,7 +44,7 @@
 		view.gaveUpAt = this.context.clock.now()
 		const evidenceOf = this.losses.evidenceOn(view)
 		const runs = lost.map((run) => ({
-			task: run.text,
+			task: run.taskId,
 			attempt: run.attempt,
 			how: RunEnd.Lost,
 			checkpoint: run.checkpoint,
@@ -52,7 +52,7 @@
 		}))
 		this.context.log.warn(LeaderEvent.RunsLost, { worker: view.id, runs: runs.length, reason })
 		for (const run of lost) {
-			view.runs.delete(run.text)
+			view.runs.delete(run.taskId)
 			// The worker may answer again before this is committed; the run must not be ordered there then.
 			run.retryAt = Number.POSITIVE_INFINITY
 		}
--- a/packages/jobs/src/lib/leader/runs/Run.ts
+++ b/packages/jobs/src/lib/leader/runs/Run.ts
@@ -22,7 +22,7 @@
 
 /** One run. @internal */
 export interface Run {
-	readonly text: string
+	readonly taskId: string
 	readonly name: TaskName
 	readonly step: Step
 	readonly attempt: number
@@ -41,28 +41,28 @@
 	readonly times: StepTimes
 	readonly ticket: string
 	/** Whether its worker wants a ticket. */
-	readonly ticketed: boolean
+	readonly needsTicket: boolean
 	/** When this leader decided to begin it, on its clock; undefined for one that an earlier leader began. */
 	readonly decidedAt: number | undefined
 	/** Whether an earlier leader began it. */
-	restored: boolean
+	isRestored: boolean
 	phase: RunPhase
 	/** When the phase began, on the leader's clock. */
-	since: number
+	phaseSince: number
 	/** Whether an order to start it got no answer, so that it may still be carried out. */
 	isInDoubt: boolean
 	/** Whether workers have crashed under its task. */
-	readonly suspected: boolean
+	readonly isSuspected: boolean
 	/** Whether this leader or an earlier one has seen it at work after its beginning; only told of suspected ones. */
 	seenAtWork: boolean
 	/** Whether this leader has ordered it. */
-	ordered: boolean
+	isOrdered: boolean
 	/** When its worker first confirmed or listed it, on the leader's clock; absent before. */
 	confirmedAt: number | undefined
 	/** For how long it has been at work, by its worker's clock. */
-	readonly atWork: ObservedRunTime
+	readonly observedTime: ObservedRunTime
 	/** Whether an order is under way. */
-	busy: boolean
+	isOrderPending: boolean
 	/** When an order without an answer is sent again. */
 	retryAt: number
 	/** The newest checkpoint that its worker listed; empty for none. */
@@ -76,15 +76,15 @@
 	/** How fast it gets on, and when it is expected to end. */
 	readonly progress: RunProgress
 	/** Whether it ends soon by itself, since another member of its gang has ended. */
-	ending: boolean
+	isEnding: boolean
 	/** What the worker last reported of it: tail latency or processor use. */
 	measure: number
 	/** Share of its speed that it was last told to work at, from 0 to 100. */
 	pace: number
 	/** Whether it is being noted that it does no harm. */
-	clearing: boolean
+	isClearProposed: boolean
 	/** WorkerPolls in a row that did not list it although they should have. */
-	absent: number
+	missedPolls: number
 }
 
 /**
--- a/packages/jobs/src/lib/leader/runs/RunController.ts
+++ b/packages/jobs/src/lib/leader/runs/RunController.ts
@@ -84,7 +84,7 @@
 	) {
 		this.pacing = new RunPacer(context)
 		this.orders = new RunOrders(context, workers, accounts, {
-			isCurrent: (run) => this.runs.get(run.text) === run,
+			isCurrent: (run) => this.runs.get(run.taskId) === run,
 			enterPhase: (run, phase) => this.enterPhase(run, phase),
 			requestStop: (run, reason) => this.requestStop(run, reason),
 			proposeEnd: (run, how) => this.proposeEnd(run, how),
@@ -109,7 +109,7 @@
 		for (const { text, task } of tasksOf(job)) {
 			if (task.status === TaskStatus.Done || task.failures > 0 || task.lost) return true
 			const run = this.runs.get(text)
-			if (run && (run.restored || run.confirmedAt !== undefined)) return true
+			if (run && (run.isRestored || run.confirmedAt !== undefined)) return true
 		}
 		return false
 	}
@@ -134,9 +134,9 @@
 	private *unconfirmedStarts(): Generator<Run> {
 		const now = this.context.clock.now()
 		for (const run of this.unconfirmed) {
-			const { ordered, decidedAt = now } = run
+			const { isOrdered, decidedAt = now } = run
 			const most = this.isReachable(run) ? MOST_AWAITED : MOST_AWAITED_IN_SILENCE
-			if (ordered && now - decidedAt <= most) yield run
+			if (isOrdered && now - decidedAt <= most) yield run
 		}
 	}
 
@@ -162,7 +162,7 @@
 		const run = this.add(text, place.name, job, task.attempt, task.worker)
 		claimAgain(this.context.ledger, task.worker, run)
 		run.checkpoint = task.checkpoint
-		run.restored = true
+		run.isRestored = true
 		run.seenAtWork = task.seenAtWork === task.attempt
 		if (!isActive(job) || task.finished) this.requestStop(run, StopReason.NoLongerNeeded)
 		return run
@@ -223,8 +223,8 @@
 	/** The first end of a member of a gang that is planned as a whole tells that the others end soon. */
 	private markGangEnding(run: Run): void {
 		const job = this.context.state.jobs.find(run.name.job)
-		if (run.ending || !job || !needsPlan({ step: run.step, queue: job.queue })) return
-		for (const member of this.gangs.together(run)) member.ending = true
+		if (run.isEnding || !job || !needsPlan({ step: run.step, queue: job.queue })) return
+		for (const member of this.gangs.together(run)) member.isEnding = true
 	}
 
 	/** Stops everything that a job runs. */
@@ -244,7 +244,7 @@
 
 	/** Stops a run so that a step of the highest priority finds room; it goes on from its checkpoint later. */
 	preempt(run: Run, step: string): void {
-		const { text: task, attempt, worker, percent } = run
+		const { taskId: task, attempt, worker, percent } = run
 		this.context.log.info(LeaderEvent.RunPreempted, { task, attempt, worker, percent, for: step })
 		this.context.meter.count(Measure.Preemptions)
 		this.requestStop(run, StopReason.Preempted)
@@ -263,7 +263,7 @@
 	/** Sends orders again that got no answer. */
 	tick(now: number): void {
 		for (const run of this.runs.values()) {
-			if (run.busy || now < run.retryAt) continue
+			if (run.isOrderPending || now < run.retryAt) continue
 			if (run.phase === RunPhase.Starting || run.phase === RunPhase.Stopping)
 				this.orders.sendOrder(run)
 		}
@@ -283,9 +283,9 @@
 			listed.add(task)
 			const now = this.context.clock.now()
 			if (checkpoint !== run.checkpoint) run.checkpointAt = now
-			Object.assign(run, { checkpoint, percent, measure, absent: 0 })
+			Object.assign(run, { checkpoint, percent, measure, missedPolls: 0 })
 			run.progress.read(percent, result.clock, now)
-			run.atWork.onListed(result.clock)
+			run.observedTime.onListed(result.clock)
 			this.clearIfHarmless(run)
 			this.noteAtWork(run)
 			if (run.phase === RunPhase.Starting) this.enterPhase(run, RunPhase.Running)
@@ -296,7 +296,7 @@
 			this.onListedEnded(view, task, attempt)
 		}
 		for (const run of view.runs.values()) {
-			if (!listed.has(run.text)) this.onNotListed(run, sentAt)
+			if (!listed.has(run.taskId)) this.onNotListed(run, sentAt)
 		}
 		this.pacing.adjust(view)
 		this.checkStalls(view)
@@ -305,17 +305,17 @@
 	/** Workers that crashed under a lasting task which is at work for long were not its doing. */
 	private clearIfHarmless(run: Run): void {
 		const { state, proposals } = this.context
-		if (!run.step.lasting || run.atWork.minimum < HARMLESS_AFTER) return
-		if (!state.jobs.locate(run.text)?.task.crashed || run.clearing) return
-		run.clearing = true
-		proposals.propose({ kind: 'cleared', tasks: [run.text] })
+		if (!run.step.lasting || run.observedTime.minimum < HARMLESS_AFTER) return
+		if (!state.jobs.locate(run.taskId)?.task.crashed || run.isClearProposed) return
+		run.isClearProposed = true
+		proposals.propose({ kind: 'cleared', tasks: [run.taskId] })
 	}
 
 	/** What a leader has seen of a suspected task outlives it: if the worker crashes under the next leader, the task is not blamed as if it had just begun. */
 	private noteAtWork(run: Run): void {
-		if (!run.suspected || run.seenAtWork || !run.atWork.hasOutlivedStartup) return
+		if (!run.isSuspected || run.seenAtWork || !run.observedTime.hasOutlivedStartup) return
 		run.seenAtWork = true
-		const { text: task, attempt } = run
+		const { taskId: task, attempt } = run
 		this.context.proposals.propose({ kind: 'at-work', runs: [{ task, attempt }] })
 	}
 
@@ -323,7 +323,8 @@
 	private onListedEnded(view: WorkerView, task: string, attempt: number): void {
 		const run = this.runs.get(task)
 		if (!run || run.worker !== view.id || run.attempt !== attempt) return
-		if (run.phase === RunPhase.Starting && !run.busy) this.enterPhase(run, RunPhase.Stopped)
+		if (run.phase === RunPhase.Starting && !run.isOrderPending)
+			this.enterPhase(run, RunPhase.Stopped)
 	}
 
 	/** Closes a worker on which runs stand still, and moves those. */
@@ -341,7 +342,7 @@
 
 	/** Stops a run so that it goes on elsewhere. */
 	private move(run: Run): void {
-		const { text: task, attempt, worker, percent } = run
+		const { taskId: task, attempt, worker, percent } = run
 		this.context.log.info(LeaderEvent.RunMoved, { task, attempt, worker, percent })
 		this.context.meter.count(Measure.Moves)
 		this.listener.onMoved(run.name, worker)
@@ -356,7 +357,7 @@
 			decision ?? this.precedence.standingOf(job.queue, step, now, job.beyondRate)
 		const origin = {
 			...claimOf(job, name.step, urgent, this.accounts.of(job)),
-			text,
+			taskId: text,
 			name,
 			attempt,
 			worker,
@@ -364,8 +365,8 @@
 			times: timesOf(job, name.repeat, name.step, job.queue),
 			ticket: decision?.ticket ?? '',
 			decidedAt: decision?.at,
-			ticketed: job.queue.advice !== undefined,
-			suspected: this.isSuspected(text),
+			needsTicket: job.queue.advice !== undefined,
+			isSuspected: this.isSuspected(text),
 		}
 		const run = createRun(origin, now, this.workers.find(worker)?.speed)
 		this.runs.set(text, run)
@@ -388,16 +389,16 @@
 	private enterPhase(run: Run, phase: RunPhase): void {
 		run.phase = phase
 		if (phase !== RunPhase.Starting) this.unconfirmed.delete(run)
-		run.since = this.context.clock.now()
+		run.phaseSince = this.context.clock.now()
 		if (phase === RunPhase.Running) this.noteConfirmed(run)
 		run.retryAt = 0
 	}
 
 	private noteConfirmed(run: Run): void {
 		if (run.confirmedAt !== undefined) return
-		run.confirmedAt = run.since
+		run.confirmedAt = run.phaseSince
 		if (run.decidedAt === undefined) return
-		const delay = run.since - run.decidedAt
+		const delay = run.phaseSince - run.decidedAt
 		this.context.meter.observe(Measure.StartDelay, delay)
 		this.listener.onStarted(delay)
 	}
@@ -407,12 +408,12 @@
 		if (reason !== StopReason.NoLongerNeeded) this.gangs.failed(run, GangFailure.Stopped, reason)
 		run.stopReason = reason
 		this.enterPhase(run, RunPhase.Stopping)
-		if (!run.busy) this.orders.sendOrder(run)
+		if (!run.isOrderPending) this.orders.sendOrder(run)
 	}
 
 	/** Gives members of a gang up: what no order can have reached has ended, the others are stopped. */
 	private abandon(runs: readonly Run[]): void {
-		const unordered = runs.filter(({ ordered, restored }) => !ordered && !restored)
+		const unordered = runs.filter(({ isOrdered, isRestored }) => !isOrdered && !isRestored)
 		if (unordered.length > 0) this.proposeEnds(unordered, RunEnd.Refused)
 		for (const run of runs) {
 			if (!unordered.includes(run)) this.requestStop(run, StopReason.Withdrawn)
@@ -420,17 +421,17 @@
 	}
 
 	private onNotListed(run: Run, sentAt: number): void {
-		if (run.restored && run.phase === RunPhase.Starting && (run.ticketed || run.step.gang)) {
+		if (run.isRestored && run.phase === RunPhase.Starting && (run.needsTicket || run.step.gang)) {
 			// It never began, and no order of an earlier leader is obeyed any more. Its ticket is not known here.
 			this.gangs.failed(run, GangFailure.NotBegun)
 			this.proposeEnd(run, RunEnd.Refused)
 			return
 		}
 		const settled = run.phase === RunPhase.Running || run.phase === RunPhase.Stopped
-		if (!settled || run.since >= sentAt) return
-		run.absent += 1
+		if (!settled || run.phaseSince >= sentAt) return
+		run.missedPolls += 1
 		const polls = run.phase === RunPhase.Stopped ? 1 : ABSENT_POLLS
-		if (run.absent < polls) return
+		if (run.missedPolls < polls) return
 		this.proposeEnd(run, run.phase === RunPhase.Stopped ? RunEnd.Refused : RunEnd.Lost)
 	}
 
@@ -440,7 +441,7 @@
 
 	private proposeEnds(ended: readonly Run[], how: RunEnd): void {
 		for (const run of ended) run.retryAt = Number.POSITIVE_INFINITY
-		const runs = ended.map(({ text: task, attempt, checkpoint }) => ({
+		const runs = ended.map(({ taskId: task, attempt, checkpoint }) => ({
 			task,
 			attempt,
 			how,
--- a/packages/jobs/src/lib/leader/runs/RunOrders.ts
+++ b/packages/jobs/src/lib/leader/runs/RunOrders.ts
@@ -91,15 +91,15 @@
 
 	private orderStart(run: Run, view: WorkerView): void {
 		const { orders, clock, state } = this.context
-		const place = state.jobs.locate(run.text)
+		const place = state.jobs.locate(run.taskId)
 		const obstacle = this.findStartObstacle(run, view)
 		if (obstacle === StartObstacle.NoHeartbeat) return this.awaitHeartbeat(run)
 		if (obstacle) return this.withdraw(run, obstacle)
 		const leaseUntil = view.lease.renew(clock.now())
 		if (!place || leaseUntil === undefined) return
-		run.busy = true
+		run.isOrderPending = true
 		const order = {
-			task: run.text,
+			task: run.taskId,
 			attempt: run.attempt,
 			spec: place.job.request.spec,
 			leaseUntil,
@@ -108,7 +108,7 @@
 			ticket: run.ticket,
 		}
 		const sentAt = clock.now()
-		run.ordered = true
+		run.isOrdered = true
 		orders.start(view.worker, order, (result) =>
 			this.onAnswer(run, RunPhase.Starting, result, sentAt)
 		)
@@ -117,13 +117,14 @@
 	/** A run is not ordered before its worker is heard; it goes elsewhere if that takes longer than a heartbeat should. */
 	private awaitHeartbeat(run: Run): void {
 		const { clock, timing } = this.context
-		if (clock.now() - run.since > timing.workerQuiet) this.withdraw(run, StartObstacle.NoHeartbeat)
+		if (clock.now() - run.phaseSince > timing.workerQuiet)
+			this.withdraw(run, StartObstacle.NoHeartbeat)
 		else run.retryAt = clock.now() + timing.retryPause
 	}
 
 	/** A run that its worker has not confirmed is not begun any more; what an order on its way may begin is stopped. */
 	private withdraw(run: Run, reason: StartObstacle): void {
-		const { text: task, attempt, worker, account } = run
+		const { taskId: task, attempt, worker, account } = run
 		const { log } = this.context
 		const name = account?.terms.name
 		log.info(LeaderEvent.RunWithdrawn, { task, attempt, worker, reason, account: name })
@@ -132,8 +133,8 @@
 
 	private orderStop(run: Run, view: WorkerView): void {
 		const { orders, clock } = this.context
-		run.busy = true
-		const order = { task: run.text, attempt: run.attempt, fence: view.fence }
+		run.isOrderPending = true
+		const order = { task: run.taskId, attempt: run.attempt, fence: view.fence }
 		const sentAt = clock.now()
 		orders.stop(view.worker, order, (result) =>
 			this.onAnswer(run, RunPhase.Stopping, result, sentAt)
@@ -141,7 +142,7 @@
 	}
 
 	private onAnswer(run: Run, asked: RunPhase, result: OrderResult, sentAt: number): void {
-		run.busy = false
+		run.isOrderPending = false
 		const { meter, clock } = this.context
 		meter.count(Measure.Orders, { sendOrder: asked, result: result.kind })
 		meter.observe(Measure.OrderTime, clock.now() - sentAt, { sendOrder: asked })
@@ -172,7 +173,7 @@
 
 	private onDone(run: Run, asked: RunPhase, clock: number | undefined): void {
 		if (asked === RunPhase.Starting) {
-			run.atWork.onConfirmed(clock)
+			run.observedTime.onConfirmed(clock)
 			if (run.phase === RunPhase.Starting) this.host.enterPhase(run, RunPhase.Running)
 			else if (run.phase === RunPhase.Stopping) this.stopStartedRun(run)
 			this.host.onProgress(run)
@@ -191,15 +192,15 @@
 
 	private onRefused(run: Run, view: WorkerView, asked: RunPhase, reason: Refusal): void {
 		const { log, health, clock, timing } = this.context
-		const { text, attempt, worker } = run
-		log.info(LeaderEvent.OrderRefused, { task: text, attempt, worker, reason, sendOrder: asked })
+		const { taskId, attempt, worker } = run
+		log.info(LeaderEvent.OrderRefused, { task: taskId, attempt, worker, reason, sendOrder: asked })
 		if (reason === Refusal.Fence) {
 			this.workers.fenced(view)
 			return
 		}
 		run.retryAt = clock.now() + timing.retryPause
 		if (asked === RunPhase.Stopping || run.phase === RunPhase.Stopping) {
-			if (!run.busy && reason === Refusal.Old) this.host.enterPhase(run, RunPhase.Stopped)
+			if (!run.isOrderPending && reason === Refusal.Old) this.host.enterPhase(run, RunPhase.Stopped)
 			else if (asked === RunPhase.Starting && !run.isInDoubt)
 				this.host.proposeEnd(run, RunEnd.Refused)
 			return
--- a/packages/jobs/src/lib/leader/runs/RunPacer.ts
+++ b/packages/jobs/src/lib/leader/runs/RunPacer.ts
@@ -42,7 +42,7 @@
 
 	private order(view: WorkerView, run: Run, percent: number, pressure: number): void {
 		const { orders, log } = this.context
-		const { text: task, attempt } = run
+		const { taskId: task, attempt } = run
 		const before = run.pace
 		run.pace = percent
 		log.info(LeaderEvent.RunPaced, { task, worker: view.id, percent, pressure })
--- a/packages/jobs/src/lib/leader/runs/createRun.ts
+++ b/packages/jobs/src/lib/leader/runs/createRun.ts
@@ -6,7 +6,7 @@
 /** What tells one run from others. @internal */
 export type RunOrigin = Pick<
 	Run,
-	| 'text'
+	| 'taskId'
 	| 'name'
 	| 'step'
 	| 'need'
@@ -18,9 +18,9 @@
 	| 'account'
 	| 'times'
 	| 'ticket'
-	| 'ticketed'
+	| 'needsTicket'
 	| 'decidedAt'
-	| 'suspected'
+	| 'isSuspected'
 >
 
 /**
@@ -32,25 +32,25 @@
 export function createRun(origin: RunOrigin, now: number, speed = 1): Run {
 	return {
 		...origin,
-		restored: false,
+		isRestored: false,
 		phase: RunPhase.Starting,
-		since: now,
+		phaseSince: now,
 		isInDoubt: false,
 		seenAtWork: false,
-		ordered: false,
+		isOrdered: false,
 		confirmedAt: undefined,
-		atWork: new ObservedRunTime(),
-		busy: false,
+		observedTime: new ObservedRunTime(),
+		isOrderPending: false,
 		retryAt: 0,
 		checkpoint: '',
 		checkpointAt: now,
 		stopReason: undefined,
 		percent: 0,
-		ending: false,
+		isEnding: false,
 		progress: new RunProgress(now, origin.step.expectedTime / speed),
 		measure: 0,
 		pace: 100,
-		absent: 0,
-		clearing: false,
+		missedPolls: 0,
+		isClearProposed: false,
 	}
 }
--- a/packages/jobs/src/lib/leader/runs/reportWaste.ts
+++ b/packages/jobs/src/lib/leader/runs/reportWaste.ts
@@ -18,14 +18,14 @@
 	run: Run,
 	how: RunEnd
 ): void {
-	const place = state.jobs.locate(run.text)
+	const place = state.jobs.locate(run.taskId)
 	if (!place) return
 	const now = clock.now()
 	const cause = wasteCauseOf(run, how, place)
 	const processorSeconds = wastedProcessorSecondsOf(run, isActive(place.job), now)
 	meter.count(Measure.WastedWork, { cause }, processorSeconds)
-	const { text: task, attempt, worker, phase } = run
-	const ran = Math.round(now - run.since)
+	const { taskId: task, attempt, worker, phase } = run
+	const ran = Math.round(now - run.phaseSince)
 	const wasted = Math.round(processorSeconds * 10) / 10
 	log.info(LeaderEvent.RunEnded, { task, attempt, worker, how, phase, ran, cause, wasted })
 }
--- a/packages/jobs/src/lib/leader/steps/Quarantine.ts
+++ b/packages/jobs/src/lib/leader/steps/Quarantine.ts
@@ -135,10 +135,10 @@
 	/** Whether nothing of other jobs on a worker may crash it too: all has been at work for a while, and none is suspected. */
 	private isSettled(view: WorkerView, job: string, now: number): boolean {
 		if (this.decisions.decidedFor(view.id).some((other) => other !== job)) return false
-		for (const { text, name, confirmedAt } of view.runs.values()) {
+		for (const { taskId, name, confirmedAt } of view.runs.values()) {
 			if (name.job === job) continue
 			if (confirmedAt === undefined || now - confirmedAt < PROBATION) return false
-			const task = this.state.jobs.locate(text)?.task
+			const task = this.state.jobs.locate(taskId)?.task
 			if (task && suspicionOf(task) !== Suspicion.None) return false
 		}
 		return true
--- a/packages/jobs/src/lib/leader/workers/WorkerLosses.ts
+++ b/packages/jobs/src/lib/leader/workers/WorkerLosses.ts
@@ -62,7 +62,7 @@
 		const evidenceOf = this.evidenceOn(view)
 		for (const run of view.runs.values()) {
 			const evidence = evidenceOf(run)
-			if (evidence) findings[run.text] = evidence
+			if (evidence) findings[run.taskId] = evidence
 		}
 		return findings
 	}
--- a/packages/jobs/src/lib/leader/workers/crashEvidence.test.ts
+++ b/packages/jobs/src/lib/leader/workers/crashEvidence.test.ts
@@ -22,12 +22,12 @@
 }
 
 const RUN = {
-	ordered: true,
-	busy: false,
+	isOrdered: true,
+	isOrderPending: false,
 	isInDoubt: false,
 	confirmedAt: 1000,
-	atWork: atWorkFor(0),
-	restored: false,
+	observedTime: atWorkFor(0),
+	isRestored: false,
 	seenAtWork: false,
 	step: STEP,
 }
@@ -45,25 +45,29 @@
 
 const CASES: readonly Case[] = [
 	{ what: 'it had just begun', expected: Strong },
-	{ what: 'it was listed just after', run: { atWork: atWorkFor(200) }, expected: Strong },
-	{ what: 'it was at work for a while', run: { atWork: atWorkFor(201) }, expected: Weak },
-	{ what: 'it was never ordered', run: { ordered: false }, expected: undefined },
+	{ what: 'it was listed just after', run: { observedTime: atWorkFor(200) }, expected: Strong },
+	{ what: 'it was at work for a while', run: { observedTime: atWorkFor(201) }, expected: Weak },
+	{ what: 'it was never ordered', run: { isOrdered: false }, expected: undefined },
 	{
 		what: 'its only order was refused, or answered by the next life',
 		run: UNCONFIRMED,
 		expected: undefined,
 	},
-	{ what: 'its order is under way', run: { ...UNCONFIRMED, busy: true }, expected: Doubtful },
+	{
+		what: 'its order is under way',
+		run: { ...UNCONFIRMED, isOrderPending: true },
+		expected: Doubtful,
+	},
 	{ what: 'an order got no answer', run: { ...UNCONFIRMED, isInDoubt: true }, expected: Doubtful },
-	{ what: 'an earlier leader began it', run: { restored: true }, expected: Doubtful },
+	{ what: 'an earlier leader began it', run: { isRestored: true }, expected: Doubtful },
 	{
 		what: 'an earlier leader saw it at work, and this one has heard nothing of it',
-		run: { ...UNCONFIRMED, restored: true, seenAtWork: true },
+		run: { ...UNCONFIRMED, isRestored: true, seenAtWork: true },
 		expected: Weak,
 	},
 	{
 		what: 'an earlier leader saw it at work',
-		run: { restored: true, seenAtWork: true },
+		run: { isRestored: true, seenAtWork: true },
 		expected: Weak,
 	},
 	{ what: 'its worker was leaving', view: { draining: true }, expected: Doubtful },
@@ -71,7 +75,7 @@
 	{ what: 'it lasts, and had just begun', run: { step: LASTING }, expected: Strong },
 	{
 		what: 'it lasts, and was at work for long',
-		run: { step: LASTING, atWork: atWorkFor(5001) },
+		run: { step: LASTING, observedTime: atWorkFor(5001) },
 		expected: undefined,
 	},
 ]
@@ -101,7 +105,7 @@
 test('a worker is asked once a suspected task has begun there and no answer tells that it lives on', () => {
 	const view = viewOf('w1')
 	const atWork = atWorkFor(0)
-	view.runs.set('task', { suspected: true, confirmedAt: 1000, atWork } as Run)
+	view.runs.set('task', { isSuspected: true, confirmedAt: 1000, observedTime: atWork } as Run)
 	assert.equal(hidesSurvival(view, 1100), false)
 	assert.equal(hidesSurvival(view, 1300), true)
 	// Any other answer may have been made before the worker crashed.
--- a/packages/jobs/src/lib/leader/workers/crashEvidence.ts
+++ b/packages/jobs/src/lib/leader/workers/crashEvidence.ts
@@ -36,30 +36,40 @@
 export function crashEvidence(
 	run: Pick<
 		Run,
-		'ordered' | 'busy' | 'isInDoubt' | 'confirmedAt' | 'atWork' | 'restored' | 'seenAtWork' | 'step'
+		| 'isOrdered'
+		| 'isOrderPending'
+		| 'isInDoubt'
+		| 'confirmedAt'
+		| 'observedTime'
+		| 'isRestored'
+		| 'seenAtWork'
+		| 'step'
 	>,
 	view: Pick<WorkerView, 'draining' | 'left'>,
 	inWave: boolean
 ): CrashEvidence | undefined {
-	const { restored, confirmedAt, atWork } = run
+	const { isRestored, confirmedAt, observedTime } = run
 	if (!mayHaveBegun(run)) return undefined
 	if (confirmedAt === undefined) return run.seenAtWork ? CrashEvidence.Weak : CrashEvidence.Doubtful
-	if (run.step.lasting && atWork.minimum > SETTLED) return undefined
-	if (atWork.hasOutlivedStartup || run.seenAtWork) return CrashEvidence.Weak
+	if (run.step.lasting && observedTime.minimum > SETTLED) return undefined
+	if (observedTime.hasOutlivedStartup || run.seenAtWork) return CrashEvidence.Weak
 	const leaves = view.draining || view.left
-	return leaves || restored || inWave ? CrashEvidence.Doubtful : CrashEvidence.Strong
+	return leaves || isRestored || inWave ? CrashEvidence.Doubtful : CrashEvidence.Strong
 }
 
 /** A worker that refuses an order, or has started again before it came, has begun nothing; an order without an answer may have been obeyed. */
 function mayHaveBegun({
-	ordered,
-	busy,
+	isOrdered,
+	isOrderPending,
 	isInDoubt,
 	confirmedAt,
-	restored,
-}: Pick<Run, 'ordered' | 'busy' | 'isInDoubt' | 'confirmedAt' | 'restored'>): boolean {
-	if (restored) return true
-	return ordered && (confirmedAt !== undefined || busy || isInDoubt)
+	isRestored,
+}: Pick<
+	Run,
+	'isOrdered' | 'isOrderPending' | 'isInDoubt' | 'confirmedAt' | 'isRestored'
+>): boolean {
+	if (isRestored) return true
+	return isOrdered && (confirmedAt !== undefined || isOrderPending || isInDoubt)
 }
 
 /**
@@ -68,9 +78,9 @@
  * @internal
  */
 export function hidesSurvival(view: WorkerView, now: number): boolean {
-	for (const { suspected, confirmedAt, atWork } of view.runs.values()) {
-		if (!suspected || confirmedAt === undefined) continue
-		if (now - confirmedAt > ASK_AFTER && !atWork.hasOutlivedStartup) return true
+	for (const { isSuspected, confirmedAt, observedTime } of view.runs.values()) {
+		if (!isSuspected || confirmedAt === undefined) continue
+		if (now - confirmedAt > ASK_AFTER && !observedTime.hasOutlivedStartup) return true
 	}
 	return false
 }
--- a/packages/jobs/src/lib/placement/RoomForecast.ts
+++ b/packages/jobs/src/lib/placement/RoomForecast.ts
@@ -69,6 +69,6 @@
 
 function endOf(run: Run, now: number): number {
 	const stopping = run.phase === RunPhase.Stopping || run.phase === RunPhase.Stopped
-	if (stopping || run.ending) return now + STOP_SPAN
+	if (stopping || run.isEnding) return now + STOP_SPAN
 	return run.step.lasting ? Number.POSITIVE_INFINITY : run.progress.expectedEnd(now)
 }
--- a/packages/jobs/src/lib/speeds/SpeedWatch.ts
+++ b/packages/jobs/src/lib/speeds/SpeedWatch.ts
@@ -86,7 +86,7 @@
 		// Away from its data a task takes longer, whatever the worker.
 		const far = run.step.rack !== '' && run.step.rack !== view.worker.rack
 		const group = `${stepName(job, repeat, step)}${far ? ' far' : ''}`
-		this.speeds.note({ group, task: run.text }, view.id, milliseconds, this.context.clock.now())
+		this.speeds.note({ group, task: run.taskId }, view.id, milliseconds, this.context.clock.now())
 	}
 
 	private tellSpread(): void {
