--- a/packages/jobs/src/lib/gangs/GangAttempt.ts
+++ b/packages/jobs/src/lib/gangs/GangAttempt.ts
@@ -13,7 +13,7 @@
 	/** The beginning of a member has not taken effect. */
 	Void: 'void',
 	/** An earlier leader had not brought a member to its worker. */
-	NotBegun: 'not-begun',
+	NotStarted: 'not-begun',
 	/** A member has ended, or its worker has. */
 	Ended: 'ended',
 	/** A member is stopped for a reason of its own. */
@@ -32,12 +32,12 @@
 export class GangAttempt {
 	/** Members that have begun and not ended, by their tasks. */
 	private readonly members = new Map<string, Run>()
-	private begun = 0
-	private voided = 0
+	private startedCount = 0
+	private voidedCount = 0
 	/** Whether no further member can begin under its number. */
-	private settled = false
+	private isClosed = false
 	/** Whether all members have been there at one time: from then on the end of one ends the others at their workers. */
-	private whole = false
+	private isComplete = false
 	/** When its members were ordered to start, or were taken up from an earlier leader; on the leader's clock. */
 	orderedAt: number | undefined
 	/** Why it was given up; undefined while it was not. */
@@ -55,44 +55,47 @@
 	) {}
 
 	/** Members that have begun and not ended. */
-	get present(): readonly Run[] {
+	get activeMembers(): readonly Run[] {
 		return [...this.members.values()]
 	}
 
 	/** Whether the beginning of every member is committed, and none has ended. */
 	get isCommitted(): boolean {
-		return this.begun === this.size && this.members.size === this.size
+		return this.startedCount === this.size && this.members.size === this.size
 	}
 
 	/** Whether it was neither given up nor whole so far. */
 	get isGathering(): boolean {
-		return !this.whole && this.failure === undefined
+		return !this.isComplete && this.failure === undefined
 	}
 
 	/** Whether nothing of it is left. */
 	get isOver(): boolean {
-		return this.members.size === 0 && (this.settled || this.begun + this.voided >= this.size)
+		return (
+			this.members.size === 0 &&
+			(this.isClosed || this.startedCount + this.voidedCount >= this.size)
+		)
 	}
 
 	/** Members whose workers have not confirmed them. */
-	get missing(): readonly Run[] {
-		return this.present.filter(({ confirmedAt }) => confirmedAt === undefined)
+	get unconfirmedMembers(): readonly Run[] {
+		return this.activeMembers.filter(({ confirmedAt }) => confirmedAt === undefined)
 	}
 
 	/** The beginning of a member is committed. */
 	add(run: Run): void {
 		this.members.set(run.taskId, run)
-		this.begun += 1
+		this.startedCount += 1
 	}
 
 	/** The beginning of a member did not take effect. */
 	addVoid(): void {
-		this.voided += 1
+		this.voidedCount += 1
 	}
 
 	/** No further member begins under its number: an earlier leader decided it, and what that had begun is known. */
-	settle(): void {
-		this.settled = true
+	close(): void {
+		this.isClosed = true
 	}
 
 	/** A member has ended. */
@@ -104,7 +107,7 @@
 	noteProgress({ percent }: Run): boolean {
 		if (!this.isGathering) return false
 		// Members work from the moment when all are there.
-		this.whole = percent > 0 || (this.isCommitted && this.missing.length === 0)
-		return this.whole
+		this.isComplete = percent > 0 || (this.isCommitted && this.unconfirmedMembers.length === 0)
+		return this.isComplete
 	}
 }
--- a/packages/jobs/src/lib/gangs/GangAttempts.ts
+++ b/packages/jobs/src/lib/gangs/GangAttempts.ts
@@ -21,9 +21,9 @@
 /** Carries out what is decided for members. @internal */
 export interface GangHost {
 	/** @returns why a member can't be ordered to start now; undefined when it can. */
-	obstacleOf(run: Run): string | undefined
+	startObstacleOf(run: Run): string | undefined
 	/** Orders a member to start. */
-	order(run: Run): void
+	orderStart(run: Run): void
 	/** Gives members up: what was never ordered ends, the others are stopped. */
 	abandon(runs: readonly Run[]): void
 }
@@ -44,21 +44,21 @@
 	) {}
 
 	/** @returns the runs that belong together with one: itself, or the members of its gang's attempt that have not ended. */
-	together(run: Run): readonly Run[] {
-		return this.find(run)?.present ?? [run]
+	membersOf(run: Run): readonly Run[] {
+		return this.find(run)?.activeMembers ?? [run]
 	}
 
 	/** The beginning of a member is committed. All members are ordered once that holds for each of them. */
-	begun(run: Run): void {
-		const attempt = this.open(run.name, run.attempt, run.step.count)
+	onStartCommitted(run: Run): void {
+		const attempt = this.findOrCreate(run.name, run.attempt, run.step.count)
 		attempt.add(run)
 		if (attempt.failure) this.host.abandon([run])
 		else if (attempt.isCommitted) this.orderAll(attempt)
 	}
 
 	/** The beginning of a member did not take effect. */
-	voided(name: TaskName, number: number, size: number): void {
-		const attempt = this.open(name, number, size)
+	onStartVoided(name: TaskName, number: number, size: number): void {
+		const attempt = this.findOrCreate(name, number, size)
 		attempt.addVoid()
 		if (attempt.isGathering) this.fail(attempt, GangFailure.Void)
 		this.closeIfOver(attempt)
@@ -68,22 +68,22 @@
 	 * Takes up all members of a job's gangs that an earlier leader began; their workers' lists tell how far they are. What is not all of a gang is
 	 * given up.
 	 */
-	restored(runs: readonly Run[]): void {
+	restore(runs: readonly Run[]): void {
 		const attempts = new Set<GangAttempt>()
 		for (const run of runs) {
-			const attempt = this.open(run.name, run.attempt, run.step.count)
+			const attempt = this.findOrCreate(run.name, run.attempt, run.step.count)
 			attempt.add(run)
 			attempt.orderedAt ??= this.context.clock.now()
 			attempts.add(attempt)
 		}
 		for (const attempt of attempts) {
-			attempt.settle()
-			if (!attempt.isCommitted) this.fail(attempt, GangFailure.NotBegun)
+			attempt.close()
+			if (!attempt.isCommitted) this.fail(attempt, GangFailure.NotStarted)
 		}
 	}
 
 	/** A member's worker has confirmed it, or tells that it has got on. */
-	progressed(run: Run): void {
+	onProgress(run: Run): void {
 		const attempt = this.find(run)
 		if (!attempt?.noteProgress(run)) return
 		const { clock, meter } = this.context
@@ -92,13 +92,13 @@
 	}
 
 	/** A member can't begin, or is about to be stopped: so are the others. The caller sees to the member itself. */
-	failed(run: Run, failure: GangFailure, detail?: string): void {
+	onMemberFailed(run: Run, failure: GangFailure, detail?: string): void {
 		const attempt = this.find(run)
 		if (attempt?.isGathering) this.fail(attempt, failure, run, detail)
 	}
 
 	/** A member has ended. */
-	ended(run: Run, isDone: boolean): void {
+	onMemberEnded(run: Run, isDone: boolean): void {
 		const attempt = this.find(run)
 		if (!attempt) return
 		attempt.remove(run)
@@ -117,33 +117,33 @@
 	}
 
 	private orderAll(attempt: GangAttempt): void {
-		for (const run of attempt.present) {
-			const obstacle = this.host.obstacleOf(run)
+		for (const run of attempt.activeMembers) {
+			const obstacle = this.host.startObstacleOf(run)
 			if (obstacle === undefined) continue
 			this.fail(attempt, GangFailure.Blocked, run, obstacle)
 			return this.host.abandon([run])
 		}
 		attempt.orderedAt = this.context.clock.now()
-		for (const run of attempt.present) {
+		for (const run of attempt.activeMembers) {
 			if (attempt.failure) break
-			this.host.order(run)
+			this.host.orderStart(run)
 		}
 	}
 
 	/** @param cause - the member that failed, which its caller sees to; absent where it is not one. */
 	private fail(attempt: GangAttempt, failure: GangFailure, cause?: Run, detail?: string): void {
 		attempt.failure = failure
-		const others = attempt.present.filter((run) => run !== cause)
-		this.tell(attempt, failure, cause, detail)
+		const others = attempt.activeMembers.filter((run) => run !== cause)
+		this.report(attempt, failure, cause, detail)
 		this.host.abandon(others)
 	}
 
-	private tell(attempt: GangAttempt, reason: GangFailure, cause?: Run, detail?: string): void {
+	private report(attempt: GangAttempt, reason: GangFailure, cause?: Run, detail?: string): void {
 		const { log, meter, clock } = this.context
 		meter.count(Measure.GangsGivenUp, { reason })
-		const { step, number, size, orderedAt, missing } = attempt
+		const { step, number, size, orderedAt, unconfirmedMembers } = attempt
 		const gathered = orderedAt === undefined ? 0 : Math.round(clock.now() - orderedAt)
-		const named = missing.slice(0, MOST_NAMES).map(({ taskId }) => taskId)
+		const named = unconfirmedMembers.slice(0, MOST_NAMES).map(({ taskId }) => taskId)
 		log.info(LeaderEvent.GangGivenUp, {
 			step,
 			attempt: number,
@@ -157,7 +157,7 @@
 		})
 	}
 
-	private open(name: TaskName, number: number, size: number): GangAttempt {
+	private findOrCreate(name: TaskName, number: number, size: number): GangAttempt {
 		const step = stepName(name.job, name.repeat, name.step)
 		const key = keyOf(step, number)
 		const known = this.attempts.get(key)
--- a/packages/jobs/src/lib/leader/runs/RunController.ts
+++ b/packages/jobs/src/lib/leader/runs/RunController.ts
@@ -88,13 +88,13 @@
 			enterPhase: (run, phase) => this.enterPhase(run, phase),
 			requestStop: (run, reason) => this.requestStop(run, reason),
 			proposeEnd: (run, how) => this.proposeEnd(run, how),
-			onProgress: (run) => this.gangs.progressed(run),
-			onGangMemberFailed: (run, failure, detail) => this.gangs.failed(run, failure, detail),
+			onProgress: (run) => this.gangs.onProgress(run),
+			onGangMemberFailed: (run, failure, detail) => this.gangs.onMemberFailed(run, failure, detail),
 			onTicketRefused: ({ name, worker }) => this.listener.onTicketRefused(name, worker),
 		})
 		this.gangs = new GangAttempts(context, {
-			obstacleOf: (run) => this.orders.startObstacleOf(run),
-			order: (run) => this.orders.sendOrder(run),
+			startObstacleOf: (run) => this.orders.startObstacleOf(run),
+			orderStart: (run) => this.orders.sendOrder(run),
 			abandon: (runs) => this.abandon(runs),
 		})
 	}
@@ -153,7 +153,7 @@
 			if (run?.step.gang && run.phase === RunPhase.Starting && !isGangDone(job, run))
 				members.push(run)
 		}
-		this.gangs.restored(members)
+		this.gangs.restore(members)
 	}
 
 	private restoreRun(job: JobRecord, text: string, task: TaskRecord): Run | undefined {
@@ -185,7 +185,7 @@
 		const job = this.context.state.jobs.find(name.job)
 		if (!job) return
 		const run = this.add(text, name, job, attempt, worker)
-		if (run.step.gang) this.gangs.begun(run)
+		if (run.step.gang) this.gangs.onStartCommitted(run)
 		else this.orders.sendOrder(run)
 	}
 
@@ -197,7 +197,7 @@
 		const claimed = claimOf(job, name.step, decision?.urgent ?? false, this.accounts.of(job))
 		unclaim(this.context.ledger, worker, claimed)
 		const { gang, count } = claimed.step
-		if (gang) this.gangs.voided(name, attempt, count)
+		if (gang) this.gangs.onStartVoided(name, attempt, count)
 	}
 
 	/** A run has ended: what it had is free. */
@@ -216,7 +216,7 @@
 		if (how === RunEnd.Failed || how === RunEnd.Lapsed)
 			this.workers.losses.reliability.failed(worker, clock.now())
 		this.markGangEnding(run)
-		this.gangs.ended(run, how === RunEnd.Done)
+		this.gangs.onMemberEnded(run, how === RunEnd.Done)
 		if (how !== RunEnd.Done) reportWaste(this.context, run, how)
 	}
 
@@ -224,7 +224,7 @@
 	private markGangEnding(run: Run): void {
 		const job = this.context.state.jobs.find(run.name.job)
 		if (run.isEnding || !job || !needsPlan({ step: run.step, queue: job.queue })) return
-		for (const member of this.gangs.together(run)) member.isEnding = true
+		for (const member of this.gangs.membersOf(run)) member.isEnding = true
 	}
 
 	/** Stops everything that a job runs. */
@@ -239,7 +239,7 @@
 	stopTask(name: TaskName): void {
 		const run = this.runs.get(formatTaskName(name))
 		if (!run) return
-		for (const one of this.gangs.together(run)) this.requestStop(one, StopReason.NoLongerNeeded)
+		for (const one of this.gangs.membersOf(run)) this.requestStop(one, StopReason.NoLongerNeeded)
 	}
 
 	/** Stops a run so that a step of the highest priority finds room; it goes on from its checkpoint later. */
@@ -289,7 +289,7 @@
 			this.clearIfHarmless(run)
 			this.noteAtWork(run)
 			if (run.phase === RunPhase.Starting) this.enterPhase(run, RunPhase.Running)
-			this.gangs.progressed(run)
+			this.gangs.onProgress(run)
 		}
 		for (const { task, attempt } of result.ended) {
 			listed.add(task)
@@ -405,7 +405,8 @@
 
 	private requestStop(run: Run, reason: StopReason): void {
 		if (run.phase === RunPhase.Stopping || run.phase === RunPhase.Stopped) return
-		if (reason !== StopReason.NoLongerNeeded) this.gangs.failed(run, GangFailure.Stopped, reason)
+		if (reason !== StopReason.NoLongerNeeded)
+			this.gangs.onMemberFailed(run, GangFailure.Stopped, reason)
 		run.stopReason = reason
 		this.enterPhase(run, RunPhase.Stopping)
 		if (!run.isOrderPending) this.orders.sendOrder(run)
@@ -423,7 +424,7 @@
 	private onNotListed(run: Run, sentAt: number): void {
 		if (run.isRestored && run.phase === RunPhase.Starting && (run.needsTicket || run.step.gang)) {
 			// It never began, and no order of an earlier leader is obeyed any more. Its ticket is not known here.
-			this.gangs.failed(run, GangFailure.NotBegun)
+			this.gangs.onMemberFailed(run, GangFailure.NotStarted)
 			this.proposeEnd(run, RunEnd.Refused)
 			return
 		}
