--- a/packages/jobs/src/lib/gangs/GangPlan.test.ts
+++ b/packages/jobs/src/lib/gangs/GangPlan.test.ts
@@ -13,7 +13,7 @@
 		now: NOW,
 		ticketLife: 1700,
 		terms: TERMS,
-		holds: () => false,
+		hasTicket: () => false,
 		delayOf: () => 0,
 		...changes,
 	}
@@ -38,20 +38,20 @@
 	const plan = planGang([...spread, ...places('wide', 4, NOW)], needOf())
 	assert.deepEqual(new Set(plan?.places.map(({ worker }) => worker)), new Set(['wide']))
 	assert.ok(plan!.askAt <= NOW)
-	assert.equal(plan!.at, NOW + TERMS.base + TERMS.each * plan!.renew.length)
+	assert.equal(plan!.at, NOW + TERMS.base + TERMS.each * plan!.workersToAsk.length)
 })
 
 test('tickets that hold until there is room are used, and nothing is asked', () => {
 	const from = [...places('held', 4, NOW + 300), ...places('free', 4, NOW)]
-	const plan = planGang(from, needOf({ holds: (worker) => worker === 'held' }))
+	const plan = planGang(from, needOf({ hasTicket: (worker) => worker === 'held' }))
 	assert.equal(plan?.at, NOW + 300)
-	assert.deepEqual(plan.renew, [])
+	assert.deepEqual(plan.workersToAsk, [])
 })
 
 test('tickets that run out before there is room do not count', () => {
-	const holds = (_: string, moment: number): boolean => moment < NOW + 1000
-	const plan = planGang(places('w1', 4, NOW + 1000), needOf({ holds }))
-	assert.deepEqual(plan?.renew, ['w1'])
+	const hasTicket = (_: string, moment: number): boolean => moment < NOW + 1000
+	const plan = planGang(places('w1', 4, NOW + 1000), needOf({ hasTicket }))
+	assert.deepEqual(plan?.workersToAsk, ['w1'])
 })
 
 test('a worker that is likely to go is taken only where the others come much later', () => {
@@ -73,14 +73,14 @@
 	fc.assert(
 		fc.property(fc.array(place, { maxLength: 30 }), until, (from, tickets) => {
 			from.sort((left, right) => left.at - right.at)
-			const holds = (worker: string, moment: number): boolean => moment < (tickets[worker] ?? 0)
-			const plan = planGang(from, needOf({ holds }))
+			const hasTicket = (worker: string, moment: number): boolean => moment < (tickets[worker] ?? 0)
+			const plan = planGang(from, needOf({ hasTicket }))
 			assert.equal(plan === undefined, from.length < 4)
 			if (!plan) return
 			assert.equal(plan.places.length, 4)
 			for (const { worker, at } of plan.places) {
 				assert.ok(at <= plan.at)
-				assert.ok(holds(worker, plan.at) || plan.renew.includes(worker))
+				assert.ok(hasTicket(worker, plan.at) || plan.workersToAsk.includes(worker))
 			}
 		})
 	)
--- a/packages/jobs/src/lib/gangs/GangPlan.ts
+++ b/packages/jobs/src/lib/gangs/GangPlan.ts
@@ -31,7 +31,7 @@
 	/** What an answer costs. */
 	readonly terms: AdviceTerms
 	/** Whether a worker's ticket holds at a moment. */
-	readonly holds: (worker: string, moment: number) => boolean
+	readonly hasTicket: (worker: string, moment: number) => boolean
 	/** Milliseconds that the gang rather waits than has a member on a worker: that one is slow, or is likely to go. */
 	readonly delayOf: (worker: string) => number
 }
@@ -43,7 +43,7 @@
 	/** When all members are expected to begin, on the leader's clock. */
 	readonly at: number
 	/** Workers whose tickets are to be asked for; none where those that are there will do. */
-	readonly renew: readonly string[]
+	readonly workersToAsk: readonly string[]
 	/** When to ask, on the leader's clock; may have passed. */
 	readonly askAt: number
 }
@@ -65,25 +65,27 @@
 }
 
 function planWithTickets(ordered: readonly Place[], need: GangNeed): GangPlan | undefined {
-	const { members, now, holds } = need
-	const chosen = ordered.filter(({ worker, at }) => holds(worker, at + LEEWAY)).slice(0, members)
+	const { members, now, hasTicket } = need
+	const chosen = ordered
+		.filter(({ worker, at }) => hasTicket(worker, at + LEEWAY))
+		.slice(0, members)
 	if (chosen.length < members) return undefined
 	const at = lastOf(chosen, now)
-	const allHold = chosen.every(({ worker }) => holds(worker, at + LEEWAY))
-	return allHold ? { places: chosen, at, renew: [], askAt: now } : undefined
+	const allHold = chosen.every(({ worker }) => hasTicket(worker, at + LEEWAY))
+	return allHold ? { places: chosen, at, workersToAsk: [], askAt: now } : undefined
 }
 
 function planWithQuestion(ordered: readonly Place[], need: GangNeed): GangPlan {
-	const { members, now, ticketLife, terms, holds } = need
+	const { members, now, ticketLife, terms, hasTicket } = need
 	const chosen = ordered.slice(0, members)
 	const spare = ordered.slice(members, members + Math.ceil(members * SPARE))
 	const roomAt = lastOf(chosen, now)
 	const named = new Set([...chosen, ...spare].map(({ worker }) => worker))
 	const answer = answerTime(named.size, terms)
 	const at = Math.max(roomAt, now + answer)
-	const renew = [...named].filter((worker) => !holds(worker, at + LEEWAY))
+	const workersToAsk = [...named].filter((worker) => !hasTicket(worker, at + LEEWAY))
 	const askAt = at - answer - ticketLife * AHEAD
-	return { places: chosen, at, renew, askAt }
+	return { places: chosen, at, workersToAsk, askAt }
 }
 
 /** Milliseconds until an answer about so many workers. */
--- a/packages/jobs/src/lib/gangs/GangPlanner.ts
+++ b/packages/jobs/src/lib/gangs/GangPlanner.ts
@@ -12,12 +12,16 @@
 import type { Reservations } from '../placement/Reservations'
 import { TaskStatus } from '../state/JobRecord'
 import { planGang, type GangNeed, type GangPlan } from './GangPlan'
-import { freeOf, learnWorkers, roomIn } from './learnWorkers'
-import { needsPlan } from './needsPlan'
+import {
+	freeResourcesOf,
+	chooseGangWorkersToAsk,
+	countMembersFitting,
+} from './chooseGangWorkersToAsk'
+import { shouldPlanGang } from './shouldPlanGang'
 import type { WorkerReliability } from './WorkerReliability'
 
 /** Milliseconds that a gang rather waits than begins on a worker that is likely to go. */
-const UNSTEADY_DELAY = 1500
+const UNRELIABLE_DELAY_MS = 1500
 
 /**
  * Plans gangs.
@@ -42,8 +46,8 @@
 	) {}
 
 	/** Plans a gang that found no room, or no tickets, and asks what its plan wants. */
-	prepare(work: StepWork, eligible: readonly Option[], now: number): void {
-		const need = this.needOf(work, eligible, now)
+	plan(work: StepWork, eligible: readonly Option[], now: number): void {
+		const need = this.toGangNeed(work, eligible, now)
 		if (!need || hasMemberElsewhere(work, eligible)) return
 		const plan = this.planOf(work, eligible, need)
 		if (plan) this.reservations.hold(work, plan.places, plan.at)
@@ -52,26 +56,27 @@
 		// A gang that comes after many others learns no more workers than it did at first, until its turn comes.
 		if (!plan && advice.firstAnswerAt !== undefined && !this.reservations.mayKeep(work)) return
 		// Workers that join are learned beside the plan: it does not wait for them.
-		const isDue = plan && plan.renew.length > 0 && now >= plan.askAt
-		if (isDue && !advice.renewing) this.renew(work, plan, now)
-		if (!advice.learning) this.questions.askAbout(work, this.unknown(work, eligible, plan, need))
+		const isDue = plan && plan.workersToAsk.length > 0 && now >= plan.askAt
+		if (isDue && !advice.renewing) this.askForTickets(work, plan, now)
+		if (!advice.learning)
+			this.questions.askAbout(work, this.workersToDiscover(work, eligible, plan, need))
 	}
 
 	/** Learns which workers may run a gang whose earlier steps are about to be done. */
-	learn(work: StepWork, eligible: readonly Option[], now: number): void {
+	discoverWorkers(work: StepWork, eligible: readonly Option[], now: number): void {
 		if (work.advice.asking || now < work.advice.notBefore) return
 		const share = this.questions.shareOf(work.queue.name)
-		this.questions.askAbout(work, learnWorkers(work, eligible, share, false))
+		this.questions.askAbout(work, chooseGangWorkersToAsk(work, eligible, share, false))
 	}
 
 	/** @returns of the workers that may run a step those that gangs are not kept off; all of them for a step that is not planned. */
-	steady(work: StepWork, options: readonly Option[], now: number): readonly Option[] {
-		if (!needsPlan(work)) return options
-		return options.filter(({ view }) => !this.reliability.isUnsteady(view.id, now))
+	withoutUnreliable(work: StepWork, options: readonly Option[], now: number): readonly Option[] {
+		if (!shouldPlanGang(work)) return options
+		return options.filter(({ view }) => !this.reliability.isUnreliable(view.id, now))
 	}
 
 	/** A gang has begun: how far its plan was off is measured. */
-	begun(work: StepWork, now: number): void {
+	onStarted(work: StepWork, now: number): void {
 		const planned = this.askedFor.get(work)
 		if (planned === undefined) return
 		this.askedFor.delete(work)
@@ -86,41 +91,46 @@
 	): GangPlan | undefined {
 		const allowed = eligible.filter(({ view }) => work.advice.isAllowed(view.id))
 		const mayKeep = this.reservations.mayKeep(work)
-		if (!mayKeep && roomIn(work, allowed, freeOf) < need.members) return undefined
+		if (!mayKeep && countMembersFitting(work, allowed, freeResourcesOf) < need.members)
+			return undefined
 		return planGang(this.reservations.placesFor(work, need.members, allowed), need)
 	}
 
 	/** Workers to learn of: not while those that are known will do at once, or the plan awaits its tickets. */
-	private unknown(
+	private workersToDiscover(
 		work: StepWork,
 		eligible: readonly Option[],
 		plan: GangPlan | undefined,
 		{ now, terms }: GangNeed
 	): string[] {
-		const soon = now + terms.base + terms.each * (plan?.renew.length ?? 0)
+		const soon = now + terms.base + terms.each * (plan?.workersToAsk.length ?? 0)
 		if (plan && plan.at <= soon) return []
-		return learnWorkers(work, eligible, this.questions.shareOf(work.queue.name), true)
+		return chooseGangWorkersToAsk(work, eligible, this.questions.shareOf(work.queue.name), true)
 	}
 
-	private renew(work: StepWork, { at, renew, places }: GangPlan, now: number): void {
+	private askForTickets(work: StepWork, { at, workersToAsk, places }: GangPlan, now: number): void {
 		this.askedFor.set(work, at)
 		const { name: step } = work
 		const { length: members } = places
 		const { size: workers } = new Set(places.map((place) => place.worker))
-		const { length: renewed } = renew
+		const { length: renewed } = workersToAsk
 		const ahead = Math.round(at - now)
 		const fields = { step, members, workers, renewed, ahead }
 		this.context.log.info(LeaderEvent.GangPlanned, fields)
-		this.questions.askAbout(work, renew)
+		this.questions.askAbout(work, workersToAsk)
 	}
 
 	/** A gang goes as fast as its slowest member; one that is broken waits anew, and does part of its work again. */
 	private delayOf(worker: string, expected: number, speed: number, now: number): number {
 		const longer = Math.max(0, expected / speed - expected)
-		return longer + (this.reliability.isUnsteady(worker, now) ? UNSTEADY_DELAY : 0)
+		return longer + (this.reliability.isUnreliable(worker, now) ? UNRELIABLE_DELAY_MS : 0)
 	}
 
-	private needOf(work: StepWork, eligible: readonly Option[], now: number): GangNeed | undefined {
+	private toGangNeed(
+		work: StepWork,
+		eligible: readonly Option[],
+		now: number
+	): GangNeed | undefined {
 		const { queue, record, advice, step } = work
 		const { advice: terms } = queue
 		if (!terms) return undefined
@@ -131,7 +141,7 @@
 			now,
 			ticketLife: terms.valid - this.context.timing.ticketMargin,
 			terms,
-			holds: (worker, moment) =>
+			hasTicket: (worker, moment) =>
 				advice.isRenewing(worker) || advice.ticket(worker, moment) !== undefined,
 			delayOf: (worker) => this.delayOf(worker, step.expectedTime, speeds.get(worker) ?? 1, now),
 		}
--- a/packages/jobs/src/lib/gangs/WorkerReliability.test.ts
+++ b/packages/jobs/src/lib/gangs/WorkerReliability.test.ts
@@ -4,23 +4,23 @@
 import { WorkerReliability } from './WorkerReliability'
 
 test('a worker that was never seen to fail is steady', () => {
-	assert.equal(new WorkerReliability().isUnsteady('w1', 0), false)
+	assert.equal(new WorkerReliability().isUnreliable('w1', 0), false)
 })
 
 test('one loss counts for a while, several for longer, also in the next life of the worker', () => {
 	const reliability = new WorkerReliability()
-	reliability.lost('once', 0)
-	for (const at of [0, 1000, 2000]) reliability.lost(`flaps@${at}`, at)
-	assert.equal(reliability.isUnsteady('once', 10_000), true)
-	assert.equal(reliability.isUnsteady('once', 20_000), false)
-	assert.equal(reliability.isUnsteady('flaps@30000', 30_000), true)
-	assert.equal(reliability.isUnsteady('flaps@30000', 60_000), false)
+	reliability.recordLoss('once', 0)
+	for (const at of [0, 1000, 2000]) reliability.recordLoss(`flaps@${at}`, at)
+	assert.equal(reliability.isUnreliable('once', 10_000), true)
+	assert.equal(reliability.isUnreliable('once', 20_000), false)
+	assert.equal(reliability.isUnreliable('flaps@30000', 30_000), true)
+	assert.equal(reliability.isUnreliable('flaps@30000', 60_000), false)
 })
 
 test('a few failures are their tasks’ doing, many within a short span are not', () => {
 	const reliability = new WorkerReliability()
-	for (let count = 0; count < 2; count++) reliability.failed('w1', 0)
-	assert.equal(reliability.isUnsteady('w1', 0), false)
-	for (let count = 0; count < 2; count++) reliability.failed('w1', 1000)
-	assert.equal(reliability.isUnsteady('w1', 1000), true)
+	for (let count = 0; count < 2; count++) reliability.recordFailure('w1', 0)
+	assert.equal(reliability.isUnreliable('w1', 0), false)
+	for (let count = 0; count < 2; count++) reliability.recordFailure('w1', 1000)
+	assert.equal(reliability.isUnreliable('w1', 1000), true)
 })
--- a/packages/jobs/src/lib/gangs/WorkerReliability.ts
+++ b/packages/jobs/src/lib/gangs/WorkerReliability.ts
@@ -17,7 +17,7 @@
 /** Workers of which something is kept before what is forgotten is looked for. */
 const MOST_KEPT = 256
 
-interface Seen {
+interface ReliabilityRecord {
 	readonly score: number
 	/** As of when, on the leader's clock. */
 	readonly at: number
@@ -29,38 +29,38 @@
  * @internal
  */
 export class WorkerReliability {
-	private readonly seen = new Map<string, Seen>()
+	private readonly records = new Map<string, ReliabilityRecord>()
 
 	/** A worker was found silent, or another life of it answers. */
-	lost(worker: string, now: number): void {
+	recordLoss(worker: string, now: number): void {
 		this.add(worker, LOSS_WEIGHT, now)
 	}
 
 	/** A worker has failed a run, or let it lapse. */
-	failed(worker: string, now: number): void {
+	recordFailure(worker: string, now: number): void {
 		this.add(worker, FAILURE_WEIGHT, now)
 	}
 
 	/** @returns whether gangs are better kept off a worker. */
-	isUnsteady(worker: string, now: number): boolean {
+	isUnreliable(worker: string, now: number): boolean {
 		// Names are cut from ids only where something is known.
-		return this.seen.size > 0 && this.scoreOf(workerNameOf(worker), now) >= UNSTEADY
+		return this.records.size > 0 && this.scoreOf(workerNameOf(worker), now) >= UNSTEADY
 	}
 
 	private add(worker: string, weight: number, now: number): void {
 		const name = workerNameOf(worker)
-		this.seen.set(name, { score: this.scoreOf(name, now) + weight, at: now })
-		if (this.seen.size > MOST_KEPT) this.forget(now)
+		this.records.set(name, { score: this.scoreOf(name, now) + weight, at: now })
+		if (this.records.size > MOST_KEPT) this.forget(now)
 	}
 
 	private scoreOf(name: string, now: number): number {
-		const seen = this.seen.get(name)
-		return seen ? seen.score * 0.5 ** ((now - seen.at) / HALF_LIFE) : 0
+		const record = this.records.get(name)
+		return record ? record.score * 0.5 ** ((now - record.at) / HALF_LIFE) : 0
 	}
 
 	private forget(now: number): void {
-		for (const name of this.seen.keys()) {
-			if (this.scoreOf(name, now) < FORGOTTEN) this.seen.delete(name)
+		for (const name of this.records.keys()) {
+			if (this.scoreOf(name, now) < FORGOTTEN) this.records.delete(name)
 		}
 	}
 }
--- a/packages/jobs/src/lib/gangs/learnWorkers.ts
+++ b/packages/jobs/src/lib/gangs/chooseGangWorkersToAsk.ts
@@ -21,7 +21,7 @@
  * @returns ids of the workers to ask about; empty when enough are known to be allowed.
  * @internal
  */
-export function learnWorkers(
+export function chooseGangWorkersToAsk(
 	work: StepWork,
 	eligible: readonly Option[],
 	share: number,
@@ -34,14 +34,14 @@
 	)
 	if (unknown.length === 0) return []
 	const allowed = eligible.filter(({ view }) => advice.isAllowed(view.id))
-	const free = roomIn(work, allowed, freeOf)
+	const free = countMembersFitting(work, allowed, freeResourcesOf)
 	const freeMissing = members * FREE_SURPLUS - free
 	const mayBeginNow = holdsRoom && free < members
-	if (mayBeginNow && roomIn(work, unknown, freeOf) * share >= freeMissing) {
-		return choose(work, unknown, freeOf, share, freeMissing)
+	if (mayBeginNow && countMembersFitting(work, unknown, freeResourcesOf) * share >= freeMissing) {
+		return choose(work, unknown, freeResourcesOf, share, freeMissing)
 	}
-	const missing = members * WHOLE_SURPLUS - roomIn(work, allowed, wholeOf)
-	return missing > 0 ? choose(work, unknown, wholeOf, share, missing) : []
+	const missing = members * WHOLE_SURPLUS - countMembersFitting(work, allowed, totalResourcesOf)
+	return missing > 0 ? choose(work, unknown, totalResourcesOf, share, missing) : []
 }
 
 /** Takes workers, those with the most room first, until they are likely to have enough among them. */
@@ -71,15 +71,19 @@
 }
 
 /** @returns how many members have room on workers that have so much. @internal */
-export function roomIn(work: StepWork, options: readonly Option[], amount: Amount): number {
+export function countMembersFitting(
+	work: StepWork,
+	options: readonly Option[],
+	amount: Amount
+): number {
 	return options.reduce((sum, option) => sum + work.copiesIn(option.view.id, amount(option)), 0)
 }
 
 /** @returns what is free on a worker. @internal */
-export function freeOf({ account }: Option): Resources {
+export function freeResourcesOf({ account }: Option): Resources {
 	return account.free
 }
 
-function wholeOf({ account }: Option): Resources {
+function totalResourcesOf({ account }: Option): Resources {
 	return account.most
 }
--- a/packages/jobs/src/lib/gangs/gangs.test.ts
+++ b/packages/jobs/src/lib/gangs/gangs.test.ts
@@ -5,7 +5,7 @@
 import { JobState, type Step } from '../records/Job'
 import { LeaderSubject } from '../testing/LeaderSubject'
 import { jobOf, STEP } from '../testing/samples'
-import { needsPlan } from './needsPlan'
+import { shouldPlanGang } from './shouldPlanGang'
 import { splitQuestion } from './splitQuestion'
 
 const GANG = '00000000000000aa'
@@ -37,10 +37,10 @@
 		advice,
 	})
 	const gang = { ...STEP, gang: true }
-	assert.equal(needsPlan({ step: gang, queue: queueWith(SHORT) }), true)
-	assert.equal(needsPlan({ step: STEP, queue: queueWith(SHORT) }), false)
-	assert.equal(needsPlan({ step: gang, queue: queueWith({ ...SHORT, each: 4 }) }), false)
-	assert.equal(needsPlan({ step: gang, queue: queueWith() }), false)
+	assert.equal(shouldPlanGang({ step: gang, queue: queueWith(SHORT) }), true)
+	assert.equal(shouldPlanGang({ step: STEP, queue: queueWith(SHORT) }), false)
+	assert.equal(shouldPlanGang({ step: gang, queue: queueWith({ ...SHORT, each: 4 }) }), false)
+	assert.equal(shouldPlanGang({ step: gang, queue: queueWith() }), false)
 })
 
 test('a question that would take long is split into parts that go side by side', () => {
--- a/packages/jobs/src/lib/gangs/needsPlan.ts
+++ b/packages/jobs/src/lib/gangs/shouldPlanGang.ts
@@ -2,7 +2,7 @@
 import type { StepWork } from '../leader/steps/StepWork'
 
 /** Workers that one question may name; the service refuses longer ones. @internal */
-export const MOST_ASKED = 100
+export const MAX_WORKERS_PER_QUESTION = 100
 /** Share of a ticket's life that a full question must take for the tickets of its queue to count as short. */
 const SHORT_TICKETS = 0.5
 
@@ -14,8 +14,8 @@
  * @returns whether a step is a gang whose room and tickets have to be planned for one moment.
  * @internal
  */
-export function needsPlan({ step, queue }: Pick<StepWork, 'step' | 'queue'>): boolean {
+export function shouldPlanGang({ step, queue }: Pick<StepWork, 'step' | 'queue'>): boolean {
 	const { advice } = queue
 	if (!step.gang || !advice) return false
-	return advice.base + advice.each * MOST_ASKED > advice.valid * SHORT_TICKETS
+	return advice.base + advice.each * MAX_WORKERS_PER_QUESTION > advice.valid * SHORT_TICKETS
 }
--- a/packages/jobs/src/lib/leader/advice/StepQuestions.ts
+++ b/packages/jobs/src/lib/leader/advice/StepQuestions.ts
@@ -10,7 +10,7 @@
 import { LeaderEvent } from '../LeaderEvent'
 import type { AdviceResult } from '../ports'
 import type { StepWork } from '../steps/StepWork'
-import { MOST_ASKED } from '../../gangs/needsPlan'
+import { MAX_WORKERS_PER_QUESTION } from '../../gangs/shouldPlanGang'
 import { splitQuestion } from '../../gangs/splitQuestion'
 import { workersToAsk } from './workersToAsk'
 
@@ -57,7 +57,15 @@
 		const until = now + ASK_AGAIN + (ahead || work.step.gang ? answer : 0)
 		const share = this.shares.of(queue.name)
 		const renew = roomAt === undefined || roomAt <= now + answer + ASK_AGAIN
-		const need = { tasks, until, most: MOST_ASKED, ahead, renew, share, terms: queue.advice }
+		const need = {
+			tasks,
+			until,
+			most: MAX_WORKERS_PER_QUESTION,
+			ahead,
+			renew,
+			share,
+			terms: queue.advice,
+		}
 		const workers = workersToAsk(work, eligible, need)
 		if (workers.length > 0) this.send(work, workers, queue.advice)
 	}
--- a/packages/jobs/src/lib/leader/runs/RunController.ts
+++ b/packages/jobs/src/lib/leader/runs/RunController.ts
@@ -3,7 +3,7 @@
 import { formatTaskName, RunEnd, type TaskName } from '../../records/Job'
 import { GangFailure } from '../../gangs/GangAttempt'
 import { GangAttempts } from '../../gangs/GangAttempts'
-import { needsPlan } from '../../gangs/needsPlan'
+import { shouldPlanGang } from '../../gangs/shouldPlanGang'
 import type { AccountUsage } from '../../accounts/AccountUsage'
 import type { Precedence, Standing } from '../../placement/Precedence'
 import { timesOf } from '../../placement/stepTimes'
@@ -214,7 +214,7 @@
 		if (how === RunEnd.Done) health.succeeded(worker)
 		if (how === RunEnd.Failed) health.failed(worker, name.job, clock.now())
 		if (how === RunEnd.Failed || how === RunEnd.Lapsed)
-			this.workers.losses.reliability.failed(worker, clock.now())
+			this.workers.losses.reliability.recordFailure(worker, clock.now())
 		this.markGangEnding(run)
 		this.gangs.onMemberEnded(run, how === RunEnd.Done)
 		if (how !== RunEnd.Done) reportWaste(this.context, run, how)
@@ -223,7 +223,7 @@
 	/** The first end of a member of a gang that is planned as a whole tells that the others end soon. */
 	private markGangEnding(run: Run): void {
 		const job = this.context.state.jobs.find(run.name.job)
-		if (run.isEnding || !job || !needsPlan({ step: run.step, queue: job.queue })) return
+		if (run.isEnding || !job || !shouldPlanGang({ step: run.step, queue: job.queue })) return
 		for (const member of this.gangs.membersOf(run)) member.isEnding = true
 	}
 
--- a/packages/jobs/src/lib/leader/steps/StepPlacement.ts
+++ b/packages/jobs/src/lib/leader/steps/StepPlacement.ts
@@ -1,7 +1,7 @@
 /** Gives the tasks of one step workers that may run them and have room beside what is kept there for others. */
 import type { AccountUsage } from '../../accounts/AccountUsage'
 import type { GangPlanner } from '../../gangs/GangPlanner'
-import { freeOf, roomIn } from '../../gangs/learnWorkers'
+import { freeResourcesOf, countMembersFitting } from '../../gangs/chooseGangWorkersToAsk'
 import type { Reservations } from '../../placement/Reservations'
 import type { UrgentRoom } from '../../placement/UrgentRoom'
 import { epochOf, type LeaderContext } from '../LeaderContext'
@@ -80,15 +80,15 @@
 		options: readonly Option[],
 		now: number
 	): Placed[] {
-		if (roomIn(work, options, freeOf) < waiting.length) return []
+		if (countMembersFitting(work, options, freeResourcesOf) < waiting.length) return []
 		const { ledger } = this.context
 		const place = (from: readonly Option[]): Placed[] =>
 			placeGang(work, waiting, from, ledger, this.chooserFor(work, now), now)
-		const steady = this.parts.gangs.steady(work, options, now)
+		const steady = this.parts.gangs.withoutUnreliable(work, options, now)
 		const first = place(steady)
 		const placed = first.length > 0 || steady.length === options.length ? first : place(options)
 		this.parts.urgentRoom.took(work, placed.length)
-		if (placed.length > 0) this.parts.gangs.begun(work, now)
+		if (placed.length > 0) this.parts.gangs.onStarted(work, now)
 		return placed
 	}
 
--- a/packages/jobs/src/lib/leader/steps/StepScheduler.ts
+++ b/packages/jobs/src/lib/leader/steps/StepScheduler.ts
@@ -11,7 +11,7 @@
 } from '../../state/JobRecord'
 import { Suspicion } from '../../state/TaskCrashes'
 import { GangPlanner } from '../../gangs/GangPlanner'
-import { needsPlan } from '../../gangs/needsPlan'
+import { shouldPlanGang } from '../../gangs/shouldPlanGang'
 import type { Precedence } from '../../placement/Precedence'
 import { Reservations } from '../../placement/Reservations'
 import { timesOf } from '../../placement/stepTimes'
@@ -347,7 +347,7 @@
 			if (!later.dependsOn.includes(step)) return
 			const work = this.open(job, repeat, number)
 			const eligible = this.lookAround().eligible(work)
-			if (needsPlan(work)) this.gangs.learn(work, eligible, this.context.clock.now())
+			if (shouldPlanGang(work)) this.gangs.discoverWorkers(work, eligible, this.context.clock.now())
 			else this.questions.ask(work, eligible, work.step.count)
 		})
 	}
@@ -383,7 +383,7 @@
 		const left = this.placeAmong(work, waiting, options, now)
 		if (left === 0) return
 		if (full) work.waits.note(reasonIn(work, { eligible, options }), now)
-		if (needsPlan(work)) return full ? this.gangs.prepare(work, eligible, now) : undefined
+		if (shouldPlanGang(work)) return full ? this.gangs.plan(work, eligible, now) : undefined
 		if (full && this.reservations.mayKeep(work)) this.reservations.keep(work, left, workers.allowed)
 		const room = this.reservations.expectedAt(work)
 		if (work.queue.advice) this.questions.ask(work, eligible, left, room?.next)
--- a/packages/jobs/src/lib/leader/workers/WorkerLosses.ts
+++ b/packages/jobs/src/lib/leader/workers/WorkerLosses.ts
@@ -35,7 +35,7 @@
 	lost(view: WorkerView): void {
 		view.lostAt = this.context.clock.now()
 		this.waves.lost(view)
-		this.reliability.lost(view.id, view.lostAt)
+		this.reliability.recordLoss(view.id, view.lostAt)
 	}
 
 	/** A call to a worker did not come back; its data centre may be out of reach. */
--- a/packages/jobs/src/lib/shares/StepShares.ts
+++ b/packages/jobs/src/lib/shares/StepShares.ts
@@ -8,7 +8,7 @@
 	type Resources,
 } from '@rillrudder/scheduler'
 import type { AccountUsage } from '../accounts/AccountUsage'
-import { needsPlan } from '../gangs/needsPlan'
+import { shouldPlanGang } from '../gangs/shouldPlanGang'
 import { epochOf, type LeaderContext } from '../leader/LeaderContext'
 import type { StepWork } from '../leader/steps/StepWork'
 import type { WorkerView } from '../leader/workers/WorkerView'
@@ -48,7 +48,7 @@
 
 	/** A step waits from now on. */
 	opened(work: StepWork): void {
-		if (needsPlan(work)) this.shares.use.plansGangs = true
+		if (shouldPlanGang(work)) this.shares.use.plansGangs = true
 	}
 
 	/** Notes anew what orders the steps besides their times. @returns whether that has changed for any. */
--- a/packages/runs/src/lib/jobs/gangRun.test.ts
+++ b/packages/runs/src/lib/jobs/gangRun.test.ts
@@ -65,7 +65,11 @@
 })
 
 test('without new tickets for the planned moment, gangs wait for good', () => {
-	const unrenewed: Breakage = [jobsClass('gangs', 'GangPlanner'), 'renew', () => () => undefined]
+	const unrenewed: Breakage = [
+		jobsClass('gangs', 'GangPlanner'),
+		'askForTickets',
+		() => () => undefined,
+	]
 	const play = (seed: number): unknown => runOnce(seed, CALM)
 	assert.match(
 		withBroken([unrenewed], () => firstFailure(play, MOST_SEEDS)),
