--- a/packages/jobs/src/index.ts
+++ b/packages/jobs/src/index.ts
@@ -9,7 +9,7 @@
 	type End,
 } from './lib/commands/CellCommand'
 export { digestOf, type ClientAccount } from './lib/accounts/ClientAccount'
-export type { AdviserStanding } from './lib/leader/advice/AdviserStanding'
+export type { AdviserStatus } from './lib/leader/advice/AdviserStatus'
 export * from './lib/leader/callers/calls'
 export type { LeaderContext } from './lib/leader/LeaderContext'
 export { LeaderEvent } from './lib/leader/LeaderEvent'
--- a/packages/jobs/src/lib/leader/advice/AdvicePlanner.test.ts
+++ b/packages/jobs/src/lib/leader/advice/AdviceDispatcher.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import { ManualClock } from '@rillrudder/utils'
-import { AdvicePlanner, type PlannedQuestion } from './AdvicePlanner'
+import { AdviceDispatcher, type RankedQuestion } from './AdviceDispatcher'
 import type { LeaderContext } from '../LeaderContext'
 import { Advisers, type AdviceQuestion, type AdviceResult } from '../ports'
 
@@ -38,7 +38,7 @@
 	const clock = new ManualClock()
 	const costs = new Map<string, number>()
 	const advisers = new TimedAdvisers(clock, costs)
-	const planner = new AdvicePlanner({ clock, advisers } as unknown as LeaderContext)
+	const planner = new AdviceDispatcher({ clock, advisers } as unknown as LeaderContext)
 	const waits: number[] = []
 	const ask = (step: string, cost: number, priority = 0): void => {
 		costs.set(step, cost)
@@ -47,7 +47,7 @@
 			if (cost === SHORT) waits.push(clock.now() - since - cost)
 		}
 		const rank = cost + priority
-		const question: PlannedQuestion = { step, workers: [], cost, rank, priority, done }
+		const question: RankedQuestion = { step, workers: [], cost, rank, priority, done }
 		planner.ask(question)
 	}
 	return { clock, advisers, ask, waits, planner }
--- a/packages/jobs/src/lib/leader/advice/AdvicePlanner.ts
+++ b/packages/jobs/src/lib/leader/advice/AdviceDispatcher.ts
@@ -7,7 +7,7 @@
 import type { LeaderShares } from '../../shares/LeaderShares'
 import type { LeaderContext } from '../LeaderContext'
 import type { AdviceQuestion, AdviceResult } from '../ports'
-import { bestAdviser } from './bestAdviser'
+import { chooseAdviser } from './chooseAdviser'
 
 /** Milliseconds from which an answer counts as a long one. */
 const LONG = 150
@@ -37,7 +37,7 @@
 const REST = 3000
 
 /** A question with what it costs and how much it matters. @internal */
-export interface PlannedQuestion extends AdviceQuestion {
+export interface RankedQuestion extends AdviceQuestion {
 	/** Milliseconds that the answer is expected to take. */
 	readonly cost: number
 	/** Lower goes first. */
@@ -51,7 +51,7 @@
 
 /** A question that is being answered, through one instance or two. */
 interface Attempt {
-	readonly question: PlannedQuestion
+	readonly question: RankedQuestion
 	/** How many instances may still bring the answer. */
 	pending: number
 	answered: boolean
@@ -70,8 +70,8 @@
  *
  * @internal
  */
-export class AdvicePlanner {
-	private waiting: PlannedQuestion[] = []
+export class AdviceDispatcher {
+	private waiting: RankedQuestion[] = []
 	private readonly asked = new Map<string, Asked>()
 	private dispatching = false
 	/** How many instances short answers have filled of late, and as of when. */
@@ -86,7 +86,7 @@
 	) {}
 
 	/** Asks as soon as an instance is free. */
-	ask(question: PlannedQuestion): void {
+	ask(question: RankedQuestion): void {
 		if (question.cost < LONG) this.noteShort(question.cost)
 		this.waiting.push(question)
 		this.dispatch()
@@ -161,26 +161,26 @@
 	 *
 	 * @param longMost - how many instances may be asked for long answers at a time.
 	 */
-	private takeNext(longMost: number): PlannedQuestion | undefined {
+	private takeNext(longMost: number): RankedQuestion | undefined {
 		const floor = Math.floor(longMost * FLOOR_SHARE)
 		const held = this.longByPriority()
-		const isBelow = ({ cost, priority }: PlannedQuestion): boolean =>
+		const isBelow = ({ cost, priority }: RankedQuestion): boolean =>
 			cost >= LONG && (held.get(priority) ?? 0) < floor
 		return this.take(this.bestWaiting(isBelow) ?? this.bestWaiting(() => true))
 	}
 
 	/** Takes the short question that matters most. */
-	private takeShort(): PlannedQuestion | undefined {
+	private takeShort(): RankedQuestion | undefined {
 		return this.take(this.bestWaiting(({ cost }) => cost < LONG))
 	}
 
-	private take(question: PlannedQuestion | undefined): PlannedQuestion | undefined {
+	private take(question: RankedQuestion | undefined): RankedQuestion | undefined {
 		if (question) this.waiting.splice(this.waiting.indexOf(question), 1)
 		return question
 	}
 
-	private bestWaiting(counts: (question: PlannedQuestion) => boolean): PlannedQuestion | undefined {
-		let best: PlannedQuestion | undefined
+	private bestWaiting(counts: (question: RankedQuestion) => boolean): RankedQuestion | undefined {
+		let best: RankedQuestion | undefined
 		for (const question of this.waiting) {
 			if (!counts(question)) continue
 			if (!best || this.compare(question, best) < 0) best = question
@@ -200,14 +200,14 @@
 
 	private bestOf(free: readonly string[]): string {
 		const { advisers } = this.context
-		return bestAdviser(free, (via) => ({
-			restsUntil: this.restsUntil(via),
+		return chooseAdviser(free, (via) => ({
+			cooldownUntil: this.restsUntil(via),
 			...advisers.standing(via),
 		}))
 	}
 
 	/** Below 0 when the first question goes before the second. */
-	private compare(left: PlannedQuestion, right: PlannedQuestion): number {
+	private compare(left: RankedQuestion, right: RankedQuestion): number {
 		const byShare = this.shares?.inForce && left.claim && right.claim
 		const share = byShare ? this.shares.advice.compare(left.claim, right.claim) : 0
 		return share || left.rank - right.rank
--- a/packages/jobs/src/lib/leader/advice/StepQuestions.ts
+++ b/packages/jobs/src/lib/leader/advice/StepQuestions.ts
@@ -2,7 +2,7 @@
 import { Measure } from '@rillrudder/telemetry'
 import type { AdviceTerms } from '../../records/Cell'
 import { rankOf } from '../../placement/StepUrgency'
-import { AdvicePlanner } from './AdvicePlanner'
+import { AdviceDispatcher } from './AdviceDispatcher'
 import { AllowedShare } from './AllowedShare'
 import type { Option } from '../steps/chooseForStep'
 import type { LeaderShares } from '../../shares/LeaderShares'
@@ -12,7 +12,7 @@
 import type { StepWork } from '../steps/StepWork'
 import { MAX_WORKERS_PER_QUESTION } from '../../gangs/shouldPlanGang'
 import { splitQuestion } from '../../gangs/splitQuestion'
-import { workersToAsk } from './workersToAsk'
+import { chooseWorkersToAsk } from './chooseWorkersToAsk'
 
 /** Milliseconds that a step's ticket must still hold for its next task to be decided with it. */
 const ASK_AGAIN = 400
@@ -25,19 +25,19 @@
  * @internal
  */
 export class StepQuestions {
-	private readonly planner: AdvicePlanner
+	private readonly dispatcher: AdviceDispatcher
 	private readonly shares = new AllowedShare()
 
 	constructor(
 		private readonly context: LeaderContext,
 		accounts: LeaderShares
 	) {
-		this.planner = new AdvicePlanner(context, accounts)
+		this.dispatcher = new AdviceDispatcher(context, accounts)
 	}
 
 	/** Gives up answers that will not come. */
 	tick(now: number): void {
-		this.planner.tick(now)
+		this.dispatcher.tick(now)
 	}
 
 	/**
@@ -66,7 +66,7 @@
 			share,
 			terms: queue.advice,
 		}
-		const workers = workersToAsk(work, eligible, need)
+		const workers = chooseWorkersToAsk(work, eligible, need)
 		if (workers.length > 0) this.send(work, workers, queue.advice)
 	}
 
@@ -91,7 +91,7 @@
 		this.context.log.debug(LeaderEvent.AdviceAsked, { step: work.name, workers: workers.length })
 		const claim = { account: work.account, urgency: work.urgency }
 		const { priority } = work.queue
-		this.planner.ask({ step: work.name, workers, cost, rank, priority, claim, done })
+		this.dispatcher.ask({ step: work.name, workers, cost, rank, priority, claim, done })
 	}
 
 	private advised(
--- a/packages/jobs/src/lib/leader/advice/bestAdviser.ts
+++ b/packages/jobs/src/lib/leader/advice/chooseAdviser.ts
@@ -1,10 +1,10 @@
 /** Chooses the instance through which the next question is asked. */
-import type { AdviserStanding } from './AdviserStanding'
+import type { AdviserStatus } from './AdviserStatus'
 
 /** What the choice compares. @internal */
-export interface RankedAdviser extends AdviserStanding {
+export interface RankedAdviser extends AdviserStatus {
 	/** Until when it is asked last, since it brought no answer; 0 once that is over. */
-	readonly restsUntil: number
+	readonly cooldownUntil: number
 }
 
 /**
@@ -13,7 +13,10 @@
  * @returns the punctual one, among those the most rested, least loaded and not small; the first of those that are alike.
  * @internal
  */
-export function bestAdviser(free: readonly string[], rank: (via: string) => RankedAdviser): string {
+export function chooseAdviser(
+	free: readonly string[],
+	rank: (via: string) => RankedAdviser
+): string {
 	let best = free[0]
 	let bestRank = rank(best)
 	for (const via of free.slice(1)) {
@@ -27,9 +30,9 @@
 
 function compare(left: RankedAdviser, right: RankedAdviser): number {
 	return (
-		Number(left.late) - Number(right.late) ||
-		left.restsUntil - right.restsUntil ||
+		Number(left.isLate) - Number(right.isLate) ||
+		left.cooldownUntil - right.cooldownUntil ||
 		left.load - right.load ||
-		Number(left.small) - Number(right.small)
+		Number(left.isSmall) - Number(right.isSmall)
 	)
 }
--- a/packages/jobs/src/lib/leader/advice/workersToAsk.ts
+++ b/packages/jobs/src/lib/leader/advice/chooseWorkersToAsk.ts
@@ -60,7 +60,7 @@
  * @returns ids of the workers to ask about; empty when asking would not help.
  * @internal
  */
-export function workersToAsk(
+export function chooseWorkersToAsk(
 	work: StepWork,
 	eligible: readonly Option[],
 	need: AdviceNeed
--- a/packages/jobs/src/lib/leader/ports.ts
+++ b/packages/jobs/src/lib/leader/ports.ts
@@ -2,7 +2,7 @@
 import type { CellCommand } from '../commands/CellCommand'
 import type { Worker } from '../records/Cell'
 import type { RunEnd } from '../records/Job'
-import { PLAIN_STANDING, type AdviserStanding } from './advice/AdviserStanding'
+import { DEFAULT_ADVISER_STATUS, type AdviserStatus } from './advice/AdviserStatus'
 
 /** Polls that need a new connection which one instance sends in a tick; each takes about 1 ms of it. */
 const FIRST_POLLS = 20
@@ -150,8 +150,8 @@
 	/** Ids of the instances that can ask now. */
 	abstract available(): readonly string[]
 	/** How well an instance can ask now; all alike unless more is known. */
-	standing(_via: string): AdviserStanding {
-		return PLAIN_STANDING
+	standing(_via: string): AdviserStatus {
+		return DEFAULT_ADVISER_STATUS
 	}
 
 	/** Asks through an instance. */
--- a/packages/member/src/lib/AskingPeers.ts
+++ b/packages/member/src/lib/AskingPeers.ts
@@ -3,7 +3,7 @@
 	Advisers,
 	type AdviceQuestion,
 	type AdviceResult,
-	type AdviserStanding,
+	type AdviserStatus,
 	type CellReply,
 } from '@rillrudder/jobs'
 import type { Adviser } from './Adviser'
@@ -20,7 +20,7 @@
 	/** Peers that are linked now. */
 	readonly peers: () => readonly string[]
 	/** How well each of them can ask now. */
-	readonly standing: (id: string) => AdviserStanding
+	readonly standing: (id: string) => AdviserStatus
 }
 
 /**
@@ -37,7 +37,7 @@
 		return [this.parts.self, ...this.parts.peers()]
 	}
 
-	override standing(via: string): AdviserStanding {
+	override standing(via: string): AdviserStatus {
 		return this.parts.standing(via)
 	}
 
--- a/packages/member/src/lib/load/CellLoads.ts
+++ b/packages/member/src/lib/load/CellLoads.ts
@@ -1,5 +1,5 @@
 /** What a core instance knows of its own load and of the others', and what follows for the questions that it gives out while it leads. */
-import type { AdviserStanding } from '@rillrudder/jobs'
+import type { AdviserStatus } from '@rillrudder/jobs'
 import type { LoadReport } from '@rillrudder/protocol'
 import { adviserStanding } from './adviserStanding'
 import type { InstanceLoad } from './InstanceLoad'
@@ -37,7 +37,7 @@
 	}
 
 	/** @returns how well an instance can ask for advice. */
-	standingOf(id: string, now: number): AdviserStanding {
+	standingOf(id: string, now: number): AdviserStatus {
 		const here = id === this.self ? { ...this.report(), age: 0 } : undefined
 		const load = here ?? this.core.loadOf(id, now) ?? this.entry.loadOf(id, now)
 		return adviserStanding(load, {
--- a/packages/member/src/lib/load/adviserStanding.test.ts
+++ b/packages/member/src/lib/load/adviserStanding.test.ts
@@ -4,7 +4,7 @@
 import { adviserStanding } from './adviserStanding'
 import { PeerLoads } from './PeerLoads'
 
-const PLAIN = { late: false, load: 0, small: false }
+const PLAIN = { isLate: false, load: 0, isSmall: false }
 
 function standing(loads: PeerLoads, id: string, now = 0) {
 	const processor = loads.processorOf(id)
@@ -18,7 +18,7 @@
 	loads.take('large', { processor: 810, loopDelay: 0, fill: 0 }, 0)
 	loads.take('middle', { processor: 608, loopDelay: 0, fill: 0 }, 0)
 	loads.take('earlier version', undefined, 0)
-	assert.deepEqual(standing(loads, 'small'), { ...PLAIN, small: true })
+	assert.deepEqual(standing(loads, 'small'), { ...PLAIN, isSmall: true })
 	for (const id of ['large', 'middle', 'earlier version']) {
 		assert.deepEqual(standing(loads, id), PLAIN)
 	}
@@ -29,6 +29,6 @@
 test('a loop that is late and calls under way count while they are fresh', () => {
 	const loads = new PeerLoads()
 	loads.take('one', { processor: 243, loopDelay: 80, fill: 60 }, 0)
-	assert.deepEqual(standing(loads, 'one', 2000), { late: true, load: 2, small: false })
+	assert.deepEqual(standing(loads, 'one', 2000), { isLate: true, load: 2, isSmall: false })
 	assert.deepEqual(standing(loads, 'one', 2001), PLAIN)
 })
--- a/packages/member/src/lib/load/adviserStanding.ts
+++ b/packages/member/src/lib/load/adviserStanding.ts
@@ -1,5 +1,5 @@
 /** How well an instance can ask for advice, as the leader's choice among free ones takes it. */
-import type { AdviserStanding } from '@rillrudder/jobs'
+import type { AdviserStatus } from '@rillrudder/jobs'
 import { WHOLE_FILL } from './InstanceLoad'
 import { LATE_LOOP } from './LoopDelay'
 import type { FreshLoad } from './PeerLoads'
@@ -21,11 +21,11 @@
 export function adviserStanding(
 	load: FreshLoad | undefined,
 	{ processor, largest }: KnownProcessor
-): AdviserStanding {
+): AdviserStatus {
 	const { loopDelay, fill } = load ?? { loopDelay: 0, fill: 0 }
 	return {
-		late: loopDelay >= LATE_LOOP,
+		isLate: loopDelay >= LATE_LOOP,
 		load: Math.floor((fill / WHOLE_FILL) * FILL_STEPS),
-		small: processor !== undefined && processor < largest * SMALL_SHARE,
+		isSmall: processor !== undefined && processor < largest * SMALL_SHARE,
 	}
 }
