--- a/packages/jobs/src/lib/gangs/GangPlanner.ts
+++ b/packages/jobs/src/lib/gangs/GangPlanner.ts
@@ -57,15 +57,15 @@
 		if (!plan && advice.firstAnswerAt !== undefined && !this.reservations.mayKeep(work)) return
 		// Workers that join are learned beside the plan: it does not wait for them.
 		const isDue = plan && plan.workersToAsk.length > 0 && now >= plan.askAt
-		if (isDue && !advice.renewing) this.askForTickets(work, plan, now)
-		if (!advice.learning)
+		if (isDue && !advice.isRenewingAny) this.askForTickets(work, plan, now)
+		if (!advice.isDiscovering)
 			this.questions.askAbout(work, this.workersToDiscover(work, eligible, plan, need))
 	}
 
 	/** Learns which workers may run a gang whose earlier steps are about to be done. */
 	discoverWorkers(work: StepWork, eligible: readonly Option[], now: number): void {
-		if (work.advice.asking || now < work.advice.notBefore) return
-		const share = this.questions.shareOf(work.queue.name)
+		if (work.advice.isAsking || now < work.advice.notBefore) return
+		const share = this.questions.allowedShareOf(work.queue.name)
 		this.questions.askAbout(work, chooseGangWorkersToAsk(work, eligible, share, false))
 	}
 
@@ -105,7 +105,12 @@
 	): string[] {
 		const soon = now + terms.base + terms.each * (plan?.workersToAsk.length ?? 0)
 		if (plan && plan.at <= soon) return []
-		return chooseGangWorkersToAsk(work, eligible, this.questions.shareOf(work.queue.name), true)
+		return chooseGangWorkersToAsk(
+			work,
+			eligible,
+			this.questions.allowedShareOf(work.queue.name),
+			true
+		)
 	}
 
 	private askForTickets(work: StepWork, { at, workersToAsk, places }: GangPlan, now: number): void {
@@ -142,7 +147,7 @@
 			ticketLife: terms.valid - this.context.timing.ticketMargin,
 			terms,
 			hasTicket: (worker, moment) =>
-				advice.isRenewing(worker) || advice.ticket(worker, moment) !== undefined,
+				advice.isRenewing(worker) || advice.ticketOf(worker, moment) !== undefined,
 			delayOf: (worker) => this.delayOf(worker, step.expectedTime, speeds.get(worker) ?? 1, now),
 		}
 	}
--- a/packages/jobs/src/lib/leader/advice/AdviceDispatcher.ts
+++ b/packages/jobs/src/lib/leader/advice/AdviceDispatcher.ts
@@ -53,16 +53,16 @@
 interface Attempt {
 	readonly question: RankedQuestion
 	/** How many instances may still bring the answer. */
-	pending: number
-	answered: boolean
+	pendingCount: number
+	isAnswered: boolean
 	/** When it is asked through a second instance. */
-	copyAt: number
+	duplicateAt: number
 }
 
 /** What an instance is asked. */
-interface Asked {
+interface PendingCall {
 	readonly attempt: Attempt
-	readonly giveUpAt: number
+	readonly timeoutAt: number
 }
 
 /**
@@ -72,13 +72,13 @@
  */
 export class AdviceDispatcher {
 	private waiting: RankedQuestion[] = []
-	private readonly asked = new Map<string, Asked>()
-	private dispatching = false
+	private readonly pendingCalls = new Map<string, PendingCall>()
+	private isDispatching = false
 	/** How many instances short answers have filled of late, and as of when. */
 	private shortLoad = 0
 	private shortLoadAt = 0
 	/** Until when instances that brought no answer are asked last. */
-	private readonly resting = new Map<string, number>()
+	private readonly cooldowns = new Map<string, number>()
 
 	constructor(
 		private readonly context: LeaderContext,
@@ -87,40 +87,40 @@
 
 	/** Asks as soon as an instance is free. */
 	ask(question: RankedQuestion): void {
-		if (question.cost < LONG) this.noteShort(question.cost)
+		if (question.cost < LONG) this.recordShort(question.cost)
 		this.waiting.push(question)
 		this.dispatch()
 	}
 
 	/** Gives up answers that will not come, asks again what has none, and asks what waits. */
 	tick(now: number): void {
-		for (const [via, asked] of this.asked) {
-			if (now < asked.giveUpAt) continue
+		for (const [via, asked] of this.pendingCalls) {
+			if (now < asked.timeoutAt) continue
 			this.release(via, asked, now)
 			this.settle(asked.attempt, { kind: 'unknown', message: `no answer through ${via}` })
 		}
 		this.dispatch()
-		this.askCopies(now)
+		this.askDuplicates(now)
 	}
 
 	/** Asks through a second instance, where one is free, what should have been answered by now. */
-	private askCopies(now: number): void {
-		for (const { attempt } of [...this.asked.values()]) {
-			if (attempt.answered || now < attempt.copyAt) continue
+	private askDuplicates(now: number): void {
+		for (const { attempt } of [...this.pendingCalls.values()]) {
+			if (attempt.isAnswered || now < attempt.duplicateAt) continue
 			const free = this.freeInstances()
-			const kept = attempt.question.cost >= LONG ? this.keptFree() : 0
+			const kept = attempt.question.cost >= LONG ? this.reservedInstanceCount() : 0
 			if (free.length <= kept) continue
-			attempt.copyAt = Number.POSITIVE_INFINITY
+			attempt.duplicateAt = Number.POSITIVE_INFINITY
 			this.send(this.bestOf(free), attempt)
 		}
 	}
 
 	/** Sends what can be sent. An instance that is lost may answer at once, which begins a further round. */
 	private dispatch(): void {
-		if (this.dispatching) return
-		this.dispatching = true
+		if (this.isDispatching) return
+		this.isDispatching = true
 		while (this.dispatchNext()) continue
-		this.dispatching = false
+		this.isDispatching = false
 	}
 
 	/** @returns whether a question was sent. */
@@ -128,21 +128,26 @@
 		if (this.waiting.length === 0) return false
 		const free = this.freeInstances()
 		if (free.length === 0) return false
-		const asked = [...this.asked.values()]
+		const asked = [...this.pendingCalls.values()]
 		const long = asked.filter(({ attempt }) => attempt.question.cost >= LONG).length
-		const longMost = Math.max(1, free.length + asked.length - this.keptFree())
+		const longMost = Math.max(1, free.length + asked.length - this.reservedInstanceCount())
 		const next = long < longMost ? this.takeNext(longMost) : this.takeShort()
 		if (!next) return false
-		const copyAt = this.context.clock.now() + next.cost * COPY_FACTOR + COPY_AFTER
-		this.send(this.bestOf(free), { question: next, pending: 0, answered: false, copyAt })
+		const duplicateAt = this.context.clock.now() + next.cost * COPY_FACTOR + COPY_AFTER
+		this.send(this.bestOf(free), {
+			question: next,
+			pendingCount: 0,
+			isAnswered: false,
+			duplicateAt,
+		})
 		return true
 	}
 
 	private freeInstances(): string[] {
-		return this.context.advisers.available().filter((via) => !this.asked.has(via))
+		return this.context.advisers.available().filter((via) => !this.pendingCalls.has(via))
 	}
 
-	private noteShort(cost: number): void {
+	private recordShort(cost: number): void {
 		this.shortLoad = this.decayedLoad() + cost / LOAD_SPAN
 		this.shortLoadAt = this.context.clock.now()
 	}
@@ -152,7 +157,7 @@
 		return this.shortLoad * Math.exp(-passed / LOAD_SPAN)
 	}
 
-	private keptFree(): number {
+	private reservedInstanceCount(): number {
 		return Math.max(LEAST_KEPT_FREE, Math.ceil(this.decayedLoad() * KEPT_FREE_PER_BUSY))
 	}
 
@@ -191,7 +196,7 @@
 	/** How many instances are asked for long answers, by the priority of the question. */
 	private longByPriority(): ReadonlyMap<number, number> {
 		const counts = new Map<number, number>()
-		for (const { attempt } of this.asked.values()) {
+		for (const { attempt } of this.pendingCalls.values()) {
 			const { cost, priority } = attempt.question
 			if (cost >= LONG) counts.set(priority, (counts.get(priority) ?? 0) + 1)
 		}
@@ -201,7 +206,7 @@
 	private bestOf(free: readonly string[]): string {
 		const { advisers } = this.context
 		return chooseAdviser(free, (via) => ({
-			cooldownUntil: this.restsUntil(via),
+			cooldownUntil: this.cooldownUntil(via),
 			...advisers.standing(via),
 		}))
 	}
@@ -216,13 +221,13 @@
 	private send(via: string, attempt: Attempt): void {
 		const now = this.context.clock.now()
 		const { step, workers, cost } = attempt.question
-		const asked = { attempt, giveUpAt: now + cost * PATIENCE_FACTOR + PATIENCE }
-		this.asked.set(via, asked)
-		attempt.pending += 1
+		const asked = { attempt, timeoutAt: now + cost * PATIENCE_FACTOR + PATIENCE }
+		this.pendingCalls.set(via, asked)
+		attempt.pendingCount += 1
 		const { claim } = attempt.question
 		if (claim && this.shares?.inForce) this.shares.advice.charge(claim, cost, now)
 		this.context.advisers.ask(via, { step, workers }, (result) => {
-			if (this.asked.get(via) !== asked) return
+			if (this.pendingCalls.get(via) !== asked) return
 			this.release(via, asked, result.kind === 'answered' ? undefined : now)
 			this.settle(attempt, result)
 			this.dispatch()
@@ -230,22 +235,22 @@
 	}
 
 	/** An instance is free again; one that brought no answer, as of a moment, rests. */
-	private release(via: string, asked: Asked, failedAt: number | undefined): void {
-		this.asked.delete(via)
-		asked.attempt.pending -= 1
-		if (failedAt !== undefined) this.resting.set(via, failedAt + REST)
+	private release(via: string, asked: PendingCall, failedAt: number | undefined): void {
+		this.pendingCalls.delete(via)
+		asked.attempt.pendingCount -= 1
+		if (failedAt !== undefined) this.cooldowns.set(via, failedAt + REST)
 	}
 
 	/** The first answer counts; without any, the last failure. */
 	private settle(attempt: Attempt, result: AdviceResult): void {
-		if (attempt.answered) return
-		if (result.kind !== 'answered' && attempt.pending > 0) return
-		attempt.answered = true
+		if (attempt.isAnswered) return
+		if (result.kind !== 'answered' && attempt.pendingCount > 0) return
+		attempt.isAnswered = true
 		attempt.question.done(result)
 	}
 
-	private restsUntil(via: string): number {
-		const until = this.resting.get(via) ?? 0
+	private cooldownUntil(via: string): number {
+		const until = this.cooldowns.get(via) ?? 0
 		return until > this.context.clock.now() ? until : 0
 	}
 }
--- a/packages/jobs/src/lib/leader/advice/AllowedShare.test.ts
+++ b/packages/jobs/src/lib/leader/advice/AllowedShare.test.ts
@@ -3,16 +3,16 @@
 import { AllowedShare } from './AllowedShare'
 
 test('a queue of which nothing is known is taken to allow a third', () => {
-	const share = new AllowedShare().of('queue')
+	const share = new AllowedShare().shareOf('queue')
 	assert.ok(share > 0.3 && share < 0.4)
 })
 
 test('each queue has its own share, and a policy that changes is learned anew', () => {
 	const shares = new AllowedShare()
-	shares.note('generous', 100, 90)
-	shares.note('strict', 100, 10)
-	assert.ok(shares.of('generous') > 0.8)
-	assert.ok(shares.of('strict') < 0.2)
-	for (let answer = 0; answer < 50; answer++) shares.note('generous', 20, 2)
-	assert.ok(shares.of('generous') < 0.2)
+	shares.record('generous', 100, 90)
+	shares.record('strict', 100, 10)
+	assert.ok(shares.shareOf('generous') > 0.8)
+	assert.ok(shares.shareOf('strict') < 0.2)
+	for (let answer = 0; answer < 50; answer++) shares.record('generous', 20, 2)
+	assert.ok(shares.shareOf('generous') < 0.2)
 })
--- a/packages/jobs/src/lib/leader/advice/AllowedShare.ts
+++ b/packages/jobs/src/lib/leader/advice/AllowedShare.ts
@@ -21,13 +21,13 @@
 	private readonly counts = new Map<string, Count>()
 
 	/** @returns the share for a queue, from 0 to 1. */
-	of(queue: string): number {
+	shareOf(queue: string): number {
 		const { asked, allowed } = this.counts.get(queue) ?? { asked: 0, allowed: 0 }
 		return (allowed + ASSUMED * ASSUMED_WEIGHT) / (asked + ASSUMED_WEIGHT)
 	}
 
 	/** An answer has told of so many workers, so many of which are allowed. */
-	note(queue: string, asked: number, allowed: number): void {
+	record(queue: string, asked: number, allowed: number): void {
 		const count = this.counts.get(queue) ?? { asked: 0, allowed: 0 }
 		this.counts.set(queue, count)
 		count.asked += asked
--- a/packages/jobs/src/lib/leader/advice/StepAdvice.ts
+++ b/packages/jobs/src/lib/leader/advice/StepAdvice.ts
@@ -14,11 +14,11 @@
  */
 export class StepAdvice {
 	/** Questions that are under way. */
-	private underWay = 0
+	private pendingQuestions = 0
 	/** The workers that they name. */
 	private readonly awaited = new Set<string>()
 	/** How many questions have been asked. */
-	questions = 0
+	questionCount = 0
 	/** When the first answer came, on the leader's clock. */
 	firstAnswerAt: number | undefined
 	/** When the next question may be asked, after one that failed. */
@@ -27,30 +27,30 @@
 	private readonly unfit = new Set<string>()
 
 	/** Whether a question is under way. */
-	get asking(): boolean {
-		return this.underWay > 0
+	get isAsking(): boolean {
+		return this.pendingQuestions > 0
 	}
 
 	/** A question about these workers is on its way. */
-	asked(workers: readonly string[]): void {
-		this.underWay += 1
-		this.questions += 1
+	onAsked(workers: readonly string[]): void {
+		this.pendingQuestions += 1
+		this.questionCount += 1
 		for (const worker of workers) this.awaited.add(worker)
 	}
 
 	/** A question about these workers is answered, or will not be. */
-	settled(workers: readonly string[]): void {
-		this.underWay -= 1
+	onSettled(workers: readonly string[]): void {
+		this.pendingQuestions -= 1
 		for (const worker of workers) this.awaited.delete(worker)
 	}
 
 	/** Whether it is being asked of workers whether they are allowed. */
-	get learning(): boolean {
+	get isDiscovering(): boolean {
 		return [...this.awaited].some((worker) => !this.isAllowed(worker))
 	}
 
 	/** Whether new tickets of allowed workers are under way. */
-	get renewing(): boolean {
+	get isRenewingAny(): boolean {
 		return [...this.awaited].some((worker) => this.isAllowed(worker))
 	}
 
@@ -75,20 +75,20 @@
 	}
 
 	/** @returns the workers whose tickets hold. */
-	holding(now: number): string[] {
+	workersWithTicket(now: number): string[] {
 		const held: string[] = []
 		for (const [worker, { until }] of this.tickets) if (until > now) held.push(worker)
 		return held
 	}
 
 	/** @returns the worker's ticket while it holds. */
-	ticket(worker: string, now: number): string | undefined {
+	ticketOf(worker: string, now: number): string | undefined {
 		const ticket = this.tickets.get(worker)
 		return ticket && ticket.until > now ? ticket.text : undefined
 	}
 
 	/** Takes an answer. */
-	answered(asked: readonly string[], tickets: ReadonlyMap<string, string>, until: number): void {
+	onAnswer(asked: readonly string[], tickets: ReadonlyMap<string, string>, until: number): void {
 		for (const worker of asked) {
 			const text = tickets.get(worker)
 			if (text === undefined) this.unfit.add(worker)
@@ -97,7 +97,7 @@
 	}
 
 	/** A worker's ticket does not hold. */
-	refused(worker: string): void {
+	onTicketRefused(worker: string): void {
 		const ticket = this.tickets.get(worker)
 		if (ticket) this.tickets.set(worker, { text: ticket.text, until: 0 })
 	}
--- a/packages/jobs/src/lib/leader/advice/StepQuestions.ts
+++ b/packages/jobs/src/lib/leader/advice/StepQuestions.ts
@@ -26,7 +26,7 @@
  */
 export class StepQuestions {
 	private readonly dispatcher: AdviceDispatcher
-	private readonly shares = new AllowedShare()
+	private readonly allowedShares = new AllowedShare()
 
 	constructor(
 		private readonly context: LeaderContext,
@@ -49,13 +49,13 @@
 	ask(work: StepWork, eligible: readonly Option[], tasks: number, roomAt?: number): void {
 		const { advice, queue } = work
 		const now = this.context.clock.now()
-		if (!queue.advice || advice.asking || now < advice.notBefore) return
+		if (!queue.advice || advice.isAsking || now < advice.notBefore) return
 		const answer = queue.advice.base + queue.advice.each * eligible.length
 		// A gang begins only with all its tickets valid, and a long answer comes late for free room.
 		// An urgent step wants to know where room may be made for it.
 		const ahead = answer >= LONG_ANSWER || work.urgent
 		const until = now + ASK_AGAIN + (ahead || work.step.gang ? answer : 0)
-		const share = this.shares.of(queue.name)
+		const share = this.allowedShares.shareOf(queue.name)
 		const renew = roomAt === undefined || roomAt <= now + answer + ASK_AGAIN
 		const need = {
 			tasks,
@@ -71,8 +71,8 @@
 	}
 
 	/** @returns which share of workers a queue's policy allows, from 0 to 1, as seen of late. */
-	shareOf(queue: string): number {
-		return this.shares.of(queue)
+	allowedShareOf(queue: string): number {
+		return this.allowedShares.shareOf(queue)
 	}
 
 	/** Asks about these workers, in several questions side by side where one would take long. */
@@ -84,17 +84,17 @@
 
 	private send(work: StepWork, workers: readonly string[], terms: AdviceTerms): void {
 		const now = this.context.clock.now()
-		work.advice.asked(workers)
+		work.advice.onAsked(workers)
 		const cost = terms.base + terms.each * workers.length
 		const rank = rankOf(work.urgency)
-		const done = (result: AdviceResult): void => this.advised(work, workers, now, result)
+		const done = (result: AdviceResult): void => this.onAnswer(work, workers, now, result)
 		this.context.log.debug(LeaderEvent.AdviceAsked, { step: work.name, workers: workers.length })
 		const claim = { account: work.account, urgency: work.urgency }
 		const { priority } = work.queue
 		this.dispatcher.ask({ step: work.name, workers, cost, rank, priority, claim, done })
 	}
 
-	private advised(
+	private onAnswer(
 		work: StepWork,
 		asked: readonly string[],
 		askedAt: number,
@@ -104,7 +104,7 @@
 		const now = clock.now()
 		meter.count(Measure.Advice, { outcome: result.kind })
 		meter.observe(Measure.AdviceTime, now - askedAt)
-		work.advice.settled(asked)
+		work.advice.onSettled(asked)
 		work.hasNews = true
 		if (result.kind !== 'answered') {
 			if (result.kind === 'busy') work.advice.notBefore = now + timing.retryPause
@@ -116,8 +116,8 @@
 		work.advice.firstAnswerAt ??= now
 		const news = asked.filter((worker) => !work.advice.isAllowed(worker))
 		const allowed = news.filter((worker) => result.tickets.has(worker)).length
-		this.shares.note(work.queue.name, news.length, allowed)
-		work.advice.answered(asked, result.tickets, now + valid - timing.ticketMargin)
+		this.allowedShares.record(work.queue.name, news.length, allowed)
+		work.advice.onAnswer(asked, result.tickets, now + valid - timing.ticketMargin)
 		const took = Math.round(now - askedAt)
 		const good = result.tickets.size
 		log.debug(LeaderEvent.AdviceCame, { step: work.name, asked: asked.length, good, took })
--- a/packages/jobs/src/lib/leader/advice/chooseWorkersToAsk.ts
+++ b/packages/jobs/src/lib/leader/advice/chooseWorkersToAsk.ts
@@ -78,7 +78,7 @@
 	}
 	if (now.length > 0 || !need.ahead) return now
 	const covered = eligible
-		.filter(({ view }) => advice.ticket(view.id, need.until) !== undefined)
+		.filter(({ view }) => advice.ticketOf(view.id, need.until) !== undefined)
 		.reduce((sum, option) => sum + work.copiesIn(option.view.id, capacityOf(option)), 0)
 	return pick(work, candidates(work, useful, capacityOf), need, covered).workers
 }
@@ -90,7 +90,7 @@
 	{ renew, until }: AdviceNeed
 ): Option[] {
 	return options.filter(({ view: { id } }) =>
-		advice.isAllowed(id) ? renew && advice.ticket(id, until) === undefined : !advice.isUnfit(id)
+		advice.isAllowed(id) ? renew && advice.ticketOf(id, until) === undefined : !advice.isUnfit(id)
 	)
 }
 
--- a/packages/jobs/src/lib/leader/steps/StepLog.ts
+++ b/packages/jobs/src/lib/leader/steps/StepLog.ts
@@ -25,7 +25,7 @@
 			runs: placed.length,
 			waiting: work.waiting().length,
 			waited: Math.round(waited),
-			questions: work.advice.questions,
+			questions: work.advice.questionCount,
 			advised: Math.round(work.waited(work.advice.firstAnswerAt ?? 0)),
 			waits: String(work.waits),
 			workers: countedWorkers(placed),
--- a/packages/jobs/src/lib/leader/steps/StepOptions.ts
+++ b/packages/jobs/src/lib/leader/steps/StepOptions.ts
@@ -26,7 +26,7 @@
 	/** Those that may run it now. */
 	get ready(): readonly Option[] {
 		const { queue, advice } = this.work
-		return queue.advice ? this.named(advice.holding(this.pass.now)) : this.eligible
+		return queue.advice ? this.named(advice.workersWithTicket(this.pass.now)) : this.eligible
 	}
 
 	/** Those that its queue's policy is known to allow. */
--- a/packages/jobs/src/lib/leader/steps/StepScheduler.ts
+++ b/packages/jobs/src/lib/leader/steps/StepScheduler.ts
@@ -239,7 +239,7 @@
 
 	/** A ticket does not hold. */
 	ticketRefused(task: TaskName, worker: string): void {
-		this.steps.get(nameOf(task))?.advice.refused(worker)
+		this.steps.get(nameOf(task))?.advice.onTicketRefused(worker)
 	}
 
 	/** A run was moved away from a worker on which it stood still: another one is taken, if there is one. */
@@ -398,7 +398,7 @@
 		if (freed.length === 0) return
 		const options = this.readyAmong(work, freed, pass.now)
 		const left = this.placeAmong(work, waiting, options, pass.now)
-		if (left === 0 || options.length === freed.length || work.advice.asking) return
+		if (left === 0 || options.length === freed.length || work.advice.isAsking) return
 		const room = this.reservations.expectedAt(work)
 		this.questions.ask(work, pass.eligible(work), left, room?.next)
 	}
@@ -423,7 +423,7 @@
 	/** Of workers where something has come free those that may run the step now. */
 	private readyAmong(work: StepWork, freed: readonly Option[], now: number): readonly Option[] {
 		if (!work.queue.advice) return freed
-		return freed.filter(({ view }) => work.advice.ticket(view.id, now) !== undefined)
+		return freed.filter(({ view }) => work.advice.ticketOf(view.id, now) !== undefined)
 	}
 
 	private begin(work: StepWork, placed: readonly Placed[], now: number): void {
@@ -435,7 +435,7 @@
 			work.decided.add(index)
 			const isolated = this.quarantine.suspicionOf(work, index) === Suspicion.Isolated
 			if (isolated) this.quarantine.decided(task, job.id, worker)
-			const ticket = work.advice.ticket(worker, now) ?? ''
+			const ticket = work.advice.ticketOf(worker, now) ?? ''
 			const { urgent, yields } = work
 			this.runs.onDecided(task, { worker, ticket, urgent, yields, at: now })
 			return { task, attempt, worker }
--- a/packages/jobs/src/lib/leader/steps/waitReason.ts
+++ b/packages/jobs/src/lib/leader/steps/waitReason.ts
@@ -79,7 +79,7 @@
 	const { advice } = work
 	const others = eligible.some((option) => !advice.isUnfit(option.view.id) && hasRoom(work, option))
 	if (!work.queue.advice || !others) return WaitReason.Room
-	return advice.asking ? WaitReason.Advice : WaitReason.Policy
+	return advice.isAsking ? WaitReason.Advice : WaitReason.Policy
 }
 
 /** @returns whether the queue's policy allows none of the workers that could run a step. @internal */
@@ -147,8 +147,8 @@
 
 function waitForAdvice(work: StepWork, room: readonly Option[], now: number): Wait {
 	const { advice } = work
-	if (room.some(({ view }) => advice.ticket(view.id, now) !== undefined)) return placedNext(work)
-	if (advice.asking) {
+	if (room.some(({ view }) => advice.ticketOf(view.id, now) !== undefined)) return placedNext(work)
+	if (advice.isAsking) {
 		return {
 			reason: WaitReason.Advice,
 			text: `advice about ${room.length} workers with room is awaited`,
