--- a/packages/jobs/src/lib/leader/runs/LostRunHandler.ts
+++ b/packages/jobs/src/lib/leader/runs/LostRunHandler.ts
@@ -1,4 +1,4 @@
-/** Gives up the runs of workers that have fallen silent, so that they may begin elsewhere. */
+/** Abandons the runs of unreachable workers, so that their tasks can start elsewhere. */
 import { RunEnd } from '../../records/Job'
 import { epochOf, type LeaderContext } from '../LeaderContext'
 import { LeaderEvent } from '../LeaderEvent'
@@ -8,13 +8,14 @@
 import type { WorkerView } from '../workers/WorkerView'
 
 /**
- * Milliseconds from when a worker was found unreachable to when runs that may have copies begin elsewhere. It is
- * asked at once, and a single lost answer is no reason to run anything twice.
+ * Milliseconds from when a worker became unreachable until tasks that may have several concurrent
+ * runs are started elsewhere. The worker is probed at once, and a single lost answer is no reason to
+ * run a task twice.
  */
-const COPY_PATIENCE = 300
+const COPY_DELAY_MS = 300
 
 /**
- * Gives up runs.
+ * Proposes the end of runs whose worker is unreachable.
  *
  * @internal
  */
@@ -25,21 +26,24 @@
 		private readonly losses: WorkerLosses
 	) {}
 
-	/** The lease of a silent worker is certainly over: nothing runs there any more. */
+	/** Abandons all runs of an unreachable worker. Its lease has certainly expired: none still runs. */
 	abandonAll(view: WorkerView): void {
 		this.suspects.clear(view)
-		this.lose(view, [...view.runs.values()], 'lease over')
+		this.abandon(view, [...view.runs.values()], 'lease over')
 	}
 
-	/** Of steps that allow copies a run begins elsewhere at once; this one may go on meanwhile. */
+	/**
+	 * Abandons the runs of steps that allow concurrent copies, without waiting for the lease to expire.
+	 * These runs may still be running.
+	 */
 	abandonRepeatable(view: WorkerView, now: number): void {
-		if (now - view.lostAt < COPY_PATIENCE) return
+		if (now - view.lostAt < COPY_DELAY_MS) return
 		const copies = [...view.runs.values()].filter((run) => run.step.copies)
 		for (const { taskId, attempt } of copies) this.suspects.add(view, taskId, attempt)
-		this.lose(view, copies, 'copies allowed')
+		this.abandon(view, copies, 'copies allowed')
 	}
 
-	private lose(view: WorkerView, lost: readonly Run[], reason: string): void {
+	private abandon(view: WorkerView, lost: readonly Run[], reason: string): void {
 		if (lost.length === 0) return
 		view.gaveUpAt = this.context.clock.now()
 		const evidenceOf = this.losses.evidenceOn(view)
@@ -53,7 +57,7 @@
 		this.context.log.warn(LeaderEvent.RunsLost, { worker: view.id, runs: runs.length, reason })
 		for (const run of lost) {
 			view.runs.delete(run.taskId)
-			// The worker may answer again before this is committed; the run must not be ordered there then.
+			// The worker may answer again before the commit; the run must not be ordered there then.
 			run.retryAt = Number.POSITIVE_INFINITY
 		}
 		this.context.proposals.propose({ kind: 'end', runs, at: epochOf(this.context) })
--- a/packages/jobs/src/lib/leader/runs/ObservedRunTime.test.ts
+++ b/packages/jobs/src/lib/leader/runs/ObservedRunTime.test.ts
@@ -1,9 +1,9 @@
-/** How long a run has been at work is told by its worker's clock alone. */
+/** Tests that the running time is measured by the worker's clock alone. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import { ObservedRunTime } from './ObservedRunTime'
 
-test('a run has been at work from the answer that confirmed it to the last list that has it', () => {
+test('a run counts as running from its confirmation to the last poll that lists it', () => {
 	const time = new ObservedRunTime()
 	time.onConfirmed(1000)
 	assert.equal(time.minimum, 0)
@@ -13,7 +13,7 @@
 	assert.equal(time.hasOutlivedStartup, true)
 })
 
-test('an answer that was made earlier, and comes later, changes nothing', () => {
+test('answers that arrive out of order change nothing', () => {
 	const time = new ObservedRunTime()
 	time.onListed(1300)
 	time.onConfirmed(1000)
@@ -21,7 +21,7 @@
 	assert.equal(time.minimum, 0)
 })
 
-test('where a confirmation tells no clock, time counts from the first list', () => {
+test('without a clock in the confirmation, time counts from the first poll', () => {
 	const time = new ObservedRunTime()
 	time.onConfirmed(undefined)
 	time.onListed(5000)
--- a/packages/jobs/src/lib/leader/runs/Run.ts
+++ b/packages/jobs/src/lib/leader/runs/Run.ts
@@ -1,4 +1,4 @@
-/** One run of a task, from its beginning to its end. */
+/** The leader's view of one run of a task. */
 import type { QuotaAccount, Resources } from '@rillrudder/scheduler'
 import type { RunProgress } from '../../placement/RunProgress'
 import type { StepTimes } from '../../placement/StepUrgency'
@@ -6,91 +6,95 @@
 import type { ObservedRunTime } from './ObservedRunTime'
 import type { StopReason } from './WastedWork'
 
-/** What has been asked of a run's worker. @internal */
+/** The state of a run, by what its worker was ordered to do. @internal */
 export const RunPhase = {
-	/** To start it; not yet confirmed. */
+	/** Its start is ordered or about to be, and not confirmed yet. */
 	Starting: 'starting',
-	/** It runs. */
+	/** Its worker has confirmed or listed it as running. */
 	Running: 'running',
-	/** To stop it; not yet confirmed. */
+	/** Its stop is ordered or about to be, and not confirmed yet. */
 	Stopping: 'stopping',
-	/** It was told to stop and will be listed as ended, if it ever ran. */
+	/** Its worker has confirmed the stop, and will list the run as ended if it ever ran. */
 	Stopped: 'stopped',
 } as const
-/** One of the phases. @internal */
+/** One of the run phases. @internal */
 export type RunPhase = (typeof RunPhase)[keyof typeof RunPhase]
 
-/** One run. @internal */
+/** One run of a task. @internal */
 export interface Run {
+	/** The formatted name of its task. */
 	readonly taskId: string
 	readonly name: TaskName
 	readonly step: Step
 	readonly attempt: number
+	/** Id of its worker. */
 	readonly worker: string
-	/** What is reserved for it. */
+	/** Resources that are reserved for it. */
 	readonly need: Resources
-	/** The service at whose workers it runs. */
+	/** The service whose workers run it. */
 	readonly service: string
-	/** Whether it is of the highest priority. */
+	/** Whether it has the highest priority. */
 	readonly urgent: boolean
-	/** The account of its job; undefined for none. */
+	/** The quota account of its job; undefined if it has none. */
 	readonly account: QuotaAccount | undefined
-	/** Whether it makes room for what is. */
+	/** Whether it can be preempted by urgent work. */
 	readonly yields: boolean
-	/** When it had to begin for its job to be in time. */
+	/** Deadline of its job and the work that remains until then. */
 	readonly times: StepTimes
+	/** Ticket that its start order carries; empty if there is none. */
 	readonly ticket: string
-	/** Whether its worker wants a ticket. */
+	/** Whether its worker requires a ticket. */
 	readonly needsTicket: boolean
-	/** When this leader decided to begin it, on its clock; undefined for one that an earlier leader began. */
+	/** When this leader decided to start it, on its clock; undefined if an earlier leader did. */
 	readonly decidedAt: number | undefined
-	/** Whether an earlier leader began it. */
+	/** Whether an earlier leader started it. */
 	isRestored: boolean
 	phase: RunPhase
-	/** When the phase began, on the leader's clock. */
+	/** When its phase last changed, on the leader's clock. */
 	phaseSince: number
-	/** Whether an order to start it got no answer, so that it may still be carried out. */
+	/** Whether an order to start it got no answer, and may still be carried out. */
 	isInDoubt: boolean
-	/** Whether workers have crashed under its task. */
+	/** Whether its task is suspected of crashing workers. */
 	readonly isSuspected: boolean
-	/** Whether this leader or an earlier one has seen it at work after its beginning; only told of suspected ones. */
+	/** Whether any leader has seen it running past its startup; recorded for suspected runs only. */
 	seenAtWork: boolean
-	/** Whether this leader has ordered it. */
+	/** Whether this leader has sent an order to start it. */
 	isOrdered: boolean
-	/** When its worker first confirmed or listed it, on the leader's clock; absent before. */
+	/** When its worker first confirmed or listed it, on the leader's clock; undefined before. */
 	confirmedAt: number | undefined
-	/** For how long it has been at work, by its worker's clock. */
+	/** How long it has been running, by its worker's clock. */
 	readonly observedTime: ObservedRunTime
-	/** Whether an order is under way. */
+	/** Whether an order is waiting for an answer. */
 	isOrderPending: boolean
-	/** When an order without an answer is sent again. */
+	/** When an order without an answer is sent again, on the leader's clock. */
 	retryAt: number
-	/** The newest checkpoint that its worker listed; empty for none. */
+	/** The newest checkpoint that its worker listed; empty if there is none. */
 	checkpoint: string
-	/** When that was first listed, on the leader's clock. */
+	/** When that checkpoint was first listed, on the leader's clock. */
 	checkpointAt: number
-	/** Why it was told to stop; absent before. */
+	/** Why it was ordered to stop; undefined before. */
 	stopReason: StopReason | undefined
-	/** How far it has got, from 0 to 100. */
+	/** Its progress, from 0 to 100. */
 	percent: number
-	/** How fast it gets on, and when it is expected to end. */
+	/** The speed of its progress and the estimate of its end. */
 	readonly progress: RunProgress
-	/** Whether it ends soon by itself, since another member of its gang has ended. */
+	/** Whether it is about to end by itself because another member of its gang has ended. */
 	isEnding: boolean
-	/** What the worker last reported of it: tail latency or processor use. */
+	/** The last measurement that its worker reported: tail latency or processor use. */
 	measure: number
-	/** Share of its speed that it was last told to work at, from 0 to 100. */
+	/** Percentage of its full speed that it was last ordered to run at, from 0 to 100. */
 	pace: number
-	/** Whether it is being noted that it does no harm. */
+	/** Whether a command that clears its task of suspicion has been proposed. */
 	isClearProposed: boolean
-	/** WorkerPolls in a row that did not list it although they should have. */
+	/** Consecutive polls that did not list it although they should have. */
 	missedPolls: number
 }
 
 /**
- * @param run - a run that may be stopped and go on elsewhere.
- * @param epoch - now, in milliseconds since the epoch.
- * @returns milliseconds that its job would still have in hand if it had to do the rest of its work from now on.
+ * @param run - a run that may be stopped and continued elsewhere.
+ * @param epoch - the current time, in milliseconds since the epoch.
+ * @returns the slack of its job in milliseconds if the run resumed from its checkpoint, or from the
+ * beginning without checkpoints, now; negative if the job would miss its deadline.
  * @internal
  */
 export function slackOf({ times, step, percent }: Run, epoch: number): number {
--- a/packages/jobs/src/lib/leader/runs/RunController.ts
+++ b/packages/jobs/src/lib/leader/runs/RunController.ts
@@ -1,4 +1,4 @@
-/** The runs of the cell: orders to start and stop them, sent again until the worker has answered. */
+/** Starts, tracks and stops the runs of the cell. Orders are repeated until the worker answers. */
 import { Measure } from '@rillrudder/telemetry'
 import { formatTaskName, RunEnd, type TaskName } from '../../records/Job'
 import { GangFailure } from '../../gangs/GangAttempt'
@@ -24,54 +24,59 @@
 import type { WorkerRegistry } from '../workers/WorkerRegistry'
 import type { WorkerView } from '../workers/WorkerView'
 
-/** WorkerPolls in a row that must not list a run before it is given up. */
+/** Consecutive polls that must miss a run before it counts as lost. */
 const ABSENT_POLLS = 2
 
 /**
- * Milliseconds after which a start that is not confirmed tells of its worker and no more of the cell: one whose worker answers, and one whose
- * worker has fallen silent, as workers seem to where it is the cell that is too late to read their answers.
+ * Milliseconds after which an unconfirmed start counts as a problem of its worker and no longer of the
+ * cell, while the worker answers.
  */
-const MOST_AWAITED = 10_000
-const MOST_AWAITED_IN_SILENCE = 1500
+const MAX_CONFIRMATION_WAIT_MS = 10_000
+/**
+ * The same for a start whose worker is unreachable. Its start counts for a while, because workers also
+ * appear unreachable when an overloaded cell is too late to read their answers.
+ */
+const MAX_CONFIRMATION_WAIT_UNREACHABLE_MS = 1500
 
 /**
- * Milliseconds at work after which workers that crashed under a lasting task count no more. It sees many workers fail in
- * months; one that crashes its worker does so as it begins. Other tasks end by themselves, and theirs count for good.
+ * Running time in milliseconds after which worker crashes no longer count against a lasting task. Such
+ * a task sees many workers fail over months, while a task that crashes its worker does so as it starts.
+ * Other tasks end by themselves, and crashes under them count permanently.
  */
-const HARMLESS_AFTER = 10_000
+const HARMLESS_AFTER_MS = 10_000
 
-/** What was decided for a run before it begins. @internal */
+/** A decision to start a run. @internal */
 export interface Decision extends Standing {
-	/** When, on the leader's clock. */
+	/** When it was made, on the leader's clock. */
 	readonly at: number
-	/** Where it is to begin. */
+	/** Id of the worker that is to run it. */
 	readonly worker: string
-	/** Shows its worker that it may run it; empty where none is wanted. */
+	/** Ticket that entitles the worker to run it; empty if none is required. */
 	readonly ticket: string
 }
 
-/** Told of orders that show that a choice was wrong. @internal */
+/** Receives outcomes of orders that matter for later placement decisions. @internal */
 export interface RunListener {
-	/** The ticket that a run was started with does not hold. */
+	/** A worker has refused the ticket of a start order. */
 	onTicketRefused(task: TaskName, worker: string): void
-	/** A worker has confirmed a run, so many milliseconds after this leader had decided to begin it. */
+	/** A worker has confirmed a run, `delay` milliseconds after this leader decided to start it. */
 	onStarted(delay: number): void
-	/** A run is moved away from a worker on which it stood still. */
+	/** A run is moved away from a worker on which it stalled. */
 	onMoved(task: TaskName, worker: string): void
 }
 
 /**
- * The runs of the cell.
+ * Controls the runs of the cell.
  *
  * @internal
  */
 export class RunController {
 	private readonly runs = new Map<string, Run>()
-	/** Runs that have been decided and not yet begun. */
+	/** Decisions whose start is not committed yet, by task. */
 	private readonly pending = new Map<string, Decision>()
-	/** Runs that this leader has begun and no worker has confirmed. */
+	/** Runs that this leader has started and no worker has confirmed. */
 	private readonly unconfirmed = new Set<Run>()
-	private readonly pacing: RunPacer
+	private readonly pacer: RunPacer
 	private readonly gangs: GangAttempts
 	private readonly orders: RunOrders
 
@@ -82,7 +87,7 @@
 		private readonly accounts: AccountUsage,
 		private readonly listener: RunListener
 	) {
-		this.pacing = new RunPacer(context)
+		this.pacer = new RunPacer(context)
 		this.orders = new RunOrders(context, workers, accounts, {
 			isCurrent: (run) => this.runs.get(run.taskId) === run,
 			enterPhase: (run, phase) => this.enterPhase(run, phase),
@@ -99,12 +104,15 @@
 		})
 	}
 
-	/** How many runs there are. */
+	/** Number of runs. */
 	get size(): number {
 		return this.runs.size
 	}
 
-	/** @returns whether a worker has confirmed a run of a job, as far as is known; what an earlier leader began counts as confirmed. */
+	/**
+	 * @returns whether a worker is known to have confirmed a run of a job. Runs that an earlier leader
+	 * started count as confirmed.
+	 */
 	hasStarted(job: JobRecord): boolean {
 		for (const { text, task } of tasksOf(job)) {
 			if (task.status === TaskStatus.Done || task.failures > 0 || task.lost) return true
@@ -114,28 +122,33 @@
 		return false
 	}
 
-	/** How many runs are decided and not yet begun. */
+	/** Number of decided runs whose start is not committed yet. */
 	get decidedStarts(): number {
 		return this.pending.size
 	}
 
-	/** How many starts are decided that no worker has confirmed; what a worker has that has been silent for a while holds nothing up. */
+	/**
+	 * Number of decided starts that no worker has confirmed. Overdue starts, in particular those on
+	 * workers that have been unreachable for a while, don't count, so that they hold nothing up.
+	 */
 	get startsInProgress(): number {
 		return this.pending.size + [...this.unconfirmedStarts()].length
 	}
 
-	/** @returns milliseconds since each start was decided that its worker has not confirmed. */
+	/** @returns the age in milliseconds, since the decision, of each unconfirmed start. */
 	*unconfirmedStartAges(): Generator<number> {
 		const now = this.context.clock.now()
 		for (const { decidedAt = now } of this.unconfirmedStarts()) yield now - decidedAt
 	}
 
-	/** Starts that have been ordered and not confirmed, but for those that are so late that they tell of their workers. */
+	/** Ordered starts without confirmation, except those so late that the cause is their worker. */
 	private *unconfirmedStarts(): Generator<Run> {
 		const now = this.context.clock.now()
 		for (const run of this.unconfirmed) {
 			const { isOrdered, decidedAt = now } = run
-			const most = this.isReachable(run) ? MOST_AWAITED : MOST_AWAITED_IN_SILENCE
+			const most = this.isReachable(run)
+				? MAX_CONFIRMATION_WAIT_MS
+				: MAX_CONFIRMATION_WAIT_UNREACHABLE_MS
 			if (isOrdered && now - decidedAt <= most) yield run
 		}
 	}
@@ -144,7 +157,7 @@
 		return this.workers.find(worker)?.unreachable === false
 	}
 
-	/** Takes up the runs that an earlier leader began. */
+	/** Restores the runs of a job that an earlier leader started. */
 	restoreJob(job: JobRecord): void {
 		const members: Run[] = []
 		for (const { text, task } of tasksOf(job)) {
@@ -168,18 +181,18 @@
 		return run
 	}
 
-	/** Remembers a run that has been decided, until it begins or will not. */
+	/** Records a decision until its start is committed or voided. */
 	onDecided(task: string, decision: Decision): void {
 		this.pending.set(task, decision)
 	}
 
-	/** @returns the jobs that have runs decided for a worker and not yet begun. */
+	/** @returns ids of the jobs with a decided run for a worker whose start is not committed yet. */
 	decidedFor(worker: string): string[] {
 		const tasks = [...this.pending].filter(([, decision]) => decision.worker === worker)
 		return tasks.map(([task]) => task.slice(0, task.indexOf('.')))
 	}
 
-	/** A run has begun: its worker is told. */
+	/** Handles the committed start of a run: its worker is ordered to start it. */
 	onStartCommitted(name: TaskName, attempt: number, worker: string): void {
 		const text = formatTaskName(name)
 		const job = this.context.state.jobs.find(name.job)
@@ -189,7 +202,7 @@
 		else this.orders.sendOrder(run)
 	}
 
-	/** A run that was decided will not begin. */
+	/** Handles a decided start that took no effect. */
 	onStartVoided(name: TaskName, attempt: number, worker: string): void {
 		const job = this.context.state.jobs.find(name.job)
 		const decision = this.takeDecision(formatTaskName(name))
@@ -200,7 +213,7 @@
 		if (gang) this.gangs.onStartVoided(name, attempt, count)
 	}
 
-	/** A run has ended: what it had is free. */
+	/** Handles the end of a run: its resources are released. */
 	onEnded(name: TaskName, attempt: number, worker: string, how: RunEnd): void {
 		const text = formatTaskName(name)
 		const run = this.runs.get(text)
@@ -220,14 +233,14 @@
 		if (how !== RunEnd.Done) reportWaste(this.context, run, how)
 	}
 
-	/** The first end of a member of a gang that is planned as a whole tells that the others end soon. */
+	/** Marks the other members of a planned gang as ending: they end soon after the first one has. */
 	private markGangEnding(run: Run): void {
 		const job = this.context.state.jobs.find(run.name.job)
 		if (run.isEnding || !job || !shouldPlanGang({ step: run.step, queue: job.queue })) return
 		for (const member of this.gangs.membersOf(run)) member.isEnding = true
 	}
 
-	/** Stops everything that a job runs. */
+	/** Stops all runs of a job. */
 	stopJob(job: JobRecord): void {
 		for (const { text } of tasksOf(job)) {
 			const run = this.runs.get(text)
@@ -235,14 +248,14 @@
 		}
 	}
 
-	/** Stops the run of a task that an earlier run has done. */
+	/** Stops the run of a task that an earlier run has completed, together with its gang. */
 	stopTask(name: TaskName): void {
 		const run = this.runs.get(formatTaskName(name))
 		if (!run) return
 		for (const one of this.gangs.membersOf(run)) this.requestStop(one, StopReason.NoLongerNeeded)
 	}
 
-	/** Stops a run so that a step of the highest priority finds room; it goes on from its checkpoint later. */
+	/** Stops a run to free capacity for an urgent step. It resumes from its checkpoint later. */
 	preempt(run: Run, step: string): void {
 		const { taskId: task, attempt, worker, percent } = run
 		this.context.log.info(LeaderEvent.RunPreempted, { task, attempt, worker, percent, for: step })
@@ -250,7 +263,7 @@
 		this.requestStop(run, StopReason.Preempted)
 	}
 
-	/** Stops what a leaving worker should not be caught with. */
+	/** Stops the runs that should not be on a leaving worker when it is gone. */
 	stopMovableRuns(view: WorkerView, now: number): void {
 		const { timing } = this.context
 		const soon = view.leavesAt - now < timing.leaveMargin
@@ -260,7 +273,7 @@
 		}
 	}
 
-	/** Sends orders again that got no answer. */
+	/** Repeats unanswered orders, and checks gangs and leaving workers. */
 	tick(now: number): void {
 		for (const run of this.runs.values()) {
 			if (run.isOrderPending || now < run.retryAt) continue
@@ -271,7 +284,7 @@
 		for (const view of this.workers.all()) if (view.draining) this.stopMovableRuns(view, now)
 	}
 
-	/** Compares what a worker lists with what it should run. */
+	/** Handles a poll: compares the runs that a worker lists with those it should have. */
 	onPolled(view: WorkerView, result: PollResult & { kind: 'done' }, sentAt: number): void {
 		const listed = new Set<string>()
 		for (const { task, attempt, checkpoint, percent, measure } of result.running) {
@@ -287,7 +300,7 @@
 			run.progress.read(percent, result.clock, now)
 			run.observedTime.onListed(result.clock)
 			this.clearIfHarmless(run)
-			this.noteAtWork(run)
+			this.recordSeenAtWork(run)
 			if (run.phase === RunPhase.Starting) this.enterPhase(run, RunPhase.Running)
 			this.gangs.onProgress(run)
 		}
@@ -298,28 +311,31 @@
 		for (const run of view.runs.values()) {
 			if (!listed.has(run.taskId)) this.onNotListed(run, sentAt)
 		}
-		this.pacing.adjust(view)
+		this.pacer.adjust(view)
 		this.checkStalls(view)
 	}
 
-	/** Workers that crashed under a lasting task which is at work for long were not its doing. */
+	/** Clears a lasting task that has run for long: it did not cause earlier worker crashes. */
 	private clearIfHarmless(run: Run): void {
 		const { state, proposals } = this.context
-		if (!run.step.lasting || run.observedTime.minimum < HARMLESS_AFTER) return
+		if (!run.step.lasting || run.observedTime.minimum < HARMLESS_AFTER_MS) return
 		if (!state.jobs.locate(run.taskId)?.task.crashed || run.isClearProposed) return
 		run.isClearProposed = true
 		proposals.propose({ kind: 'cleared', tasks: [run.taskId] })
 	}
 
-	/** What a leader has seen of a suspected task outlives it: if the worker crashes under the next leader, the task is not blamed as if it had just begun. */
-	private noteAtWork(run: Run): void {
+	/**
+	 * Records in the replicated state that a suspected task has outlived its startup. If its worker
+	 * crashes under the next leader, the task is not blamed as if it had just started.
+	 */
+	private recordSeenAtWork(run: Run): void {
 		if (!run.isSuspected || run.seenAtWork || !run.observedTime.hasOutlivedStartup) return
 		run.seenAtWork = true
 		const { taskId: task, attempt } = run
 		this.context.proposals.propose({ kind: 'at-work', runs: [{ task, attempt }] })
 	}
 
-	/** A run that its worker lists as ended is not ordered again while that is being committed. */
+	/** Marks a run that its worker lists as ended, so that it is not ordered again until the commit. */
 	private onListedEnded(view: WorkerView, task: string, attempt: number): void {
 		const run = this.runs.get(task)
 		if (!run || run.worker !== view.id || run.attempt !== attempt) return
@@ -327,7 +343,7 @@
 			this.enterPhase(run, RunPhase.Stopped)
 	}
 
-	/** Closes a worker on which runs stand still, and moves those. */
+	/** Checks whether runs stall on a worker, and moves those that do. */
 	private checkStalls(view: WorkerView): void {
 		const now = this.context.clock.now()
 		const { stalls } = this.workers
@@ -340,7 +356,7 @@
 		for (const run of stalls.runsToMove(view)) this.move(run)
 	}
 
-	/** Stops a run so that it goes on elsewhere. */
+	/** Stops a run so that it resumes elsewhere. */
 	private move(run: Run): void {
 		const { taskId: task, attempt, worker, percent } = run
 		this.context.log.info(LeaderEvent.RunMoved, { task, attempt, worker, percent })
@@ -390,11 +406,11 @@
 		run.phase = phase
 		if (phase !== RunPhase.Starting) this.unconfirmed.delete(run)
 		run.phaseSince = this.context.clock.now()
-		if (phase === RunPhase.Running) this.noteConfirmed(run)
+		if (phase === RunPhase.Running) this.onConfirmed(run)
 		run.retryAt = 0
 	}
 
-	private noteConfirmed(run: Run): void {
+	private onConfirmed(run: Run): void {
 		if (run.confirmedAt !== undefined) return
 		run.confirmedAt = run.phaseSince
 		if (run.decidedAt === undefined) return
@@ -412,7 +428,7 @@
 		if (!run.isOrderPending) this.orders.sendOrder(run)
 	}
 
-	/** Gives members of a gang up: what no order can have reached has ended, the others are stopped. */
+	/** Abandons members of a gang: those never ordered to start end at once, the others are stopped. */
 	private abandon(runs: readonly Run[]): void {
 		const unordered = runs.filter(({ isOrdered, isRestored }) => !isOrdered && !isRestored)
 		if (unordered.length > 0) this.proposeEnds(unordered, RunEnd.Refused)
@@ -423,7 +439,7 @@
 
 	private onNotListed(run: Run, sentAt: number): void {
 		if (run.isRestored && run.phase === RunPhase.Starting && (run.needsTicket || run.step.gang)) {
-			// It never began, and no order of an earlier leader is obeyed any more. Its ticket is not known here.
+			// It never started, and orders of earlier leaders are fenced off. Its ticket is unknown here.
 			this.gangs.onMemberFailed(run, GangFailure.NotStarted)
 			this.proposeEnd(run, RunEnd.Refused)
 			return
@@ -452,7 +468,7 @@
 	}
 }
 
-/** Whether another member of a run's gang has done the work of all. */
+/** @returns whether another member of the gang of a run has completed the work of the whole gang. */
 function isGangDone(job: JobRecord, { name }: Run): boolean {
 	return job.repeats[name.repeat][name.step].gangDone === true
 }
--- a/packages/jobs/src/lib/leader/runs/RunOrders.ts
+++ b/packages/jobs/src/lib/leader/runs/RunOrders.ts
@@ -1,4 +1,4 @@
-/** Orders to start and stop runs: whether they may go out, and what their answers mean. */
+/** Sends orders to start and stop runs, checks whether they may be sent, and handles their answers. */
 import { Measure } from '@rillrudder/telemetry'
 import { GangFailure } from '../../gangs/GangAttempt'
 import type { AccountUsage } from '../../accounts/AccountUsage'
@@ -12,48 +12,49 @@
 import { RunPhase, type Run } from './Run'
 import { StopReason } from './WastedWork'
 
-/** Why a run may not be ordered to start. @internal */
+/** Why a run can't be ordered to start now. Values appear in logs. @internal */
 export const StartObstacle = {
-	/** Its account has more running than its quota allows. */
+	/** Its account exceeds its quota. */
 	Quota: 'quota',
-	/** Its worker has more on it than it offers. */
+	/** Its worker is overcommitted. */
 	Capacity: 'room',
-	/** Its worker has not been heard for too long. */
+	/** Its worker has been without heartbeat for too long. */
 	NoHeartbeat: 'unheard',
-	/** Its worker can't be reached, or does not take new work. */
+	/** Its worker is unreachable, or does not accept new work. */
 	Unreachable: 'unreachable',
 } as const
-/** One of the obstacles. @internal */
+/** One of the start obstacles. @internal */
 export type StartObstacle = (typeof StartObstacle)[keyof typeof StartObstacle]
 
-/** Told what becomes of runs by their orders. @internal */
+/** Callbacks for the effects that orders have on runs. @internal */
 export interface OrderHost {
-	/** @returns whether a run is the present one of its task. */
+	/** @returns whether a run is the current one of its task. */
 	isCurrent(run: Run): boolean
-	/** A run is in another phase from now on. */
+	/** Moves a run to another phase. */
 	enterPhase(run: Run, phase: RunPhase): void
+	/** Stops a run. */
 	requestStop(run: Run, reason: StopReason): void
-	/** A run has ended without a word of its worker. */
+	/** Proposes the end of a run that its worker has not reported. */
 	proposeEnd(run: Run, how: RunEnd): void
-	/** A run's worker has confirmed it. */
+	/** A worker has confirmed a run. */
 	onProgress(run: Run): void
-	/** A member of a gang can't begin. */
+	/** A member of a gang can't start. */
 	onGangMemberFailed(run: Run, failure: GangFailure, detail: string): void
-	/** The ticket that a run was started with does not hold. */
+	/** A worker has refused the ticket of a start order. */
 	onTicketRefused(run: Run): void
 }
 
 /**
- * The orders of runs.
+ * Sends the orders of runs.
  *
  * @internal
  */
 export class RunOrders {
 	/**
-	 * @param context - what the parts of the leader share.
-	 * @param workers - the workers as the leader sees them.
-	 * @param accounts - what accounts may have.
-	 * @param host - told what becomes of runs.
+	 * @param context - the context shared by the leader's components.
+	 * @param workers - the leader's view of the workers.
+	 * @param accounts - the usage and quotas of accounts.
+	 * @param host - receives the effects of orders on runs.
 	 */
 	constructor(
 		private readonly context: LeaderContext,
@@ -62,27 +63,27 @@
 		private readonly host: OrderHost
 	) {}
 
-	/** Sends the order of the run's phase. */
+	/** Sends the order that the phase of a run calls for, if its worker can be reached. */
 	sendOrder(run: Run): void {
 		const view = this.workers.find(run.worker)
 		if (!view || view.unreachable || view.givenUp) return
-		// Only a list tells what an earlier leader's orders came to.
+		// Only a poll shows which orders of an earlier leader were carried out.
 		if (!view.listed) return
 		if (run.phase === RunPhase.Starting) this.orderStart(run, view)
 		else this.orderStop(run, view)
 	}
 
-	/** @returns why a run may not be ordered to start now, though its worker can be reached. */
+	/** @returns why a run on a reachable worker can't be ordered to start now; undefined if it can. */
 	private findStartObstacle(run: Run, view: WorkerView): StartObstacle | undefined {
 		const { clock, timing, ledger } = this.context
 		if (!this.accounts.mayGoOn(run.account, run.step)) return StartObstacle.Quota
-		// What was free when this was decided may be gone: a worker's room can shrink while its run is on its way.
+		// The capacity of a worker may have shrunk since the decision.
 		if (ledger.find(run.worker)?.isOver) return StartObstacle.Capacity
-		// So may be that of a worker which an earlier leader chose and this one has not heard yet.
+		// A worker that an earlier leader chose may have less capacity too, until its first heartbeat.
 		return view.silence(clock.now()) >= timing.workerSilent ? StartObstacle.NoHeartbeat : undefined
 	}
 
-	/** @returns why a member of a gang may not be ordered to start now. */
+	/** @returns why a member of a gang can't be ordered to start now; undefined if it can. */
 	startObstacleOf(run: Run): StartObstacle | undefined {
 		const view = this.workers.find(run.worker)
 		if (!view || view.givenUp || view.unreachable || !view.listed) return StartObstacle.Unreachable
@@ -114,7 +115,10 @@
 		)
 	}
 
-	/** A run is not ordered before its worker is heard; it goes elsewhere if that takes longer than a heartbeat should. */
+	/**
+	 * Postpones a start until a heartbeat of its worker arrives, and withdraws it if that takes longer
+	 * than a heartbeat should.
+	 */
 	private awaitHeartbeat(run: Run): void {
 		const { clock, timing } = this.context
 		if (clock.now() - run.phaseSince > timing.workerQuiet)
@@ -122,7 +126,7 @@
 		else run.retryAt = clock.now() + timing.retryPause
 	}
 
-	/** A run that its worker has not confirmed is not begun any more; what an order on its way may begin is stopped. */
+	/** Withdraws an unconfirmed start. A stop order covers a start order that may still arrive. */
 	private withdraw(run: Run, reason: StartObstacle): void {
 		const { taskId: task, attempt, worker, account } = run
 		const { log } = this.context
@@ -166,7 +170,7 @@
 		}
 	}
 
-	/** Sends the order of the run's phase again at once, if it still waits for an answer. */
+	/** Sends the order of a run again at once, if the run still waits for an answer. */
 	private resendOrder(run: Run): void {
 		if (run.phase === RunPhase.Starting || run.phase === RunPhase.Stopping) this.sendOrder(run)
 	}
@@ -184,7 +188,10 @@
 		}
 	}
 
-	/** A run has begun that is to stop already: if its worker crashes meanwhile, that counts as for any other run. */
+	/**
+	 * Stops a run that started after its stop was requested. If its worker crashes meanwhile, the crash
+	 * counts as for any other run.
+	 */
 	private stopStartedRun(run: Run): void {
 		run.confirmedAt ??= this.context.clock.now()
 		this.sendOrder(run)
@@ -208,13 +215,13 @@
 		if (reason === Refusal.Late) return
 		this.host.onGangMemberFailed(run, GangFailure.Refused, reason)
 		if (reason === Refusal.Old) {
-			// Its end is listed, or it was stopped by an order of an earlier leader.
+			// The worker lists its end, or an order of an earlier leader stopped it.
 			this.host.enterPhase(run, RunPhase.Stopped)
 			return
 		}
 		if (reason === Refusal.Ticket) this.host.onTicketRefused(run)
 		if (reason === Refusal.Unhealthy) health.failed(worker, run.name.job, clock.now())
-		// An earlier copy of the order may still be on its way; a stop makes sure that it does nothing.
+		// An earlier copy of the order may still arrive; a stop order makes it ineffective.
 		if (run.isInDoubt) this.host.requestStop(run, StopReason.Withdrawn)
 		else this.host.proposeEnd(run, RunEnd.Refused)
 	}
--- a/packages/jobs/src/lib/leader/runs/RunPacer.ts
+++ b/packages/jobs/src/lib/leader/runs/RunPacer.ts
@@ -1,33 +1,33 @@
 /**
- * Slows best-effort work down where it disturbs work with a latency target, and lets it go on when the
- * tail latency has room again. Slowing down is fast and letting go on is slow, so that the tail stays
- * under its target rather than around it.
+ * Throttles best-effort work on workers where it endangers the latency target of other work, and
+ * speeds it up again once the tail latency is well below that target. It slows down fast and speeds
+ * up slowly, so that the tail latency stays below the target instead of oscillating around it.
  */
 import type { LeaderContext } from '../LeaderContext'
 import { LeaderEvent } from '../LeaderEvent'
 import { RunPhase, type Run } from './Run'
 import type { WorkerView } from '../workers/WorkerView'
 
-/** Share of the target above which best-effort work is slowed down. */
-const TOO_NEAR = 0.85
-/** Share of the target below which it may go faster. */
-const ROOM = 0.6
-/** What the pace is multiplied by to slow down. */
-const SLOW_DOWN = 0.4
-/** Percent below which it is stopped instead of slowed further. */
-const LEAST_PACE = 10
-/** Percent added to go faster. */
-const SPEED_UP = 15
+/** Tail latency, as a share of the target, above which best-effort work is slowed down. */
+const SLOW_DOWN_ABOVE = 0.85
+/** Tail latency, as a share of the target, below which best-effort work is sped up. */
+const SPEED_UP_BELOW = 0.6
+/** Factor that the pace is multiplied by to slow down. */
+const SLOW_DOWN_FACTOR = 0.4
+/** Pace in percent below which the work is paused instead of slowed down further. */
+const MIN_PACE_PERCENT = 10
+/** Percentage points that are added to the pace to speed up. */
+const SPEED_UP_PERCENT = 15
 
 /**
- * Paces the best-effort runs of a worker.
+ * Sets the pace of the best-effort runs of a worker.
  *
  * @internal
  */
 export class RunPacer {
 	constructor(private readonly context: LeaderContext) {}
 
-	/** Sets the pace after a poll of a worker. */
+	/** Adjusts the pace after a poll of the worker. */
 	adjust(view: WorkerView): void {
 		const runs = [...view.runs.values()].filter((run) => run.phase === RunPhase.Running)
 		const bestEffort = runs.filter((run) => run.step.bestEffort)
@@ -47,17 +47,17 @@
 		run.pace = percent
 		log.info(LeaderEvent.RunPaced, { task, worker: view.id, percent, pressure })
 		orders.pace(view.worker, { task, attempt, percent, fence: view.fence }, (result) => {
-			// What was not heard of is decided anew after the next poll.
+			// An order that was not carried out is decided again after the next poll.
 			if (result.kind !== 'done') run.pace = before
 		})
 	}
 }
 
 function nextPace(pace: number, pressure: number): number {
-	if (pressure > TOO_NEAR) {
-		const slower = Math.floor(pace * SLOW_DOWN)
-		return slower < LEAST_PACE ? 0 : slower
+	if (pressure > SLOW_DOWN_ABOVE) {
+		const slower = Math.floor(pace * SLOW_DOWN_FACTOR)
+		return slower < MIN_PACE_PERCENT ? 0 : slower
 	}
-	if (pressure < ROOM) return Math.min(100, pace + SPEED_UP)
+	if (pressure < SPEED_UP_BELOW) return Math.min(100, pace + SPEED_UP_PERCENT)
 	return pace
 }
--- a/packages/jobs/src/lib/leader/runs/StartDelays.test.ts
+++ b/packages/jobs/src/lib/leader/runs/StartDelays.test.ts
@@ -1,10 +1,10 @@
-/** What starts tell of a cell. */
+/** Tests the median start delay, by which an overloaded cell is detected. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import { StartDelays } from './StartDelays'
 
 const PERIOD = 250
-const nothing = (): number[] => []
+const noAges = (): number[] => []
 
 function delaysOf(...confirmed: number[]): StartDelays {
 	const delays = new StartDelays(0)
@@ -12,14 +12,14 @@
 	return delays
 }
 
-test('half of the starts of a period took so long, and the next one begins anew', () => {
+test('the upper median of a period is returned, and the next period starts empty', () => {
 	const delays = delaysOf(...Array.from({ length: 20 }, (_, start) => 40 + start))
-	assert.equal(delays.takeMedian(PERIOD - 1, nothing), undefined)
-	assert.equal(delays.takeMedian(PERIOD, nothing), 50)
-	assert.equal(delays.takeMedian(PERIOD * 2, nothing), 0)
+	assert.equal(delays.takeMedian(PERIOD - 1, noAges), undefined)
+	assert.equal(delays.takeMedian(PERIOD, noAges), 50)
+	assert.equal(delays.takeMedian(PERIOD * 2, noAges), 0)
 })
 
-test('starts that no worker has confirmed count by their age: a cell that has stopped is behind', () => {
+test('unconfirmed starts count by their age, so that a stalled cell counts as overloaded', () => {
 	const ages = Array<number>(40).fill(3000)
 	assert.equal(
 		delaysOf(60, 60, 60).takeMedian(PERIOD, () => ages),
@@ -27,7 +27,7 @@
 	)
 })
 
-test('a third of the workers that is cut off says nothing of the others', () => {
+test('starts on an unreachable third of the workers do not change the median', () => {
 	const cut = Array<number>(10).fill(4000)
 	assert.equal(
 		delaysOf(...Array<number>(20).fill(60)).takeMedian(PERIOD, () => cut),
@@ -35,6 +35,6 @@
 	)
 })
 
-test('a few starts tell nothing', () => {
-	assert.equal(delaysOf(4000, 4000, 4000).takeMedian(PERIOD, nothing), 0)
+test('a period with few starts returns 0', () => {
+	assert.equal(delaysOf(4000, 4000, 4000).takeMedian(PERIOD, noAges), 0)
 })
--- a/packages/jobs/src/lib/leader/runs/StartDelays.ts
+++ b/packages/jobs/src/lib/leader/runs/StartDelays.ts
@@ -1,12 +1,15 @@
-/** How long starts take from their decision to their worker's confirmation, told for each period: what shows first that a cell is behind. */
+/**
+ * Measures the delay from the decision to start a run to its worker's confirmation. Rising delays are
+ * the first sign that a cell is overloaded.
+ */
 
-/** Milliseconds over which starts are judged. */
-const PERIOD = 250
-/** Starts in a period from which they tell of the cell, and not of one worker or gang. */
-const LEAST_STARTS = 10
+/** Length of one measuring period in milliseconds. */
+const PERIOD_MS = 250
+/** Starts needed in a period, so that its median reflects the cell and not one worker or gang. */
+const MIN_STARTS = 10
 
 /**
- * The delays of starts.
+ * The start delays of the current period.
  *
  * @internal
  */
@@ -14,29 +17,31 @@
 	private delays: number[] = []
 	private since: number
 
-	/** @param now - when the first period begins, on the leader's clock. */
+	/** @param now - the start of the first period, on the leader's clock. */
 	constructor(now: number) {
 		this.since = now
 	}
 
-	/** A worker has confirmed a start. @param delay - milliseconds since it was decided. */
+	/** Records a start that a worker has confirmed. @param delay - milliseconds since its decision. */
 	record(delay: number): void {
 		this.delays.push(delay)
 	}
 
 	/**
-	 * Ends the period, if it is over.
+	 * Ends the period once its time is over.
 	 *
-	 * @param now - the moment, on the leader's clock.
-	 * @param awaited - milliseconds since each start was decided that no worker has confirmed yet: they will have taken longer.
-	 * @returns the milliseconds that half of the starts took at least, 0 where there were too few to tell; undefined while the period goes on.
+	 * @param now - the current time, on the leader's clock.
+	 * @param awaited - ages in milliseconds of the starts that no worker has confirmed yet; they count
+	 * too, as lower bounds of their delays.
+	 * @returns the upper median of the delays in milliseconds, 0 if there were too few starts;
+	 * undefined while the period lasts.
 	 */
 	takeMedian(now: number, awaited: () => Iterable<number>): number | undefined {
-		if (now - this.since < PERIOD) return undefined
+		if (now - this.since < PERIOD_MS) return undefined
 		this.since = now
 		const delays = [...this.delays, ...awaited()]
 		this.delays = []
-		return delays.length < LEAST_STARTS ? 0 : upperMedianOf(delays)
+		return delays.length < MIN_STARTS ? 0 : upperMedianOf(delays)
 	}
 }
 
--- a/packages/jobs/src/lib/leader/runs/SuspectRuns.ts
+++ b/packages/jobs/src/lib/leader/runs/SuspectRuns.ts
@@ -1,7 +1,7 @@
 /**
- * Runs that take room which the ledger does not count: given up although they may still be there or may yet
- * begin by a late order, or found on a worker that should not have them. The worker is told to stop them,
- * and gets nothing new before it has.
+ * Runs that may use resources which the ledger does not count: abandoned runs that may still be
+ * running or may yet be started by a late order, and runs found on a worker that should not have
+ * them. The worker is ordered to stop them, and gets no new work until it has.
  */
 import type { LeaderContext } from '../LeaderContext'
 import type { ListedRun } from '../ports'
@@ -9,23 +9,23 @@
 import type { SuspectRun, WorkerView } from '../workers/WorkerView'
 
 /**
- * Settles what suspect workers still run.
+ * Tracks suspect runs and orders their workers to stop them.
  *
  * @internal
  */
 export class SuspectRuns {
 	/**
-	 * @param context - what the parts of the leader share.
-	 * @param accounts - where what they take counts until they are gone.
-	 * @param unanswered - told of a stop that got no answer.
+	 * @param context - the context shared by the leader's components.
+	 * @param accounts - quota accounts that suspect runs count against until they are gone.
+	 * @param onUnanswered - callback for a stop order that got no answer.
 	 */
 	constructor(
 		private readonly context: LeaderContext,
 		private readonly accounts: AccountUsage,
-		private readonly unanswered: (view: WorkerView, message: string, sentAt: number) => void
+		private readonly onUnanswered: (view: WorkerView, message: string, sentAt: number) => void
 	) {}
 
-	/** A worker has, or may have, a run that it should not have. */
+	/** Adds a run that a worker has, or may have, although it should not. */
 	add(view: WorkerView, task: string, attempt: number): void {
 		const known = view.suspects.get(task)
 		if (known && known.attempt >= attempt) return
@@ -34,7 +34,10 @@
 		view.suspects.set(task, { attempt, counted, busy: false })
 	}
 
-	/** Once a stop is acknowledged, neither the run nor a late order to start it can take room. */
+	/**
+	 * Orders a worker to stop its suspect runs. After the acknowledgement neither the run nor a late
+	 * order to start it can use resources.
+	 */
 	stopAll(view: WorkerView): void {
 		const { orders, clock } = this.context
 		const { fence } = view
@@ -45,13 +48,13 @@
 			const sentAt = clock.now()
 			orders.stop(view.worker, { task, attempt: suspect.attempt, fence }, (result) => {
 				suspect.busy = false
-				if (result.kind === 'unknown') this.unanswered(view, result.message, sentAt)
+				if (result.kind === 'unknown') this.onUnanswered(view, result.message, sentAt)
 				else if (result.kind !== 'not-carried') suspect.stoppedAt = clock.now()
 			})
 		}
 	}
 
-	/** A run is suspect no more when a poll that was sent after the stop does not list the run. */
+	/** Removes the runs that a poll does not list which was sent after their stop was acknowledged. */
 	removeStopped(view: WorkerView, running: readonly ListedRun[], sentAt: number): void {
 		if (view.suspects.size === 0) return
 		const listed = new Set(running.map((run) => run.task))
@@ -64,7 +67,7 @@
 		}
 	}
 
-	/** Its worker has ended, or its lease is certainly over: none of its runs goes on. */
+	/** Removes all suspect runs of a worker that has ended or whose lease has certainly expired. */
 	clear(view: WorkerView): void {
 		for (const suspect of view.suspects.values()) uncount(suspect)
 		view.suspects.clear()
--- a/packages/jobs/src/lib/leader/runs/WastedWork.test.ts
+++ b/packages/jobs/src/lib/leader/runs/WastedWork.test.ts
@@ -1,4 +1,4 @@
-/** Work that is thrown away is told by its cause, in processor seconds, when its run ends. */
+/** Tests that wasted work is logged and counted by cause, in processor seconds, when a run ends. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import { LeaderSubject } from '../../testing/LeaderSubject'
@@ -26,8 +26,8 @@
 	return Number(line?.split(' ').at(-1))
 }
 
-/** A task of two processors at work for three seconds on a worker. */
-function atWork(step: object = {}): LeaderSubject {
+/** @returns a leader whose worker has run a task of two processors for three seconds. */
+function subjectWithRun(step: object = {}): LeaderSubject {
 	const subject = new LeaderSubject()
 	subject.heartbeat('w1')
 	subject.submit(JOB, jobOf({ need: TWO_PROCESSORS, ...step }))
@@ -35,8 +35,8 @@
 	return subject
 }
 
-test('work of a job that its caller cancels counts whole, whatever its checkpoint', async () => {
-	const subject = atWork({ checkpoints: true })
+test('all work of a cancelled job counts as wasted, whatever its checkpoint', async () => {
+	const subject = subjectWithRun({ checkpoints: true })
 	subject.worker('w1').running[0] = { ...subject.worker('w1').running[0], checkpoint: 'c1' }
 	subject.run(1000, 'w1')
 	subject.call({ kind: 'cancel', to: { id: JOB } })
@@ -48,8 +48,8 @@
 	assert.ok(Math.abs((await counted(subject, 'cancelled')) - wasted) < 0.1)
 })
 
-test('of a run that fails only what came after its newest checkpoint counts', () => {
-	const subject = atWork({ checkpoints: true })
+test('for a run that fails only the work after its newest checkpoint counts', () => {
+	const subject = subjectWithRun({ checkpoints: true })
 	const [run] = subject.worker('w1').running
 	subject.worker('w1').running[0] = { ...run, checkpoint: 'c1' }
 	subject.run(1000, 'w1')
@@ -60,8 +60,8 @@
 	assert.ok(wasted > 1 && wasted < 3.5, `${wasted}`)
 })
 
-test('a gang tells the member that failed from those that it broke', () => {
-	const subject = atWork({ gang: true, count: 2, need: { ...TWO_PROCESSORS, cpu: 1000 } })
+test('a gang distinguishes the member that failed from those that ended because of it', () => {
+	const subject = subjectWithRun({ gang: true, count: 2, need: { ...TWO_PROCESSORS, cpu: 1000 } })
 	subject.worker('w1').end(`${JOB}.0.0.0`, 'failed')
 	subject.worker('w1').end(`${JOB}.0.0.1`, 'broken')
 	subject.run(500, 'w1')
@@ -71,8 +71,8 @@
 	)
 })
 
-test('a run that is stopped as its worker leaves is told by that, and lasting work throws nothing away', () => {
-	const subject = atWork({ lasting: true })
+test('a lasting run that is stopped because its worker leaves has that cause and wastes nothing', () => {
+	const subject = subjectWithRun({ lasting: true })
 	subject.heartbeat('w1', {}, true, 20_000)
 	subject.run(1000, 'w1')
 	const [{ cause, wasted }] = endsOf(subject)
@@ -80,8 +80,8 @@
 	assert.equal(wasted, 0)
 })
 
-test('a run whose worker falls silent for good is lost', () => {
-	const subject = atWork()
+test('a run whose worker becomes unreachable for good is lost', () => {
+	const subject = subjectWithRun()
 	subject.worker('w1').silent = true
 	subject.run(12_000)
 	const [{ cause, wasted }] = endsOf(subject)
--- a/packages/jobs/src/lib/leader/runs/WastedWork.ts
+++ b/packages/jobs/src/lib/leader/runs/WastedWork.ts
@@ -1,43 +1,43 @@
-/** Work that is thrown away: how much of a run's work is lost when it ends otherwise than done, and why. */
+/** Wasted work: how much work is lost when a run ends without completing its task, and why. */
 import { JobState, RunEnd } from '../../records/Job'
 import { isActive, TaskStatus } from '../../state/JobRecord'
 import type { TaskPlace } from '../../state/JobTable'
 import type { Run } from './Run'
 
-/** Why the leader stops a run. @internal */
+/** Why the leader stops a run. Values appear in logs. @internal */
 export const StopReason = {
-	/** Its job has ended, or an earlier run has done its task. */
+	/** Its job has ended, or an earlier run has completed its task. */
 	NoLongerNeeded: 'over',
-	/** To make room for urgent work. */
+	/** It makes room for urgent work. */
 	Preempted: 'preempted',
 	/** Its worker is leaving. */
 	Leaving: 'leaving',
-	/** It stood still. */
+	/** It stalled. */
 	Moved: 'moved',
-	/** It was not begun after all. */
+	/** Its start was withdrawn. */
 	Withdrawn: 'withdrawn',
 } as const
-/** One of the reasons. @internal */
+/** One of the stop reasons. @internal */
 export type StopReason = (typeof StopReason)[keyof typeof StopReason]
 
-/** Why work was thrown away. @internal */
+/** Why work was wasted. @internal */
 export const WasteCause = {
-	/** The caller has cancelled the job. */
+	/** The client cancelled the job. */
 	Cancelled: 'cancelled',
-	/** The job has failed by another task. */
+	/** Another task failed the job. */
 	JobFailed: 'job-failed',
-	/** Another run has done the task. */
+	/** Another run completed the task. */
 	Superseded: 'superseded',
 	Failed: 'failed',
 	/** Another member of the gang has ended. */
 	Broken: 'broken',
-	/** It waited in vain for the other members of its gang. */
+	/** The other members of its gang did not arrive in time. */
 	Alone: 'alone',
 	Preempted: 'preempted',
 	Leaving: 'leaving',
 	Moved: 'moved',
 	Withdrawn: 'withdrawn',
-	/** Its worker refused it, or stopped it for a reason that is not known here. */
+	/** Its worker refused it, or stopped it for a reason that the leader does not know. */
 	Refused: 'refused',
 	Lapsed: 'lapsed',
 	Lost: 'lost',
@@ -61,14 +61,14 @@
 	[RunEnd.Lost]: WasteCause.Lost,
 }
 
-/** Milliseconds of thousandths of a processor in a second of a whole one. */
+/** Milliseconds times thousandths of a core in one processor second. */
 const MILLI_PER_SECOND = 1e6
 
 /**
- * @param run - a run that has ended, not as done.
+ * @param run - a run that ended without completing its task.
  * @param how - how it ended.
- * @param place - its task, as it is after that end.
- * @returns why its work was thrown away.
+ * @param place - its job and its task, after that end.
+ * @returns why its work was wasted.
  * @internal
  */
 export function wasteCauseOf(
@@ -85,13 +85,14 @@
 }
 
 /**
- * What a checkpoint keeps counts up to when it was first listed; of a job that has ended nothing is of use. Lasting runs throw nothing away:
- * they have no end to work towards.
+ * Computes the work that a run has wasted. Work up to the time when its newest checkpoint was first
+ * listed is kept if the task runs again; if its job has ended, all of it is wasted. Lasting runs waste
+ * nothing, since they have no end to work towards.
  *
- * @param run - a run that has ended, not as done.
- * @param goesOn - whether its task will begin again.
- * @param now - the moment, on the leader's clock.
- * @returns processor seconds that were reserved for work which is lost.
+ * @param run - a run that ended without completing its task.
+ * @param goesOn - whether its task will run again.
+ * @param now - the current time, on the leader's clock.
+ * @returns processor seconds that were reserved for the lost work.
  * @internal
  */
 export function wastedProcessorSecondsOf(run: Run, goesOn: boolean, now: number): number {
--- a/packages/jobs/src/lib/leader/runs/createRun.ts
+++ b/packages/jobs/src/lib/leader/runs/createRun.ts
@@ -1,9 +1,9 @@
-/** A run as it is before its worker has been told of it. */
+/** Creates runs in their initial state, before their worker is ordered to start them. */
 import { RunProgress } from '../../placement/RunProgress'
 import { RunPhase, type Run } from './Run'
 import { ObservedRunTime } from './ObservedRunTime'
 
-/** What tells one run from others. @internal */
+/** The properties that are set when a run is created. @internal */
 export type RunOrigin = Pick<
 	Run,
 	| 'taskId'
@@ -24,9 +24,9 @@
 >
 
 /**
- * @param now - the moment, on the leader's clock.
- * @param speed - of its worker, as a share of the median worker's.
- * @returns the run.
+ * @param now - the current time, on the leader's clock.
+ * @param speed - speed of its worker, as a share of the median worker's.
+ * @returns a run in its initial state.
  * @internal
  */
 export function createRun(origin: RunOrigin, now: number, speed = 1): Run {
--- a/packages/jobs/src/lib/leader/runs/gangAttempt.test.ts
+++ b/packages/jobs/src/lib/leader/runs/gangAttempt.test.ts
@@ -1,4 +1,4 @@
-/** A gang begins whole or not at all, whatever keeps a member from beginning. */
+/** Tests that a gang starts as a whole or not at all, whatever prevents a member from starting. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import { LeaderSubject } from '../../testing/LeaderSubject'
@@ -10,18 +10,18 @@
 const ID = '00000000000000aa'
 const WORKERS = ['w1', 'w2', 'w3']
 const OTHERS = ['w1', 'w3']
-/** One member takes a whole worker. */
+/** Each member takes a whole worker. */
 const GANG = { count: 3, gang: true, need: { cpu: 4000, memory: 512, accelerators: 0 } }
-/** Milliseconds after which a member still waits on its worker, by far. */
-const SOON = 600
-/** Milliseconds of a call without an answer, and of the next one, beyond `SOON`. */
-const UNANSWERED = 500
+/** Milliseconds after which started members are still waiting for the others, with a wide margin. */
+const SHORT_WAIT_MS = 600
+/** Milliseconds that an unanswered call and its repetition take beyond `SHORT_WAIT_MS`. */
+const UNANSWERED_CALL_MS = 500
 
 function refused(reason: Refusal): OrderResult {
 	return { kind: 'refused', reason }
 }
 
-/** Three workers on which members wait until all are there. */
+/** @returns a leader with three workers on which members wait for each other without progress. */
 function threeWorkers(): LeaderSubject {
 	const subject = new LeaderSubject()
 	for (const id of WORKERS) {
@@ -31,33 +31,33 @@
 	return subject
 }
 
-/** @returns the workers that were told to stop their members of the first attempt. */
+/** @returns the workers that were ordered to stop their members of the first attempt. */
 function stopped(subject: LeaderSubject): string[] {
 	const isFirst = ({ attempt }: { readonly attempt: number }): boolean => attempt === 1
 	return WORKERS.filter((id) => subject.worker(id).stops.some(isFirst))
 }
 
-/** @returns the workers that were told to start members of an attempt. */
+/** @returns the workers that were ordered to start members of an attempt. */
 function started(subject: LeaderSubject, attempt: number): string[] {
 	return WORKERS.filter((id) =>
 		subject.worker(id).starts.some((start) => start.attempt === attempt)
 	)
 }
 
-// Guards against gangs that begin in part: those that had begun waited for the one that was refused.
+// Guards against partly started gangs: the started members kept waiting for the one that was refused.
 test('the other members of a gang are stopped at once when the start of one is refused', () => {
 	const subject = threeWorkers()
 	subject.worker('w2').startResults = [refused(Refusal.Ticket)]
 	subject.submit(ID, jobOf(GANG))
-	subject.run(SOON, ...WORKERS)
+	subject.run(SHORT_WAIT_MS, ...WORKERS)
 	assert.deepEqual(stopped(subject), OTHERS)
 })
 
 interface Row {
 	readonly what: string
-	/** What becomes of the start of the member at the second worker. */
+	/** Results of the start orders to the second worker. */
 	readonly results: OrderResult[]
-	/** Milliseconds beyond `SOON` until the others have to be stopped. */
+	/** Milliseconds beyond `SHORT_WAIT_MS` by which the others must be stopped. */
 	readonly later?: number
 }
 
@@ -68,26 +68,26 @@
 	{
 		what: 'is not answered, and is refused when it is sent again',
 		results: [{ kind: 'unknown', message: 'no answer' }, refused(Refusal.Ticket)],
-		later: UNANSWERED,
+		later: UNANSWERED_CALL_MS,
 	},
 	{
-		what: 'is not carried, and is refused when it is sent again',
+		what: 'is not delivered, and is refused when it is sent again',
 		results: [{ kind: 'not-carried' }, refused(Refusal.Unhealthy)],
 	},
 	{ what: 'reaches another incarnation', results: [{ kind: 'other-incarnation' }] },
 	{
 		what: 'is refused as late again and again',
 		results: Array<OrderResult>(30).fill(refused(Refusal.Late)),
-		later: DEFAULT_LEADER_TIMING.gangWait - SOON - UNANSWERED,
+		later: DEFAULT_LEADER_TIMING.gangWait - SHORT_WAIT_MS - UNANSWERED_CALL_MS,
 	},
 ]
 
 for (const { what, results, later = 0 } of NOT_STARTED) {
-	test(`where the start of a member ${what}, the others are stopped before their workers give them up`, () => {
+	test(`if the start of a member ${what}, the others are stopped before their workers abandon them`, () => {
 		const subject = threeWorkers()
 		subject.worker('w2').startResults = [...results]
 		subject.submit(ID, jobOf(GANG))
-		subject.run(SOON + later, ...WORKERS)
+		subject.run(SHORT_WAIT_MS + later, ...WORKERS)
 		assert.deepEqual(
 			stopped(subject).filter((id) => OTHERS.includes(id)),
 			OTHERS
@@ -95,7 +95,7 @@
 	})
 }
 
-test('the next attempt begins once the last member of the one before has ended', () => {
+test('the next attempt starts once the last member of the previous one has ended', () => {
 	const subject = threeWorkers()
 	subject.worker('w2').startResults = [refused(Refusal.Ticket)]
 	subject.submit(ID, jobOf(GANG))
@@ -104,7 +104,7 @@
 	assert.equal(WORKERS.flatMap((id) => subject.worker(id).running).length, GANG.count)
 })
 
-test('a member whose worker says nothing holds the others up no longer than they may wait', () => {
+test('a member on an unresponsive worker delays the others no longer than they may wait', () => {
 	const subject = threeWorkers()
 	subject.worker('w2').silent = true
 	subject.submit(ID, jobOf(GANG))
@@ -112,21 +112,21 @@
 	assert.deepEqual(stopped(subject), OTHERS)
 })
 
-test('a gang of which one worker has ended since it was decided does not begin', () => {
+test('a gang does not start if one of its workers has ended since the decision', () => {
 	const subject = threeWorkers()
 	subject.proposals.held = true
 	subject.submit(ID, jobOf(GANG))
 	subject.run(40)
 	subject.worker('w2').replaced = true
 	subject.proposals.held = false
-	// The end of the worker comes to the log before the gang.
+	// The end of the worker is committed before the start of the gang.
 	subject.state.workers.leave('w2')
 	subject.proposals.commit()
-	subject.run(SOON, ...OTHERS)
+	subject.run(SHORT_WAIT_MS, ...OTHERS)
 	assert.deepEqual(started(subject, 1), [])
 })
 
-test('a member that was beside its worker when the leader changed is given up with the others', () => {
+test('a member that had not reached its worker when the leader changed is abandoned with the others', () => {
 	const subject = threeWorkers()
 	const lost: OrderResult = { kind: 'unknown', message: 'no answer' }
 	subject.worker('w2').startResults = Array<OrderResult>(30).fill(lost)
@@ -134,7 +134,7 @@
 	subject.run(100, ...WORKERS)
 	subject.worker('w2').startResults = []
 	subject.lead()
-	subject.run(SOON, ...WORKERS)
+	subject.run(SHORT_WAIT_MS, ...WORKERS)
 	assert.deepEqual(
 		stopped(subject).filter((id) => OTHERS.includes(id)),
 		OTHERS
@@ -142,18 +142,18 @@
 	assert.deepEqual(started(subject, 2), WORKERS)
 })
 
-test('a gang at work is left alone by the next leader', () => {
+test('the next leader does not touch a running gang', () => {
 	const subject = threeWorkers()
 	subject.submit(ID, jobOf(GANG))
 	for (const id of WORKERS) subject.worker(id).pace = 3
 	subject.run(2000, ...WORKERS)
 	subject.lead()
-	subject.run(DEFAULT_LEADER_TIMING.gangWait + SOON, ...WORKERS)
+	subject.run(DEFAULT_LEADER_TIMING.gangWait + SHORT_WAIT_MS, ...WORKERS)
 	assert.deepEqual(stopped(subject), [])
 	assert.deepEqual(started(subject, 2), [])
 })
 
-test('the end of a member that was there stops the one whose start is under way', () => {
+test('the end of a started member stops the one whose start is in progress', () => {
 	const subject = threeWorkers()
 	subject.worker('w2').silent = true
 	subject.submit(ID, jobOf(GANG))
@@ -164,11 +164,11 @@
 	assert.ok(stopped(subject).includes('w2'))
 })
 
-test('a line tells which member kept a gang from beginning, and for how long the others had gathered', () => {
+test('a log line names the member that kept a gang from starting', () => {
 	const subject = threeWorkers()
 	subject.worker('w2').startResults = [refused(Refusal.Room)]
 	subject.submit(ID, jobOf(GANG))
-	subject.run(SOON, ...WORKERS)
+	subject.run(SHORT_WAIT_MS, ...WORKERS)
 	const lines = subject.lines.filter((line) => line.includes(`"${LeaderEvent.GangGivenUp}"`))
 	assert.equal(lines.length, 1)
 	const { reason, detail, worker, members } = JSON.parse(lines[0]) as Record<string, unknown>
--- a/packages/jobs/src/lib/leader/runs/isWorkerSpeedSample.ts
+++ b/packages/jobs/src/lib/leader/runs/isWorkerSpeedSample.ts
@@ -1,18 +1,20 @@
-/** Which runs tell by their progress how their worker gets on. */
+/** Selects the runs whose progress reflects the speed of their worker. */
 import { RunPhase, type Run } from './Run'
 
-/** Percent of a run that has done its work and is about to end. */
-const ALL_DONE = 100
-/** Percent of a worker's speed that a run which is not paced works at. */
-const FULL_PACE = 100
+/** Progress in percent of a run that has done its work and is about to end. */
+const COMPLETED_PERCENT = 100
+/** Pace in percent of a run that is not throttled. */
+const FULL_PACE_PERCENT = 100
 
 /**
- * Whether a run's progress tells of its worker: not that of one which was slowed down, or has done all its work, and not a
- * gang's member, which waits for the others before its work and after.
+ * Runs that are throttled or have done all their work don't count, nor do members of a gang, which
+ * wait for the other members before and after their work.
  *
+ * @returns whether the progress of a run reflects the speed of its worker.
  * @internal
  */
 export function isWorkerSpeedSample({ phase, step, pace, percent }: Run): boolean {
-	if (phase !== RunPhase.Running || pace < FULL_PACE || percent >= ALL_DONE) return false
+	if (phase !== RunPhase.Running || pace < FULL_PACE_PERCENT || percent >= COMPLETED_PERCENT)
+		return false
 	return !step.lasting && !step.bestEffort && !step.gang && step.expectedTime > 0
 }
--- a/packages/jobs/src/lib/leader/runs/reportWaste.ts
+++ b/packages/jobs/src/lib/leader/runs/reportWaste.ts
@@ -1,4 +1,4 @@
-/** Tells, by a line and a counter, what was thrown away with a run. */
+/** Logs and counts the work that was lost with a run. */
 import { Measure } from '@rillrudder/telemetry'
 import type { RunEnd } from '../../records/Job'
 import { isActive } from '../../state/JobRecord'
@@ -8,8 +8,8 @@
 import { wasteCauseOf, wastedProcessorSecondsOf } from './WastedWork'
 
 /**
- * @param context - what the parts of the leader share.
- * @param run - a run that has ended, not as done.
+ * @param context - the context shared by the leader's components.
+ * @param run - a run that ended without completing its task.
  * @param how - how it ended.
  * @internal
  */
--- a/packages/jobs/src/lib/leader/runs/toCommandEnds.ts
+++ b/packages/jobs/src/lib/leader/runs/toCommandEnds.ts
@@ -1,8 +1,11 @@
-/** Turns ends as workers list them into ends as they are committed. */
+/** Converts ends that a worker lists into ends of a command. */
 import type { End } from '../../commands/CellCommand'
 import type { ListedEnd } from '../ports'
 
-/** @returns the ends, without the numbers that only their worker's life gives a meaning. @internal */
+/**
+ * @returns the ends without their numbers, which are only valid within one incarnation of the worker.
+ * @internal
+ */
 export function toCommandEnds(listed: readonly ListedEnd[]): End[] {
 	return listed.map(({ task, attempt, how, checkpoint }) => ({ task, attempt, how, checkpoint }))
 }
