--- a/packages/jobs/src/lib/gangs/GangAttempt.ts
+++ b/packages/jobs/src/lib/gangs/GangAttempt.ts
@@ -1,52 +1,58 @@
 /**
- * One attempt to begin a gang. Its members wait on their workers until all of them are there, so what keeps one of them
- * from beginning ends the attempt for all.
+ * One attempt to start a gang. Its members wait on their workers until all of them have started, so
+ * whatever prevents one member from starting ends the attempt for all.
  */
 import type { Run } from '../leader/runs/Run'
 
-/** Why an attempt ended before all members were there. @internal */
+/**
+ * Why an attempt failed before all members had started. Values appear in logs and metrics.
+ *
+ * @internal
+ */
 export const GangFailure = {
-	/** A member can't be ordered now. */
+	/** A member can't be ordered to start now. */
 	Blocked: 'blocked',
-	/** A member's worker has refused its start. */
+	/** A worker has refused the start of a member. */
 	Refused: 'refused',
-	/** The beginning of a member has not taken effect. */
+	/** The start of a member was committed without effect. */
 	Void: 'void',
-	/** An earlier leader had not brought a member to its worker. */
+	/** A member that an earlier leader decided had not reached its worker. */
 	NotStarted: 'not-begun',
-	/** A member has ended, or its worker has. */
+	/** A member or its worker has ended. */
 	Ended: 'ended',
-	/** A member is stopped for a reason of its own. */
+	/** A member is stopped for another reason, such as preemption. */
 	Stopped: 'stopped',
-	/** Members were not confirmed in time. */
+	/** Not all members were confirmed in time. */
 	Late: 'late',
 } as const
 /** One of the failures. @internal */
 export type GangFailure = (typeof GangFailure)[keyof typeof GangFailure]
 
 /**
- * One attempt of a gang, under one attempt number of all its members.
+ * One attempt of a gang. All its members have the same attempt number.
  *
  * @internal
  */
 export class GangAttempt {
-	/** Members that have begun and not ended, by their tasks. */
+	/** Members whose start is committed and that have not ended, by task. */
 	private readonly members = new Map<string, Run>()
 	private startedCount = 0
 	private voidedCount = 0
-	/** Whether no further member can begin under its number. */
+	/** Whether no further member can start under its number. */
 	private isClosed = false
-	/** Whether all members have been there at one time: from then on the end of one ends the others at their workers. */
+	/** Whether all members were running at one time. From then on the workers end them together. */
 	private isComplete = false
-	/** When its members were ordered to start, or were taken up from an earlier leader; on the leader's clock. */
+	/**
+	 * When its members were ordered to start, or restored by this leader, on the leader's clock.
+	 */
 	orderedAt: number | undefined
-	/** Why it was given up; undefined while it was not. */
+	/** Why it was abandoned; undefined if it was not. */
 	failure: GangFailure | undefined
 
 	/**
-	 * @param step - name of the gang's step.
-	 * @param number - attempt number of its members.
-	 * @param size - how many members the gang has.
+	 * @param step - the name of the gang's step.
+	 * @param number - the attempt number of its members.
+	 * @param size - the number of members of the gang.
 	 */
 	constructor(
 		readonly step: string,
@@ -54,22 +60,22 @@
 		readonly size: number
 	) {}
 
-	/** Members that have begun and not ended. */
+	/** Members whose start is committed and that have not ended. */
 	get activeMembers(): readonly Run[] {
 		return [...this.members.values()]
 	}
 
-	/** Whether the beginning of every member is committed, and none has ended. */
+	/** Whether the start of every member is committed and none has ended. */
 	get isCommitted(): boolean {
 		return this.startedCount === this.size && this.members.size === this.size
 	}
 
-	/** Whether it was neither given up nor whole so far. */
+	/** Whether its members are still gathering: it was neither abandoned nor complete so far. */
 	get isGathering(): boolean {
 		return !this.isComplete && this.failure === undefined
 	}
 
-	/** Whether nothing of it is left. */
+	/** Whether all its members have ended and no further one can start. */
 	get isOver(): boolean {
 		return (
 			this.members.size === 0 &&
@@ -82,31 +88,38 @@
 		return this.activeMembers.filter(({ confirmedAt }) => confirmedAt === undefined)
 	}
 
-	/** The beginning of a member is committed. */
+	/** Adds a member whose start is committed. */
 	add(run: Run): void {
 		this.members.set(run.taskId, run)
 		this.startedCount += 1
 	}
 
-	/** The beginning of a member did not take effect. */
+	/** Counts a member whose start was committed without effect. */
 	addVoid(): void {
 		this.voidedCount += 1
 	}
 
-	/** No further member begins under its number: an earlier leader decided it, and what that had begun is known. */
+	/**
+	 * Excludes further members: in an attempt that an earlier leader decided all started members
+	 * are known.
+	 */
 	close(): void {
 		this.isClosed = true
 	}
 
-	/** A member has ended. */
+	/** Removes a member that has ended. */
 	remove(run: Run): void {
 		this.members.delete(run.taskId)
 	}
 
-	/** A member was confirmed or has got on. @returns whether all are there, as was not known before. */
+	/**
+	 * Handles a confirmation or progress of a member.
+	 *
+	 * @returns whether the attempt has just become complete.
+	 */
 	noteProgress({ percent }: Run): boolean {
 		if (!this.isGathering) return false
-		// Members work from the moment when all are there.
+		// Members make progress only once all of them have started.
 		this.isComplete = percent > 0 || (this.isCommitted && this.unconfirmedMembers.length === 0)
 		return this.isComplete
 	}
--- a/packages/jobs/src/lib/gangs/GangAttempts.ts
+++ b/packages/jobs/src/lib/gangs/GangAttempts.ts
@@ -1,6 +1,7 @@
 /**
- * The attempts to begin gangs. One place decides for all members of an attempt: they are ordered together or not at all, and from
- * the first that can't begin on, those that have are stopped by name, so that none waits in vain and the next attempt can follow.
+ * Coordinates the attempts to start gangs. The members of an attempt are ordered to start together
+ * or not at all. When one of them can't start, the others are stopped explicitly, so that none
+ * waits in vain and the next attempt can follow.
  */
 import { Measure } from '@rillrudder/telemetry'
 import type { LeaderContext } from '../leader/LeaderContext'
@@ -11,27 +12,27 @@
 import { GangAttempt, GangFailure } from './GangAttempt'
 
 /**
- * Milliseconds before its members' workers give them up by which an attempt must be whole: an order to stop may have to be sent
- * three times.
+ * Milliseconds before the workers abandon waiting members at which an attempt must be complete. The
+ * margin allows for sending a stop order three times.
  */
-const STOP_MARGIN = 1000
-/** Names of tasks that one line tells, so that it stays short. */
-const MOST_NAMES = 10
+const STOP_MARGIN_MS = 1000
+/** Task names in one log line, so that it stays short. */
+const MAX_LOGGED_TASKS = 10
 
-/** Carries out what is decided for members. @internal */
+/** Carries out decisions about members. @internal */
 export interface GangHost {
-	/** @returns why a member can't be ordered to start now; undefined when it can. */
+	/** @returns why a member can't be ordered to start now; undefined if it can. */
 	startObstacleOf(run: Run): string | undefined
 	/** Orders a member to start. */
 	orderStart(run: Run): void
-	/** Gives members up: what was never ordered ends, the others are stopped. */
+	/** Abandons members: those never ordered to start end at once, the others are stopped. */
 	abandon(runs: readonly Run[]): void
 }
 
 type AttemptsContext = Pick<LeaderContext, 'clock' | 'log' | 'meter' | 'timing'>
 
 /**
- * The attempts to begin gangs.
+ * The current attempts to start gangs.
  *
  * @internal
  */
@@ -43,12 +44,18 @@
 		private readonly host: GangHost
 	) {}
 
-	/** @returns the runs that belong together with one: itself, or the members of its gang's attempt that have not ended. */
+	/**
+	 * @returns the members of a run's gang attempt that have not ended; only the run itself if it
+	 * has no attempt.
+	 */
 	membersOf(run: Run): readonly Run[] {
 		return this.find(run)?.activeMembers ?? [run]
 	}
 
-	/** The beginning of a member is committed. All members are ordered once that holds for each of them. */
+	/**
+	 * Handles the committed start of a member. The last one triggers the start orders of all
+	 * members.
+	 */
 	onStartCommitted(run: Run): void {
 		const attempt = this.findOrCreate(run.name, run.attempt, run.step.count)
 		attempt.add(run)
@@ -56,7 +63,7 @@
 		else if (attempt.isCommitted) this.orderAll(attempt)
 	}
 
-	/** The beginning of a member did not take effect. */
+	/** Handles the start of a member that was committed without effect. */
 	onStartVoided(name: TaskName, number: number, size: number): void {
 		const attempt = this.findOrCreate(name, number, size)
 		attempt.addVoid()
@@ -65,8 +72,8 @@
 	}
 
 	/**
-	 * Takes up all members of a job's gangs that an earlier leader began; their workers' lists tell how far they are. What is not all of a gang is
-	 * given up.
+	 * Restores the members of a job's gangs that an earlier leader started. Polls show which of
+	 * them have reached their workers. Incomplete gangs are abandoned.
 	 */
 	restore(runs: readonly Run[]): void {
 		const attempts = new Set<GangAttempt>()
@@ -82,7 +89,7 @@
 		}
 	}
 
-	/** A member's worker has confirmed it, or tells that it has got on. */
+	/** Handles a confirmation of a member or a report of its progress. */
 	onProgress(run: Run): void {
 		const attempt = this.find(run)
 		if (!attempt?.noteProgress(run)) return
@@ -91,13 +98,16 @@
 			meter.observe(Measure.GangGathering, clock.now() - (attempt.orderedAt ?? 0))
 	}
 
-	/** A member can't begin, or is about to be stopped: so are the others. The caller sees to the member itself. */
+	/**
+	 * Abandons the attempt of a member that can't start or is about to be stopped. The caller
+	 * handles that member, the others are stopped.
+	 */
 	onMemberFailed(run: Run, failure: GangFailure, detail?: string): void {
 		const attempt = this.find(run)
 		if (attempt?.isGathering) this.fail(attempt, failure, run, detail)
 	}
 
-	/** A member has ended. */
+	/** Handles the end of a member. */
 	onMemberEnded(run: Run, isDone: boolean): void {
 		const attempt = this.find(run)
 		if (!attempt) return
@@ -106,9 +116,9 @@
 		this.closeIfOver(attempt)
 	}
 
-	/** Gives attempts up that have gathered for too long. */
+	/** Abandons attempts that have gathered for too long. */
 	tick(now: number): void {
-		const longest = this.context.timing.gangWait - STOP_MARGIN
+		const longest = this.context.timing.gangWait - STOP_MARGIN_MS
 		for (const attempt of this.attempts.values()) {
 			const { orderedAt } = attempt
 			if (!attempt.isGathering || orderedAt === undefined) continue
@@ -130,7 +140,10 @@
 		}
 	}
 
-	/** @param cause - the member that failed, which its caller sees to; absent where it is not one. */
+	/**
+	 * @param cause - the member that failed, which the caller handles; undefined if it was no
+	 * single member.
+	 */
 	private fail(attempt: GangAttempt, failure: GangFailure, cause?: Run, detail?: string): void {
 		attempt.failure = failure
 		const others = attempt.activeMembers.filter((run) => run !== cause)
@@ -143,7 +156,7 @@
 		meter.count(Measure.GangsGivenUp, { reason })
 		const { step, number, size, orderedAt, unconfirmedMembers } = attempt
 		const gathered = orderedAt === undefined ? 0 : Math.round(clock.now() - orderedAt)
-		const named = unconfirmedMembers.slice(0, MOST_NAMES).map(({ taskId }) => taskId)
+		const named = unconfirmedMembers.slice(0, MAX_LOGGED_TASKS).map(({ taskId }) => taskId)
 		log.info(LeaderEvent.GangGivenUp, {
 			step,
 			attempt: number,
--- a/packages/jobs/src/lib/gangs/GangPlan.test.ts
+++ b/packages/jobs/src/lib/gangs/GangPlan.test.ts
@@ -1,4 +1,7 @@
-/** The plan of a gang: one moment at which all members have room and a ticket, with short questions just before it. */
+/**
+ * Tests that a plan finds one moment at which all members have capacity and a ticket, with short
+ * questions just before it.
+ */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import fc from 'fast-check'
@@ -23,17 +26,17 @@
 	return Array.from({ length: count }, () => ({ worker, at }))
 }
 
-test('without room for all members there is no plan', () => {
+test('there is no plan without places for all members', () => {
 	assert.equal(planGang(places('w1', 3, NOW), needOf()), undefined)
 })
 
-test('room that comes late is asked about just before it, and not at once', () => {
+test('tickets for capacity that is freed later are requested shortly before, not at once', () => {
 	const plan = planGang(places('w1', 4, NOW + 10_000), needOf())
 	assert.equal(plan?.at, NOW + 10_000)
 	assert.ok(plan.askAt > NOW + 8000 && plan.askAt < NOW + 9500, `${plan.askAt}`)
 })
 
-test('room that is free now waits for its tickets, and few workers are named for it', () => {
+test('the plan for free capacity waits for tickets and names few workers', () => {
 	const spread = ['a', 'b', 'c', 'd'].flatMap((worker) => places(worker, 1, NOW))
 	const plan = planGang([...spread, ...places('wide', 4, NOW)], needOf())
 	assert.deepEqual(new Set(plan?.places.map(({ worker }) => worker)), new Set(['wide']))
@@ -41,20 +44,20 @@
 	assert.equal(plan!.at, NOW + TERMS.base + TERMS.each * plan!.workersToAsk.length)
 })
 
-test('tickets that hold until there is room are used, and nothing is asked', () => {
+test('present tickets that are valid until there is capacity are used without a question', () => {
 	const from = [...places('held', 4, NOW + 300), ...places('free', 4, NOW)]
 	const plan = planGang(from, needOf({ hasTicket: (worker) => worker === 'held' }))
 	assert.equal(plan?.at, NOW + 300)
 	assert.deepEqual(plan.workersToAsk, [])
 })
 
-test('tickets that run out before there is room do not count', () => {
+test('tickets that expire before there is capacity do not count', () => {
 	const hasTicket = (_: string, moment: number): boolean => moment < NOW + 1000
 	const plan = planGang(places('w1', 4, NOW + 1000), needOf({ hasTicket }))
 	assert.deepEqual(plan?.workersToAsk, ['w1'])
 })
 
-test('a worker that is likely to go is taken only where the others come much later', () => {
+test('an unreliable worker is used only if the others are free much later', () => {
 	const delayOf = (worker: string): number => (worker === 'flaps' ? 1500 : 0)
 	const workersWith = (at: number): string[] => {
 		const from = [...places('flaps', 4, NOW), ...places('steady', 4, at)]
@@ -64,7 +67,7 @@
 	assert.deepEqual(new Set(workersWith(NOW + 9000)), new Set(['flaps']))
 })
 
-test('whatever is free when: a plan has a place for each member, free by its moment, with a ticket that holds or is asked for', () => {
+test('every plan has a place for each member that is free in time and has a valid or requested ticket', () => {
 	const place = fc.record({
 		worker: fc.constantFrom('a', 'b', 'c', 'd', 'e', 'f'),
 		at: fc.integer({ min: NOW, max: NOW + 6000 }),
--- a/packages/jobs/src/lib/gangs/GangPlan.ts
+++ b/packages/jobs/src/lib/gangs/GangPlan.ts
@@ -1,64 +1,77 @@
-/** The plan of one gang: the moment at which all its members have room and a ticket that holds, and what must be asked for that. */
+/**
+ * Plans one gang: the moment at which all its members have capacity and a valid ticket, and the
+ * tickets that must be requested for that.
+ */
 import type { AdviceTerms } from '../records/Cell'
 
-/** Milliseconds for which tickets have to hold beyond the planned moment: a pass over the waiting steps and the decision. */
-const LEEWAY = 150
 /**
- * Share of a ticket's life by which tickets come before the planned moment. Forecasts err both ways: room that comes a little earlier
- * finds the tickets there, and for room that comes later most of their life is left.
+ * Milliseconds for which tickets must be valid beyond the planned moment. They cover a pass over
+ * the waiting steps and the decision.
  */
-const AHEAD = 0.3
+const TICKET_MARGIN_MS = 150
 /**
- * Further places whose workers are asked about too, as a multiple of the gang, so that a run that ends late or a worker that is lost doesn't hold
- * it up: naming a worker more costs little beside another question.
+ * Share of the ticket lifetime by which tickets arrive before the planned moment. Forecasts err
+ * both ways: tickets are there if capacity is freed a little earlier, and most of their lifetime is
+ * left if it is freed later.
  */
-const SPARE = 1
-/** A place for one member, once it is free. @internal */
+const ASK_AHEAD_SHARE = 0.3
+/**
+ * Spare places whose workers are asked about too, as a multiple of the gang size, so that a run
+ * that ends late or a lost worker does not delay the gang. Naming one more worker is cheap compared
+ * with another question.
+ */
+const SPARE_FACTOR = 1
+
+/** Capacity for one member on a worker, now or later. @internal */
 export interface Place {
 	readonly worker: string
 	/** When it is expected to be free, on the leader's clock. */
 	readonly at: number
 }
 
-/** What a gang needs. @internal */
+/** The requirements of a gang. @internal */
 export interface GangNeed {
-	/** How many members it has. */
+	/** The number of its members. */
 	readonly members: number
-	/** The moment, on the leader's clock. */
+	/** The current time, on the leader's clock. */
 	readonly now: number
-	/** Milliseconds for which a start may be decided with a ticket after it has come. */
+	/** Milliseconds after the arrival of a ticket during which a start may be decided with it. */
 	readonly ticketLife: number
-	/** What an answer costs. */
+	/** The time that an answer takes. */
 	readonly terms: AdviceTerms
-	/** Whether a worker's ticket holds at a moment. */
+	/** Whether a worker has a ticket that is valid at a moment. */
 	readonly hasTicket: (worker: string, moment: number) => boolean
-	/** Milliseconds that the gang rather waits than has a member on a worker: that one is slow, or is likely to go. */
+	/**
+	 * Penalty of a slow or unreliable worker: milliseconds that the gang would rather wait than
+	 * place a member there.
+	 */
 	readonly delayOf: (worker: string) => number
 }
 
-/** A plan. @internal */
+/** A plan to start a gang. @internal */
 export interface GangPlan {
-	/** One for each member. */
+	/** One place for each member. */
 	readonly places: readonly Place[]
-	/** When all members are expected to begin, on the leader's clock. */
+	/** When all members are expected to start, on the leader's clock. */
 	readonly at: number
-	/** Workers whose tickets are to be asked for; none where those that are there will do. */
+	/** Workers to request tickets for; empty if the present tickets suffice. */
 	readonly workersToAsk: readonly string[]
-	/** When to ask, on the leader's clock; may have passed. */
+	/** When to request them, on the leader's clock; may lie in the past. */
 	readonly askAt: number
 }
 
 /**
  * @param places - places on workers that may run the gang.
- * @param need - what it needs.
- * @returns the earlier one of two plans: with the tickets that are there, or with others that are asked for; undefined when there is no room for all.
+ * @param need - the requirements of the gang.
+ * @returns the earlier of two plans, one with the present tickets and one with requested tickets;
+ * undefined if there are not enough places.
  * @internal
  */
 export function planGang(places: readonly Place[], need: GangNeed): GangPlan | undefined {
 	const { members, now } = need
 	if (places.length < members) return undefined
 	const earliest = now + answerTime(1, need.terms)
-	const ordered = inOrder(places, need, earliest)
+	const ordered = sortPlaces(places, need, earliest)
 	const fresh = planWithQuestion(ordered, need)
 	const held = planWithTickets(ordered, need)
 	return held && held.at <= fresh.at ? held : fresh
@@ -67,41 +80,42 @@
 function planWithTickets(ordered: readonly Place[], need: GangNeed): GangPlan | undefined {
 	const { members, now, hasTicket } = need
 	const chosen = ordered
-		.filter(({ worker, at }) => hasTicket(worker, at + LEEWAY))
+		.filter(({ worker, at }) => hasTicket(worker, at + TICKET_MARGIN_MS))
 		.slice(0, members)
 	if (chosen.length < members) return undefined
-	const at = lastOf(chosen, now)
-	const allHold = chosen.every(({ worker }) => hasTicket(worker, at + LEEWAY))
+	const at = latestOf(chosen, now)
+	const allHold = chosen.every(({ worker }) => hasTicket(worker, at + TICKET_MARGIN_MS))
 	return allHold ? { places: chosen, at, workersToAsk: [], askAt: now } : undefined
 }
 
 function planWithQuestion(ordered: readonly Place[], need: GangNeed): GangPlan {
 	const { members, now, ticketLife, terms, hasTicket } = need
 	const chosen = ordered.slice(0, members)
-	const spare = ordered.slice(members, members + Math.ceil(members * SPARE))
-	const roomAt = lastOf(chosen, now)
+	const spare = ordered.slice(members, members + Math.ceil(members * SPARE_FACTOR))
+	const freeAt = latestOf(chosen, now)
 	const named = new Set([...chosen, ...spare].map(({ worker }) => worker))
 	const answer = answerTime(named.size, terms)
-	const at = Math.max(roomAt, now + answer)
-	const workersToAsk = [...named].filter((worker) => !hasTicket(worker, at + LEEWAY))
-	const askAt = at - answer - ticketLife * AHEAD
+	const at = Math.max(freeAt, now + answer)
+	const workersToAsk = [...named].filter((worker) => !hasTicket(worker, at + TICKET_MARGIN_MS))
+	const askAt = at - answer - ticketLife * ASK_AHEAD_SHARE
 	return { places: chosen, at, workersToAsk, askAt }
 }
 
-/** Milliseconds until an answer about so many workers. */
+/** @returns the milliseconds that an answer about so many workers takes. */
 function answerTime(workers: number, { base, each }: AdviceTerms): number {
 	return base + each * workers
 }
 
-function lastOf(places: readonly Place[], now: number): number {
+function latestOf(places: readonly Place[], now: number): number {
 	return places.reduce((last, { at }) => Math.max(last, at), now)
 }
 
 /**
- * Soonest first. What is free before any answer can come counts as equally soon; of that, workers that take many members go first: they make the
- * question short, and fewer workers can break the gang.
+ * Sorts places by the time when they are free. Places that are free before any answer can arrive
+ * count as equal. Among those, workers that can take many members go first: they keep the question
+ * short, and the gang depends on fewer workers.
  */
-function inOrder(places: readonly Place[], need: GangNeed, earliest: number): Place[] {
+function sortPlaces(places: readonly Place[], need: GangNeed, earliest: number): Place[] {
 	const counts = new Map<string, number>()
 	for (const { worker, at } of places) {
 		if (at <= earliest) counts.set(worker, (counts.get(worker) ?? 0) + 1)
--- a/packages/jobs/src/lib/gangs/GangPlanner.ts
+++ b/packages/jobs/src/lib/gangs/GangPlanner.ts
@@ -1,7 +1,9 @@
 /**
- * Plans gangs as a whole: keeps room for all members at one moment, and asks for tickets so that they hold then.
+ * Plans gangs as a whole: reserves capacity for all members at one moment, and requests tickets so
+ * that they are valid then.
  *
- * Answers a cell in which many gangs wait for scarce room while tickets run out soon after they have come.
+ * This is needed where many gangs wait for scarce capacity and tickets expire soon after they
+ * arrive.
  */
 import { Measure } from '@rillrudder/telemetry'
 import type { StepQuestions } from '../leader/advice/StepQuestions'
@@ -20,23 +22,23 @@
 import { shouldPlanGang } from './shouldPlanGang'
 import type { WorkerReliability } from './WorkerReliability'
 
-/** Milliseconds that a gang rather waits than begins on a worker that is likely to go. */
+/** Milliseconds that a gang would rather wait than start on an unreliable worker. */
 const UNRELIABLE_DELAY_MS = 1500
 
 /**
- * Plans gangs.
+ * Plans gangs of which capacity and tickets must be coordinated.
  *
  * @internal
  */
 export class GangPlanner {
-	/** The moment for which each gang last asked for tickets, on the leader's clock. */
+	/** The planned start for which each gang last requested tickets, on the leader's clock. */
 	private readonly askedFor = new WeakMap<StepWork, number>()
 
 	/**
-	 * @param context - what the parts of the leader share.
-	 * @param reservations - the room that is kept for waiting steps.
-	 * @param questions - asks for advice.
-	 * @param reliability - which workers gangs are kept off.
+	 * @param context - the context shared by the leader's components.
+	 * @param reservations - the capacity that is reserved for waiting steps.
+	 * @param questions - requests advice.
+	 * @param reliability - tells which workers gangs should avoid.
 	 */
 	constructor(
 		private readonly context: LeaderContext,
@@ -45,7 +47,9 @@
 		private readonly reliability: WorkerReliability
 	) {}
 
-	/** Plans a gang that found no room, or no tickets, and asks what its plan wants. */
+	/**
+	 * Plans a gang that lacks capacity or tickets, and requests the tickets that its plan needs.
+	 */
 	plan(work: StepWork, eligible: readonly Option[], now: number): void {
 		const need = this.toGangNeed(work, eligible, now)
 		if (!need || hasMemberElsewhere(work, eligible)) return
@@ -53,29 +57,32 @@
 		if (plan) this.reservations.hold(work, plan.places, plan.at)
 		const { advice } = work
 		if (now < advice.notBefore) return
-		// A gang that comes after many others learns no more workers than it did at first, until its turn comes.
+		// A gang behind many others discovers no further workers until its turn comes.
 		if (!plan && advice.firstAnswerAt !== undefined && !this.reservations.mayKeep(work)) return
-		// Workers that join are learned beside the plan: it does not wait for them.
+		// Workers that join are discovered in parallel; the plan does not wait for them.
 		const isDue = plan && plan.workersToAsk.length > 0 && now >= plan.askAt
 		if (isDue && !advice.isRenewingAny) this.askForTickets(work, plan, now)
 		if (!advice.isDiscovering)
 			this.questions.askAbout(work, this.workersToDiscover(work, eligible, plan, need))
 	}
 
-	/** Learns which workers may run a gang whose earlier steps are about to be done. */
+	/** Discovers which workers may run a gang whose earlier steps are about to complete. */
 	discoverWorkers(work: StepWork, eligible: readonly Option[], now: number): void {
 		if (work.advice.isAsking || now < work.advice.notBefore) return
 		const share = this.questions.allowedShareOf(work.queue.name)
 		this.questions.askAbout(work, chooseGangWorkersToAsk(work, eligible, share, false))
 	}
 
-	/** @returns of the workers that may run a step those that gangs are not kept off; all of them for a step that is not planned. */
+	/**
+	 * @returns the options of a step without those on unreliable workers; all of them if the step
+	 * is not a planned gang.
+	 */
 	withoutUnreliable(work: StepWork, options: readonly Option[], now: number): readonly Option[] {
 		if (!shouldPlanGang(work)) return options
 		return options.filter(({ view }) => !this.reliability.isUnreliable(view.id, now))
 	}
 
-	/** A gang has begun: how far its plan was off is measured. */
+	/** Handles the start of a gang: the error of its plan is measured. */
 	onStarted(work: StepWork, now: number): void {
 		const planned = this.askedFor.get(work)
 		if (planned === undefined) return
@@ -83,7 +90,9 @@
 		this.context.meter.observe(Measure.GangPlanError, Math.abs(now - planned))
 	}
 
-	/** Gangs for which no room can be kept are planned only where there is room for them now. */
+	/**
+	 * Plans a gang. Without a reservation it is planned only if there is enough free capacity now.
+	 */
 	private planOf(
 		work: StepWork,
 		eligible: readonly Option[],
@@ -96,7 +105,10 @@
 		return planGang(this.reservations.placesFor(work, need.members, allowed), need)
 	}
 
-	/** Workers to learn of: not while those that are known will do at once, or the plan awaits its tickets. */
+	/**
+	 * Chooses workers to discover. None if the known ones suffice right now, or as soon as the plan
+	 * has its tickets.
+	 */
 	private workersToDiscover(
 		work: StepWork,
 		eligible: readonly Option[],
@@ -125,7 +137,10 @@
 		this.questions.askAbout(work, workersToAsk)
 	}
 
-	/** A gang goes as fast as its slowest member; one that is broken waits anew, and does part of its work again. */
+	/**
+	 * Computes the penalty of a worker in milliseconds. A gang is as slow as its slowest member,
+	 * and one that breaks waits again and repeats part of its work.
+	 */
 	private delayOf(worker: string, expected: number, speed: number, now: number): number {
 		const longer = Math.max(0, expected / speed - expected)
 		return longer + (this.reliability.isUnreliable(worker, now) ? UNRELIABLE_DELAY_MS : 0)
@@ -153,7 +168,10 @@
 	}
 }
 
-/** Whether a member is still on a worker that is not open: how long that takes is not known, and no member begins before. */
+/**
+ * Whether a member is still placed on a worker that is not eligible. No other member starts before
+ * it ends, and it is unknown how long that takes.
+ */
 function hasMemberElsewhere({ record }: StepWork, eligible: readonly Option[]): boolean {
 	const placed = record.tasks.filter(({ status }) => status === TaskStatus.Placed)
 	if (placed.length === 0) return false
--- a/packages/jobs/src/lib/gangs/chooseGangWorkersToAsk.ts
+++ b/packages/jobs/src/lib/gangs/chooseGangWorkersToAsk.ts
@@ -1,31 +1,37 @@
 /**
- * Which workers a gang asks about to learn whether they may run it. That does not change, so it is asked once for each worker; only as many
- * are asked as the gang is likely to need.
+ * Chooses the workers that a gang asks about to discover whether they may run it. The answer does
+ * not change, so each worker is asked about once, and only as many as the gang is likely to need.
  */
 import type { Resources } from '@rillrudder/scheduler'
 import type { Option } from '../leader/steps/chooseForStep'
 import type { StepWork } from '../leader/steps/StepWork'
 
-/** Room that is asked for in free room as a multiple of what is wanted, since others place there meanwhile. */
-const FREE_SURPLUS = 3
-/** Room that allowed workers should have in all, as a multiple of the gang: the more of them, the sooner enough are free together. */
-const WHOLE_SURPLUS = 6
+/**
+ * Free capacity to discover, as a multiple of the gang, since other steps use some of it meanwhile.
+ */
+const FREE_SURPLUS_FACTOR = 3
+/**
+ * Total capacity that allowed workers should have, as a multiple of the gang: the more of them, the
+ * sooner enough are free at the same time.
+ */
+const TOTAL_SURPLUS_FACTOR = 6
 
 type Amount = (option: Option) => Resources
 
 /**
  * @param work - the gang's step.
- * @param eligible - workers of the right service and label.
- * @param share - share of workers that the queue's policy allows, from 0 to 1, as seen of late.
- * @param holdsRoom - whether the room that is free now counts; not while earlier steps are awaited.
- * @returns ids of the workers to ask about; empty when enough are known to be allowed.
+ * @param eligible - workers with the right service and labels.
+ * @param share - share of workers that the queue's policy recently allowed, from 0 to 1.
+ * @param countsFree - whether the capacity that is free now counts; it does not while the gang
+ * waits for earlier steps.
+ * @returns ids of the workers to ask about; empty if enough workers are known to be allowed.
  * @internal
  */
 export function chooseGangWorkersToAsk(
 	work: StepWork,
 	eligible: readonly Option[],
 	share: number,
-	holdsRoom: boolean
+	countsFree: boolean
 ): string[] {
 	const { advice, record } = work
 	const members = record.tasks.length
@@ -35,16 +41,20 @@
 	if (unknown.length === 0) return []
 	const allowed = eligible.filter(({ view }) => advice.isAllowed(view.id))
 	const free = countMembersFitting(work, allowed, freeResourcesOf)
-	const freeMissing = members * FREE_SURPLUS - free
-	const mayBeginNow = holdsRoom && free < members
-	if (mayBeginNow && countMembersFitting(work, unknown, freeResourcesOf) * share >= freeMissing) {
+	const freeMissing = members * FREE_SURPLUS_FACTOR - free
+	const canStartNow = countsFree && free < members
+	if (canStartNow && countMembersFitting(work, unknown, freeResourcesOf) * share >= freeMissing) {
 		return choose(work, unknown, freeResourcesOf, share, freeMissing)
 	}
-	const missing = members * WHOLE_SURPLUS - countMembersFitting(work, allowed, totalResourcesOf)
+	const missing =
+		members * TOTAL_SURPLUS_FACTOR - countMembersFitting(work, allowed, totalResourcesOf)
 	return missing > 0 ? choose(work, unknown, totalResourcesOf, share, missing) : []
 }
 
-/** Takes workers, those with the most room first, until they are likely to have enough among them. */
+/**
+ * Chooses workers, those with the most capacity first, until they are likely to have enough
+ * together.
+ */
 function choose(
 	work: StepWork,
 	unknown: readonly Option[],
@@ -70,7 +80,7 @@
 	return chosen
 }
 
-/** @returns how many members have room on workers that have so much. @internal */
+/** @returns how many members fit on the workers, given an amount of resources on each. @internal */
 export function countMembersFitting(
 	work: StepWork,
 	options: readonly Option[],
@@ -79,7 +89,7 @@
 	return options.reduce((sum, option) => sum + work.copiesIn(option.view.id, amount(option)), 0)
 }
 
-/** @returns what is free on a worker. @internal */
+/** @returns the free resources of a worker. @internal */
 export function freeResourcesOf({ account }: Option): Resources {
 	return account.free
 }
--- a/packages/jobs/src/lib/gangs/gangs.test.ts
+++ b/packages/jobs/src/lib/gangs/gangs.test.ts
@@ -1,4 +1,7 @@
-/** Gangs whose tickets run out soon: scarce room, a slow or lost adviser, members that end, workers that are lost. */
+/**
+ * Tests gangs with short-lived tickets: scarce capacity, slow or lost answers, members that end,
+ * and workers that are lost.
+ */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import fc from 'fast-check'
@@ -31,7 +34,7 @@
 	return { count, gang: true, checkpoints: true, ...changes }
 }
 
-test('a gang is planned where a full question takes more than half of a ticket’s life, and no other step is', () => {
+test('only gangs for which a full question takes more than half of the ticket lifetime are planned', () => {
 	const queueWith = (advice?: typeof SHORT) => ({
 		...new LeaderSubject().state.configuration!.queues[0],
 		advice,
@@ -43,7 +46,7 @@
 	assert.equal(shouldPlanGang({ step: gang, queue: queueWith() }), false)
 })
 
-test('a question that would take long is split into parts that go side by side', () => {
+test('a long question is split into parts that are asked in parallel', () => {
 	const named = Array.from({ length: 120 }, (_, number) => `w${number}`)
 	const parts = splitQuestion(named, SHORT)
 	assert.deepEqual(parts.flat(), named)
@@ -55,7 +58,7 @@
 	assert.deepEqual(splitQuestion([], SHORT), [])
 })
 
-test('while a gang waits for room its tickets are not renewed, and they are there when room comes', () => {
+test('tickets of a gang that waits for capacity are not renewed, and are there once there is capacity', () => {
 	const subject = subjectWith(['w1', 'w2'])
 	// Full workers whose runs end after twenty seconds.
 	subject.configure({ advice: SHORT, latencyTarget: 60_000 }, { name: 'plain', prefix: '/plain/' })
@@ -64,7 +67,7 @@
 	subject.run(500, 'w1', 'w2')
 	subject.submit(GANG, jobOf(gangOf(8)))
 	subject.run(10_000, 'w1', 'w2')
-	assert.equal(subject.questions.length, 1, 'who is allowed is learned once')
+	assert.equal(subject.questions.length, 1, 'each worker is discovered once')
 	for (const id of ['w1', 'w2']) {
 		for (const { task } of [...subject.worker(id).running]) subject.worker(id).end(task, 'done')
 	}
@@ -73,7 +76,7 @@
 	assert.ok(subject.questions.length <= 3, `${subject.questions.length} questions`)
 })
 
-test('an answer that does not come is asked for through another instance, and the gang begins', () => {
+test('a lost answer is requested through another instance, and the gang starts', () => {
 	const subject = subjectWith(WORKERS)
 	let lost = 2
 	subject.answerTakes = ({ workers }) =>
@@ -83,7 +86,7 @@
 	assert.equal(runningOf(subject, WORKERS, GANG), 12)
 })
 
-test('an adviser that is twice as slow as it says delays a gang and does not keep it', () => {
+test('an adviser that is twice as slow as declared delays a gang and does not prevent its start', () => {
 	const subject = subjectWith(WORKERS)
 	subject.answerTakes = ({ workers }) => 2 * (SHORT.base + SHORT.each * workers.length)
 	subject.submit(GANG, jobOf(gangOf(12)))
@@ -91,7 +94,7 @@
 	assert.equal(runningOf(subject, WORKERS, GANG), 12)
 })
 
-test('a gang that a failed member has broken begins again as soon as its new tickets are there', () => {
+test('a gang that broke because a member failed starts again as soon as it has new tickets', () => {
 	const subject = subjectWith(['w1', 'w2'])
 	subject.submit(GANG, jobOf(gangOf(8)))
 	subject.run(6000, 'w1', 'w2')
@@ -99,7 +102,10 @@
 	const before = subject.questions.length
 	subject.worker('w1').end(`${GANG}.0.0.0`, 'failed', 'c1')
 	subject.run(400, 'w1', 'w2')
-	assert.ok(subject.questions.length > before, 'tickets are asked for while the others still end')
+	assert.ok(
+		subject.questions.length > before,
+		'tickets are requested while the others are still ending'
+	)
 	for (const id of ['w1', 'w2']) {
 		for (const { task } of [...subject.worker(id).running])
 			subject.worker(id).end(task, 'broken', 'c1')
@@ -110,7 +116,7 @@
 	assert.ok(starts.length > 0 && starts.every(({ checkpoint }) => checkpoint === 'c1'))
 })
 
-test('a gang is kept off a worker that was lost of late where there is room elsewhere', () => {
+test('a gang avoids a worker that was recently lost if there is capacity elsewhere', () => {
 	const subject = subjectWith(WORKERS)
 	subject.submit(OTHER, jobOf({ lasting: true }))
 	subject.run(1500, ...WORKERS)
@@ -125,7 +131,7 @@
 	assert.equal(runningOf(subject, [flaps], GANG), 0)
 })
 
-test('the next leader learns anew and begins the gang whole', () => {
+test('the next leader discovers workers again and starts the whole gang', () => {
 	const subject = subjectWith(WORKERS)
 	subject.submit(GANG, jobOf(gangOf(12)))
 	subject.run(300, ...WORKERS)
@@ -134,7 +140,7 @@
 	assert.equal(runningOf(subject, WORKERS, GANG), 12)
 })
 
-test('nothing begins of a job whose cancel was asked before', () => {
+test('no task of a job starts after its cancellation was requested', () => {
 	const subject = subjectWith(WORKERS)
 	subject.submit(GANG, jobOf(gangOf(12)))
 	subject.run(300, ...WORKERS)
@@ -148,7 +154,7 @@
 	assert.equal(subject.state.jobs.find(GANG)?.state, JobState.Cancelled)
 })
 
-test('gangs that compete for scarce room never hold a part each, and all are done', () => {
+test('gangs that compete for scarce capacity never hold a part each, and all complete', () => {
 	const sizes = fc.array(fc.integer({ min: 2, max: 20 }), { minLength: 2, maxLength: 4 })
 	fc.assert(
 		fc.property(sizes, (counts) => {
--- a/packages/jobs/src/lib/gangs/splitQuestion.ts
+++ b/packages/jobs/src/lib/gangs/splitQuestion.ts
@@ -1,14 +1,15 @@
-/** Splits a long question into several that go through instances side by side. */
+/** Splits a long question into several that instances ask in parallel. */
 import type { AdviceTerms } from '../records/Cell'
 import { MAX_WORKERS_PER_QUESTION } from './shouldPlanGang'
 
 /**
- * A question's workers may take as long as its least time does: then one of twice as many takes half as long again as two side by side, and a
- * further question costs the least time once more.
+ * The workers of a part may take as long as the base time of an answer. A question with twice as
+ * many would take half as long again as two parallel ones, and each further question costs the base
+ * time.
  *
  * @param workers - the workers to ask about.
- * @param terms - what an answer costs.
- * @returns them in parts of like size, each of which one question names.
+ * @param terms - the time that an answer takes.
+ * @returns the workers in parts of similar size, one for each question.
  * @internal
  */
 export function splitQuestion(workers: readonly string[], { base, each }: AdviceTerms): string[][] {
--- a/packages/jobs/src/lib/leader/runs/LostRunHandler.ts
+++ b/packages/jobs/src/lib/leader/runs/LostRunHandler.ts
@@ -9,8 +9,8 @@
 
 /**
  * Milliseconds from when a worker became unreachable until tasks that may have several concurrent
- * runs are started elsewhere. The worker is probed at once, and a single lost answer is no reason to
- * run a task twice.
+ * runs are started elsewhere. The worker is probed at once, and a single lost answer is no reason
+ * to run a task twice.
  */
 const COPY_DELAY_MS = 300
 
@@ -26,15 +26,17 @@
 		private readonly losses: WorkerLosses
 	) {}
 
-	/** Abandons all runs of an unreachable worker. Its lease has certainly expired: none still runs. */
+	/**
+	 * Abandons all runs of an unreachable worker. Its lease has certainly expired: none still runs.
+	 */
 	abandonAll(view: WorkerView): void {
 		this.suspects.clear(view)
 		this.abandon(view, [...view.runs.values()], 'lease over')
 	}
 
 	/**
-	 * Abandons the runs of steps that allow concurrent copies, without waiting for the lease to expire.
-	 * These runs may still be running.
+	 * Abandons the runs of steps that allow concurrent copies, without waiting for the lease to
+	 * expire. These runs may still be running.
 	 */
 	abandonRepeatable(view: WorkerView, now: number): void {
 		if (now - view.lostAt < COPY_DELAY_MS) return
@@ -57,7 +59,8 @@
 		this.context.log.warn(LeaderEvent.RunsLost, { worker: view.id, runs: runs.length, reason })
 		for (const run of lost) {
 			view.runs.delete(run.taskId)
-			// The worker may answer again before the commit; the run must not be ordered there then.
+			// The worker may answer again before the commit; the run must not be ordered there
+			// then.
 			run.retryAt = Number.POSITIVE_INFINITY
 		}
 		this.context.proposals.propose({ kind: 'end', runs, at: epochOf(this.context) })
--- a/packages/jobs/src/lib/leader/runs/ObservedRunTime.ts
+++ b/packages/jobs/src/lib/leader/runs/ObservedRunTime.ts
@@ -1,11 +1,11 @@
 /**
- * Tracks how long a run has certainly been running, by its worker's own clock: a late answer describes
- * the moment at which it was made, and its worker may have crashed since.
+ * Tracks how long a run has certainly been running, by its worker's own clock: a late answer
+ * describes the moment at which it was made, and its worker may have crashed since.
  */
 
 /**
- * Milliseconds up to which a run counts as just started: a task that crashes its worker does so within
- * tens of milliseconds.
+ * Milliseconds up to which a run counts as just started: a task that crashes its worker does so
+ * within tens of milliseconds.
  */
 const STARTUP_MS = 200
 
@@ -19,7 +19,9 @@
 	private since: number | undefined
 	private longest = 0
 
-	/** Milliseconds that the run has been running at least; 0 before two answers have reported it. */
+	/**
+	 * Milliseconds that the run has been running at least; 0 before two answers have reported it.
+	 */
 	get minimum(): number {
 		return this.longest
 	}
--- a/packages/jobs/src/lib/leader/runs/Run.ts
+++ b/packages/jobs/src/lib/leader/runs/Run.ts
@@ -56,7 +56,9 @@
 	isInDoubt: boolean
 	/** Whether its task is suspected of crashing workers. */
 	readonly isSuspected: boolean
-	/** Whether any leader has seen it running past its startup; recorded for suspected runs only. */
+	/**
+	 * Whether any leader has seen it running past its startup; recorded for suspected runs only.
+	 */
 	seenAtWork: boolean
 	/** Whether this leader has sent an order to start it. */
 	isOrdered: boolean
--- a/packages/jobs/src/lib/leader/runs/RunController.ts
+++ b/packages/jobs/src/lib/leader/runs/RunController.ts
@@ -28,20 +28,20 @@
 const ABSENT_POLLS = 2
 
 /**
- * Milliseconds after which an unconfirmed start counts as a problem of its worker and no longer of the
- * cell, while the worker answers.
+ * Milliseconds after which an unconfirmed start counts as a problem of its worker and no longer of
+ * the cell, while the worker answers.
  */
 const MAX_CONFIRMATION_WAIT_MS = 10_000
 /**
- * The same for a start whose worker is unreachable. Its start counts for a while, because workers also
- * appear unreachable when an overloaded cell is too late to read their answers.
+ * The same for a start whose worker is unreachable. Its start counts for a while, because workers
+ * also appear unreachable when an overloaded cell is too late to read their answers.
  */
 const MAX_CONFIRMATION_WAIT_UNREACHABLE_MS = 1500
 
 /**
- * Running time in milliseconds after which worker crashes no longer count against a lasting task. Such
- * a task sees many workers fail over months, while a task that crashes its worker does so as it starts.
- * Other tasks end by themselves, and crashes under them count permanently.
+ * Running time in milliseconds after which worker crashes no longer count against a lasting task.
+ * Such a task sees many workers fail over months, while a task that crashes its worker does so as
+ * it starts. Other tasks end by themselves, and crashes under them count permanently.
  */
 const HARMLESS_AFTER_MS = 10_000
 
@@ -110,8 +110,8 @@
 	}
 
 	/**
-	 * @returns whether a worker is known to have confirmed a run of a job. Runs that an earlier leader
-	 * started count as confirmed.
+	 * @returns whether a worker is known to have confirmed a run of a job. Runs that an earlier
+	 * leader started count as confirmed.
 	 */
 	hasStarted(job: JobRecord): boolean {
 		for (const { text, task } of tasksOf(job)) {
@@ -186,7 +186,9 @@
 		this.pending.set(task, decision)
 	}
 
-	/** @returns ids of the jobs with a decided run for a worker whose start is not committed yet. */
+	/**
+	 * @returns ids of the jobs with a decided run for a worker whose start is not committed yet.
+	 */
 	decidedFor(worker: string): string[] {
 		const tasks = [...this.pending].filter(([, decision]) => decision.worker === worker)
 		return tasks.map(([task]) => task.slice(0, task.indexOf('.')))
@@ -233,7 +235,9 @@
 		if (how !== RunEnd.Done) reportWaste(this.context, run, how)
 	}
 
-	/** Marks the other members of a planned gang as ending: they end soon after the first one has. */
+	/**
+	 * Marks the other members of a planned gang as ending: they end soon after the first one has.
+	 */
 	private markGangEnding(run: Run): void {
 		const job = this.context.state.jobs.find(run.name.job)
 		if (run.isEnding || !job || !shouldPlanGang({ step: run.step, queue: job.queue })) return
@@ -335,7 +339,9 @@
 		this.context.proposals.propose({ kind: 'at-work', runs: [{ task, attempt }] })
 	}
 
-	/** Marks a run that its worker lists as ended, so that it is not ordered again until the commit. */
+	/**
+	 * Marks a run that its worker lists as ended, so that it is not ordered again until the commit.
+	 */
 	private onListedEnded(view: WorkerView, task: string, attempt: number): void {
 		const run = this.runs.get(task)
 		if (!run || run.worker !== view.id || run.attempt !== attempt) return
@@ -428,7 +434,9 @@
 		if (!run.isOrderPending) this.orders.sendOrder(run)
 	}
 
-	/** Abandons members of a gang: those never ordered to start end at once, the others are stopped. */
+	/**
+	 * Abandons members of a gang: those never ordered to start end at once, the others are stopped.
+	 */
 	private abandon(runs: readonly Run[]): void {
 		const unordered = runs.filter(({ isOrdered, isRestored }) => !isOrdered && !isRestored)
 		if (unordered.length > 0) this.proposeEnds(unordered, RunEnd.Refused)
@@ -439,7 +447,8 @@
 
 	private onNotListed(run: Run, sentAt: number): void {
 		if (run.isRestored && run.phase === RunPhase.Starting && (run.needsTicket || run.step.gang)) {
-			// It never started, and orders of earlier leaders are fenced off. Its ticket is unknown here.
+			// It never started, and orders of earlier leaders are fenced off. Its ticket is unknown
+			// here.
 			this.gangs.onMemberFailed(run, GangFailure.NotStarted)
 			this.proposeEnd(run, RunEnd.Refused)
 			return
@@ -468,7 +477,9 @@
 	}
 }
 
-/** @returns whether another member of the gang of a run has completed the work of the whole gang. */
+/**
+ * @returns whether another member of the gang of a run has completed the work of the whole gang.
+ */
 function isGangDone(job: JobRecord, { name }: Run): boolean {
 	return job.repeats[name.repeat][name.step].gangDone === true
 }
--- a/packages/jobs/src/lib/leader/runs/RunOrders.ts
+++ b/packages/jobs/src/lib/leader/runs/RunOrders.ts
@@ -1,4 +1,6 @@
-/** Sends orders to start and stop runs, checks whether they may be sent, and handles their answers. */
+/**
+ * Sends orders to start and stop runs, checks whether they may be sent, and handles their answers.
+ */
 import { Measure } from '@rillrudder/telemetry'
 import { GangFailure } from '../../gangs/GangAttempt'
 import type { AccountUsage } from '../../accounts/AccountUsage'
@@ -73,13 +75,16 @@
 		else this.orderStop(run, view)
 	}
 
-	/** @returns why a run on a reachable worker can't be ordered to start now; undefined if it can. */
+	/**
+	 * @returns why a run on a reachable worker can't be ordered to start now; undefined if it can.
+	 */
 	private findStartObstacle(run: Run, view: WorkerView): StartObstacle | undefined {
 		const { clock, timing, ledger } = this.context
 		if (!this.accounts.mayGoOn(run.account, run.step)) return StartObstacle.Quota
 		// The capacity of a worker may have shrunk since the decision.
 		if (ledger.find(run.worker)?.isOver) return StartObstacle.Capacity
-		// A worker that an earlier leader chose may have less capacity too, until its first heartbeat.
+		// A worker that an earlier leader chose may have less capacity too, until its first
+		// heartbeat.
 		return view.silence(clock.now()) >= timing.workerSilent ? StartObstacle.NoHeartbeat : undefined
 	}
 
@@ -116,8 +121,8 @@
 	}
 
 	/**
-	 * Postpones a start until a heartbeat of its worker arrives, and withdraws it if that takes longer
-	 * than a heartbeat should.
+	 * Postpones a start until a heartbeat of its worker arrives, and withdraws it if that takes
+	 * longer than a heartbeat should.
 	 */
 	private awaitHeartbeat(run: Run): void {
 		const { clock, timing } = this.context
@@ -189,8 +194,8 @@
 	}
 
 	/**
-	 * Stops a run that started after its stop was requested. If its worker crashes meanwhile, the crash
-	 * counts as for any other run.
+	 * Stops a run that started after its stop was requested. If its worker crashes meanwhile, the
+	 * crash counts as for any other run.
 	 */
 	private stopStartedRun(run: Run): void {
 		run.confirmedAt ??= this.context.clock.now()
--- a/packages/jobs/src/lib/leader/runs/StartDelays.ts
+++ b/packages/jobs/src/lib/leader/runs/StartDelays.ts
@@ -1,6 +1,6 @@
 /**
- * Measures the delay from the decision to start a run to its worker's confirmation. Rising delays are
- * the first sign that a cell is overloaded.
+ * Measures the delay from the decision to start a run to its worker's confirmation. Rising delays
+ * are the first sign that a cell is overloaded.
  */
 
 /** Length of one measuring period in milliseconds. */
@@ -22,7 +22,9 @@
 		this.since = now
 	}
 
-	/** Records a start that a worker has confirmed. @param delay - milliseconds since its decision. */
+	/**
+	 * Records a start that a worker has confirmed. @param delay - milliseconds since its decision.
+	 */
 	record(delay: number): void {
 		this.delays.push(delay)
 	}
@@ -31,8 +33,8 @@
 	 * Ends the period once its time is over.
 	 *
 	 * @param now - the current time, on the leader's clock.
-	 * @param awaited - ages in milliseconds of the starts that no worker has confirmed yet; they count
-	 * too, as lower bounds of their delays.
+	 * @param awaited - ages in milliseconds of the starts that no worker has confirmed yet; they
+	 * count too, as lower bounds of their delays.
 	 * @returns the upper median of the delays in milliseconds, 0 if there were too few starts;
 	 * undefined while the period lasts.
 	 */
--- a/packages/jobs/src/lib/leader/runs/SuspectRuns.ts
+++ b/packages/jobs/src/lib/leader/runs/SuspectRuns.ts
@@ -35,8 +35,8 @@
 	}
 
 	/**
-	 * Orders a worker to stop its suspect runs. After the acknowledgement neither the run nor a late
-	 * order to start it can use resources.
+	 * Orders a worker to stop its suspect runs. After the acknowledgement neither the run nor a
+	 * late order to start it can use resources.
 	 */
 	stopAll(view: WorkerView): void {
 		const { orders, clock } = this.context
@@ -54,7 +54,9 @@
 		}
 	}
 
-	/** Removes the runs that a poll does not list which was sent after their stop was acknowledged. */
+	/**
+	 * Removes the runs that a poll does not list which was sent after their stop was acknowledged.
+	 */
 	removeStopped(view: WorkerView, running: readonly ListedRun[], sentAt: number): void {
 		if (view.suspects.size === 0) return
 		const listed = new Set(running.map((run) => run.task))
--- a/packages/jobs/src/lib/leader/runs/WastedWork.ts
+++ b/packages/jobs/src/lib/leader/runs/WastedWork.ts
@@ -86,8 +86,8 @@
 
 /**
  * Computes the work that a run has wasted. Work up to the time when its newest checkpoint was first
- * listed is kept if the task runs again; if its job has ended, all of it is wasted. Lasting runs waste
- * nothing, since they have no end to work towards.
+ * listed is kept if the task runs again; if its job has ended, all of it is wasted. Lasting runs
+ * waste nothing, since they have no end to work towards.
  *
  * @param run - a run that ended without completing its task.
  * @param goesOn - whether its task will run again.
--- a/packages/jobs/src/lib/leader/runs/gangAttempt.test.ts
+++ b/packages/jobs/src/lib/leader/runs/gangAttempt.test.ts
@@ -12,7 +12,9 @@
 const OTHERS = ['w1', 'w3']
 /** Each member takes a whole worker. */
 const GANG = { count: 3, gang: true, need: { cpu: 4000, memory: 512, accelerators: 0 } }
-/** Milliseconds after which started members are still waiting for the others, with a wide margin. */
+/**
+ * Milliseconds after which started members are still waiting for the others, with a wide margin.
+ */
 const SHORT_WAIT_MS = 600
 /** Milliseconds that an unanswered call and its repetition take beyond `SHORT_WAIT_MS`. */
 const UNANSWERED_CALL_MS = 500
@@ -44,7 +46,8 @@
 	)
 }
 
-// Guards against partly started gangs: the started members kept waiting for the one that was refused.
+// Guards against partly started gangs: the started members kept waiting for the one that was
+// refused.
 test('the other members of a gang are stopped at once when the start of one is refused', () => {
 	const subject = threeWorkers()
 	subject.worker('w2').startResults = [refused(Refusal.Ticket)]
--- a/packages/jobs/src/lib/leader/runs/toCommandEnds.ts
+++ b/packages/jobs/src/lib/leader/runs/toCommandEnds.ts
@@ -3,7 +3,8 @@
 import type { ListedEnd } from '../ports'
 
 /**
- * @returns the ends without their numbers, which are only valid within one incarnation of the worker.
+ * @returns the ends without their numbers, which are only valid within one incarnation of the
+ * worker.
  * @internal
  */
 export function toCommandEnds(listed: readonly ListedEnd[]): End[] {
