--- a/packages/jobs/src/lib/leader/advice/AdviceDispatcher.test.ts
+++ b/packages/jobs/src/lib/leader/advice/AdviceDispatcher.test.ts
@@ -1,3 +1,4 @@
+/** Tests that long answers leave instances for short ones, and that lost answers are repeated. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import { ManualClock } from '@rillrudder/utils'
@@ -7,13 +8,13 @@
 
 const ANSWERED: AdviceResult = { kind: 'answered', tickets: new Map() }
 const INSTANCES = Array.from({ length: 10 }, (_, number) => `instance-${number}`)
-const SHORT = 30
-const LONG = 500
+const SHORT_MS = 30
+const LONG_MS = 500
 
-/** Answers each question after what it costs. */
+/** Answers each question after its cost in milliseconds. */
 class TimedAdvisers extends Advisers {
 	asked: AdviceQuestion[] = []
-	/** Instances that bring no answer. */
+	/** Instances that return no answer. */
 	readonly silent = new Set<string>()
 
 	constructor(
@@ -38,38 +39,39 @@
 	const clock = new ManualClock()
 	const costs = new Map<string, number>()
 	const advisers = new TimedAdvisers(clock, costs)
-	const planner = new AdviceDispatcher({ clock, advisers } as unknown as LeaderContext)
+	const dispatcher = new AdviceDispatcher({ clock, advisers } as unknown as LeaderContext)
 	const waits: number[] = []
 	const ask = (step: string, cost: number, priority = 0): void => {
 		costs.set(step, cost)
 		const since = clock.now()
 		const done = (): void => {
-			if (cost === SHORT) waits.push(clock.now() - since - cost)
+			if (cost === SHORT_MS) waits.push(clock.now() - since - cost)
 		}
 		const rank = cost + priority
 		const question: RankedQuestion = { step, workers: [], cost, rank, priority, done }
-		planner.ask(question)
+		dispatcher.ask(question)
 	}
-	return { clock, advisers, ask, waits, planner }
+	return { clock, advisers, ask, waits, dispatcher }
 }
 
-test('long answers never take all instances', () => {
+test('long answers never occupy all instances', () => {
 	const { advisers, ask } = subject()
-	for (let number = 0; number < 20; number++) ask(`long ${number}`, LONG)
+	for (let number = 0; number < 20; number++) ask(`long ${number}`, LONG_MS)
 	assert.equal(advisers.asked.length, 8)
-	ask('short', SHORT)
+	ask('short', SHORT_MS)
 	assert.equal(advisers.asked.length, 9)
 })
 
-// Guards against a kind of work that is never begun: questions that went before its own took every instance for as long as they came.
-test('questions of a lower priority keep a part of the instances while others would fill them all', () => {
+// Guards against starvation: questions of a higher priority occupied every instance for as long as
+// they kept coming.
+test('questions of a lower priority keep a share of the instances while others could fill them all', () => {
 	const { clock, advisers, ask } = subject()
 	for (let round = 0; round < 10; round++) {
 		for (let number = 0; number < 8; number++) {
-			ask(`first ${round} ${number}`, LONG, 1)
-			ask(`second ${round} ${number}`, LONG, 2)
+			ask(`first ${round} ${number}`, LONG_MS, 1)
+			ask(`second ${round} ${number}`, LONG_MS, 2)
 		}
-		clock.advance(LONG)
+		clock.advance(LONG_MS)
 	}
 	const second = advisers.asked.filter(({ step }) => step.startsWith('second'))
 	assert.ok(second.length >= 2 * 9, `${second.length} of ${advisers.asked.length}`)
@@ -77,27 +79,27 @@
 	assert.ok(first > second.length * 2, `${first} of ${advisers.asked.length}`)
 })
 
-test('a burst of short questions keeps more instances free of long answers', () => {
+test('a burst of short questions reserves more instances for short answers', () => {
 	const { clock, ask, waits } = subject()
 	for (let number = 0; number < 400; number++) {
-		ask(`long ${number}`, LONG)
+		ask(`long ${number}`, LONG_MS)
 		// 90 short ones a second fill 2.7 instances.
-		ask(`short ${number}`, SHORT)
+		ask(`short ${number}`, SHORT_MS)
 		clock.advance(11)
 	}
-	const late = waits.slice(100).filter((wait) => wait > SHORT * 3)
+	const late = waits.slice(100).filter((wait) => wait > SHORT_MS * 3)
 	assert.ok(late.length < 10, `${late.length} of ${waits.length} waited long`)
 })
 
-test('what has no answer in time is asked through a second instance, and answered once', () => {
-	const { clock, advisers, ask, waits, planner } = subject()
+test('an overdue question is asked through a second instance, and answered once', () => {
+	const { clock, advisers, ask, waits, dispatcher } = subject()
 	advisers.silent.add(INSTANCES[0])
-	ask('short', SHORT)
+	ask('short', SHORT_MS)
 	for (let tick = 0; tick < 100; tick++) {
 		clock.advance(20)
-		planner.tick(clock.now())
+		dispatcher.tick(clock.now())
 	}
 	assert.equal(advisers.asked.length, 2)
 	assert.equal(waits.length, 1)
-	assert.ok(waits[0] < SHORT * 6, `${waits[0]} ms`)
+	assert.ok(waits[0] < SHORT_MS * 6, `${waits[0]} ms`)
 })
--- a/packages/jobs/src/lib/leader/advice/AdviceDispatcher.ts
+++ b/packages/jobs/src/lib/leader/advice/AdviceDispatcher.ts
@@ -1,7 +1,7 @@
 /**
- * Spreads questions over the instances that can ask them. The service answers one call at a time from
- * each instance, and some queues' answers take twenty times as long as others': those may not take every
- * instance at once.
+ * Distributes advice questions over the instances that can ask them. The service answers one call
+ * at a time from each instance, and the answers for some queues take twenty times as long as
+ * others. Long questions must not occupy all instances at once.
  */
 import type { AdviceClaim } from '../../shares/AdviceShares'
 import type { LeaderShares } from '../../shares/LeaderShares'
@@ -9,64 +9,68 @@
 import type { AdviceQuestion, AdviceResult } from '../ports'
 import { chooseAdviser } from './chooseAdviser'
 
-/** Milliseconds from which an answer counts as a long one. */
-const LONG = 150
-/** Instances that are kept free of long answers, at least: the short ones of today's queues fill one. */
-const LEAST_KEPT_FREE = 2
-/** The same for each instance that short answers have filled of late, so that few of them wait. */
-const KEPT_FREE_PER_BUSY = 2
+/** Expected duration in milliseconds from which an answer counts as long. */
+const LONG_ANSWER_MS = 150
+/** Minimum number of instances reserved for short answers, which usually fill one instance. */
+const MIN_RESERVED_INSTANCES = 2
+/** Instances reserved for each one that short answers recently filled, so that few of them wait. */
+const RESERVED_PER_BUSY_INSTANCE = 2
 /**
- * Share of the instances that may be asked for long answers which each priority keeps while questions of it wait. Without it, a priority whose
- * questions fill all instances has those below it wait for as long as that lasts.
+ * Share of the instances open to long answers that each priority is guaranteed while it has waiting
+ * questions. Without it, a priority whose questions fill all instances starves the lower ones.
  */
-const FLOOR_SHARE = 0.25
+const MIN_PRIORITY_SHARE = 0.25
 /** Milliseconds over which the load of short answers is averaged. */
-const LOAD_SPAN = 1000
-/** Times the expected span, plus `PATIENCE`, after which an answer is given up. */
-const PATIENCE_FACTOR = 1.5
-/** Milliseconds; the service may be busy with a call of an earlier leader. */
-const PATIENCE = 600
+const LOAD_SPAN_MS = 1000
+/** Multiple of the expected duration, plus `TIMEOUT_MARGIN_MS`, after which a call times out. */
+const TIMEOUT_FACTOR = 1.5
 /**
- * Times the expected span, plus `COPY_AFTER`, after which a question that has no answer is asked through a second
- * instance too: the first one may be cut off, and a caller waits meanwhile.
+ * Milliseconds added to the timeout, since the service may be busy with a call of an earlier
+ * leader.
  */
-const COPY_FACTOR = 2
-/** Milliseconds; twice the way there and back between data centres, and a late timer. */
-const COPY_AFTER = 60
-/** Milliseconds for which an instance that brought no answer is asked last. */
-const REST = 3000
+const TIMEOUT_MARGIN_MS = 600
+/**
+ * Multiple of the expected duration, plus `DUPLICATE_MARGIN_MS`, after which an unanswered question
+ * is also asked through a second instance: the first one may be cut off while a client waits.
+ */
+const DUPLICATE_FACTOR = 2
+/** Milliseconds that cover two round trips between data centres and a late timer. */
+const DUPLICATE_MARGIN_MS = 60
+/** Milliseconds during which an instance that returned no answer is used last. */
+const COOLDOWN_MS = 3000
 
-/** A question with what it costs and how much it matters. @internal */
+/** A question with its cost and its rank. @internal */
 export interface RankedQuestion extends AdviceQuestion {
-	/** Milliseconds that the answer is expected to take. */
+	/** Expected duration of the answer in milliseconds. */
 	readonly cost: number
-	/** Lower goes first. */
+	/** Rank of the question; lower ranks go first. */
 	readonly rank: number
-	/** Of the step's queue. */
+	/** Priority of the step's queue. */
 	readonly priority: number
-	/** Whose account's time it takes, where accounts have shares of it; absent for nobody's. */
+	/** The account charged where accounts have shares of advice time; undefined for none. */
 	readonly claim?: AdviceClaim
+	/** Called once with the result. */
 	readonly done: (result: AdviceResult) => void
 }
 
-/** A question that is being answered, through one instance or two. */
+/** A question that was sent through one instance or two. */
 interface Attempt {
 	readonly question: RankedQuestion
-	/** How many instances may still bring the answer. */
+	/** Number of calls that may still return an answer. */
 	pendingCount: number
 	isAnswered: boolean
-	/** When it is asked through a second instance. */
+	/** When the question is also asked through a second instance, on the leader's clock. */
 	duplicateAt: number
 }
 
-/** What an instance is asked. */
+/** A call that is pending at an instance. */
 interface PendingCall {
 	readonly attempt: Attempt
 	readonly timeoutAt: number
 }
 
 /**
- * Questions that wait or are being answered.
+ * Queues questions and sends them through free instances.
  *
  * @internal
  */
@@ -74,10 +78,10 @@
 	private waiting: RankedQuestion[] = []
 	private readonly pendingCalls = new Map<string, PendingCall>()
 	private isDispatching = false
-	/** How many instances short answers have filled of late, and as of when. */
+	/** Number of instances that short answers recently kept busy, and when it was computed. */
 	private shortLoad = 0
 	private shortLoadAt = 0
-	/** Until when instances that brought no answer are asked last. */
+	/** Until when instances that returned no answer are used last, by id. */
 	private readonly cooldowns = new Map<string, number>()
 
 	constructor(
@@ -85,37 +89,42 @@
 		private readonly shares?: LeaderShares
 	) {}
 
-	/** Asks as soon as an instance is free. */
+	/** Asks a question as soon as an instance is free. */
 	ask(question: RankedQuestion): void {
-		if (question.cost < LONG) this.recordShort(question.cost)
+		if (question.cost < LONG_ANSWER_MS) this.recordShort(question.cost)
 		this.waiting.push(question)
 		this.dispatch()
 	}
 
-	/** Gives up answers that will not come, asks again what has none, and asks what waits. */
+	/**
+	 * Times out calls, sends waiting questions, and repeats overdue ones through a second instance.
+	 */
 	tick(now: number): void {
-		for (const [via, asked] of this.pendingCalls) {
-			if (now < asked.timeoutAt) continue
-			this.release(via, asked, now)
-			this.settle(asked.attempt, { kind: 'unknown', message: `no answer through ${via}` })
+		for (const [via, call] of this.pendingCalls) {
+			if (now < call.timeoutAt) continue
+			this.release(via, call, now)
+			this.settle(call.attempt, { kind: 'unknown', message: `no answer through ${via}` })
 		}
 		this.dispatch()
 		this.askDuplicates(now)
 	}
 
-	/** Asks through a second instance, where one is free, what should have been answered by now. */
+	/** Asks overdue questions through a second instance where one is free. */
 	private askDuplicates(now: number): void {
 		for (const { attempt } of [...this.pendingCalls.values()]) {
 			if (attempt.isAnswered || now < attempt.duplicateAt) continue
 			const free = this.freeInstances()
-			const kept = attempt.question.cost >= LONG ? this.reservedInstanceCount() : 0
+			const kept = attempt.question.cost >= LONG_ANSWER_MS ? this.reservedInstanceCount() : 0
 			if (free.length <= kept) continue
 			attempt.duplicateAt = Number.POSITIVE_INFINITY
 			this.send(this.bestOf(free), attempt)
 		}
 	}
 
-	/** Sends what can be sent. An instance that is lost may answer at once, which begins a further round. */
+	/**
+	 * Sends as many questions as possible. A lost instance may fail its call synchronously, and the
+	 * callback dispatches again; the flag prevents recursion.
+	 */
 	private dispatch(): void {
 		if (this.isDispatching) return
 		this.isDispatching = true
@@ -123,17 +132,18 @@
 		this.isDispatching = false
 	}
 
-	/** @returns whether a question was sent. */
+	/** Sends the next question. @returns whether one was sent. */
 	private dispatchNext(): boolean {
 		if (this.waiting.length === 0) return false
 		const free = this.freeInstances()
 		if (free.length === 0) return false
-		const asked = [...this.pendingCalls.values()]
-		const long = asked.filter(({ attempt }) => attempt.question.cost >= LONG).length
-		const longMost = Math.max(1, free.length + asked.length - this.reservedInstanceCount())
-		const next = long < longMost ? this.takeNext(longMost) : this.takeShort()
+		const calls = [...this.pendingCalls.values()]
+		const long = calls.filter(({ attempt }) => attempt.question.cost >= LONG_ANSWER_MS).length
+		const maxLong = Math.max(1, free.length + calls.length - this.reservedInstanceCount())
+		const next = long < maxLong ? this.takeNext(maxLong) : this.takeShort()
 		if (!next) return false
-		const duplicateAt = this.context.clock.now() + next.cost * COPY_FACTOR + COPY_AFTER
+		const duplicateAt =
+			this.context.clock.now() + next.cost * DUPLICATE_FACTOR + DUPLICATE_MARGIN_MS
 		this.send(this.bestOf(free), {
 			question: next,
 			pendingCount: 0,
@@ -148,35 +158,39 @@
 	}
 
 	private recordShort(cost: number): void {
-		this.shortLoad = this.decayedLoad() + cost / LOAD_SPAN
+		this.shortLoad = this.decayedLoad() + cost / LOAD_SPAN_MS
 		this.shortLoadAt = this.context.clock.now()
 	}
 
 	private decayedLoad(): number {
 		const passed = this.context.clock.now() - this.shortLoadAt
-		return this.shortLoad * Math.exp(-passed / LOAD_SPAN)
+		return this.shortLoad * Math.exp(-passed / LOAD_SPAN_MS)
 	}
 
 	private reservedInstanceCount(): number {
-		return Math.max(LEAST_KEPT_FREE, Math.ceil(this.decayedLoad() * KEPT_FREE_PER_BUSY))
+		return Math.max(
+			MIN_RESERVED_INSTANCES,
+			Math.ceil(this.decayedLoad() * RESERVED_PER_BUSY_INSTANCE)
+		)
 	}
 
 	/**
-	 * Takes the question that matters most; of long ones first those of priorities that have less than their floor.
+	 * Removes the next question from the queue. Long questions of priorities below their guaranteed
+	 * share go first.
 	 *
-	 * @param longMost - how many instances may be asked for long answers at a time.
+	 * @param maxLong - the maximum number of concurrent calls for long answers.
 	 */
-	private takeNext(longMost: number): RankedQuestion | undefined {
-		const floor = Math.floor(longMost * FLOOR_SHARE)
+	private takeNext(maxLong: number): RankedQuestion | undefined {
+		const minimum = Math.floor(maxLong * MIN_PRIORITY_SHARE)
 		const held = this.longByPriority()
 		const isBelow = ({ cost, priority }: RankedQuestion): boolean =>
-			cost >= LONG && (held.get(priority) ?? 0) < floor
+			cost >= LONG_ANSWER_MS && (held.get(priority) ?? 0) < minimum
 		return this.take(this.bestWaiting(isBelow) ?? this.bestWaiting(() => true))
 	}
 
-	/** Takes the short question that matters most. */
+	/** Removes the next short question from the queue. */
 	private takeShort(): RankedQuestion | undefined {
-		return this.take(this.bestWaiting(({ cost }) => cost < LONG))
+		return this.take(this.bestWaiting(({ cost }) => cost < LONG_ANSWER_MS))
 	}
 
 	private take(question: RankedQuestion | undefined): RankedQuestion | undefined {
@@ -184,21 +198,21 @@
 		return question
 	}
 
-	private bestWaiting(counts: (question: RankedQuestion) => boolean): RankedQuestion | undefined {
+	private bestWaiting(matches: (question: RankedQuestion) => boolean): RankedQuestion | undefined {
 		let best: RankedQuestion | undefined
 		for (const question of this.waiting) {
-			if (!counts(question)) continue
+			if (!matches(question)) continue
 			if (!best || this.compare(question, best) < 0) best = question
 		}
 		return best
 	}
 
-	/** How many instances are asked for long answers, by the priority of the question. */
+	/** @returns the number of pending calls for long answers by priority. */
 	private longByPriority(): ReadonlyMap<number, number> {
 		const counts = new Map<number, number>()
 		for (const { attempt } of this.pendingCalls.values()) {
 			const { cost, priority } = attempt.question
-			if (cost >= LONG) counts.set(priority, (counts.get(priority) ?? 0) + 1)
+			if (cost >= LONG_ANSWER_MS) counts.set(priority, (counts.get(priority) ?? 0) + 1)
 		}
 		return counts
 	}
@@ -211,7 +225,7 @@
 		}))
 	}
 
-	/** Below 0 when the first question goes before the second. */
+	/** @returns a negative number if the first question goes before the second. */
 	private compare(left: RankedQuestion, right: RankedQuestion): number {
 		const byShare = this.shares?.inForce && left.claim && right.claim
 		const share = byShare ? this.shares.advice.compare(left.claim, right.claim) : 0
@@ -221,27 +235,29 @@
 	private send(via: string, attempt: Attempt): void {
 		const now = this.context.clock.now()
 		const { step, workers, cost } = attempt.question
-		const asked = { attempt, timeoutAt: now + cost * PATIENCE_FACTOR + PATIENCE }
-		this.pendingCalls.set(via, asked)
+		const call = { attempt, timeoutAt: now + cost * TIMEOUT_FACTOR + TIMEOUT_MARGIN_MS }
+		this.pendingCalls.set(via, call)
 		attempt.pendingCount += 1
 		const { claim } = attempt.question
 		if (claim && this.shares?.inForce) this.shares.advice.charge(claim, cost, now)
 		this.context.advisers.ask(via, { step, workers }, (result) => {
-			if (this.pendingCalls.get(via) !== asked) return
-			this.release(via, asked, result.kind === 'answered' ? undefined : now)
+			if (this.pendingCalls.get(via) !== call) return
+			this.release(via, call, result.kind === 'answered' ? undefined : now)
 			this.settle(attempt, result)
 			this.dispatch()
 		})
 	}
 
-	/** An instance is free again; one that brought no answer, as of a moment, rests. */
-	private release(via: string, asked: PendingCall, failedAt: number | undefined): void {
+	/**
+	 * Marks an instance as free. One whose call failed, at `failedAt`, is used last for a while.
+	 */
+	private release(via: string, call: PendingCall, failedAt: number | undefined): void {
 		this.pendingCalls.delete(via)
-		asked.attempt.pendingCount -= 1
-		if (failedAt !== undefined) this.cooldowns.set(via, failedAt + REST)
+		call.attempt.pendingCount -= 1
+		if (failedAt !== undefined) this.cooldowns.set(via, failedAt + COOLDOWN_MS)
 	}
 
-	/** The first answer counts; without any, the last failure. */
+	/** Settles a question with its first answer, or with the last failure if there is no answer. */
 	private settle(attempt: Attempt, result: AdviceResult): void {
 		if (attempt.isAnswered) return
 		if (result.kind !== 'answered' && attempt.pendingCount > 0) return
--- a/packages/jobs/src/lib/leader/advice/StepQuestions.ts
+++ b/packages/jobs/src/lib/leader/advice/StepQuestions.ts
@@ -1,4 +1,4 @@
-/** Asks for advice about steps: when, about which workers, and what the answers bring. */
+/** Requests advice about steps: decides when and about which workers, and records the answers. */
 import { Measure } from '@rillrudder/telemetry'
 import type { AdviceTerms } from '../../records/Cell'
 import { rankOf } from '../../placement/StepUrgency'
@@ -14,13 +14,13 @@
 import { splitQuestion } from '../../gangs/splitQuestion'
 import { chooseWorkersToAsk } from './chooseWorkersToAsk'
 
-/** Milliseconds that a step's ticket must still hold for its next task to be decided with it. */
-const ASK_AGAIN = 400
-/** Milliseconds from which an answer is asked for before there is room. */
-const LONG_ANSWER = 150
+/** Milliseconds that a ticket must remain valid so that the next task can be decided with it. */
+const MIN_TICKET_LIFE_MS = 400
+/** Expected duration in milliseconds from which advice is requested before there is capacity. */
+const LONG_ANSWER_MS = 150
 
 /**
- * The questions about steps.
+ * Sends the questions about steps.
  *
  * @internal
  */
@@ -35,28 +35,31 @@
 		this.dispatcher = new AdviceDispatcher(context, accounts)
 	}
 
-	/** Gives up answers that will not come. */
+	/** Times out overdue questions and sends waiting ones. */
 	tick(now: number): void {
 		this.dispatcher.tick(now)
 	}
 
 	/**
-	 * Asks which of the eligible workers may run a step, unless a question about it is under way or would not help.
+	 * Asks which of the eligible workers may run a step, unless a question about it is pending or
+	 * would not help.
 	 *
-	 * @param tasks - how many of its tasks want a place.
-	 * @param roomAt - when room that is kept for the next of them is expected, on the leader's clock; absent when none is.
+	 * @param tasks - the number of its tasks to place.
+	 * @param roomAt - when the capacity reserved for the next of them is expected, on the leader's
+	 * clock; undefined if none is reserved.
 	 */
 	ask(work: StepWork, eligible: readonly Option[], tasks: number, roomAt?: number): void {
 		const { advice, queue } = work
 		const now = this.context.clock.now()
 		if (!queue.advice || advice.isAsking || now < advice.notBefore) return
 		const answer = queue.advice.base + queue.advice.each * eligible.length
-		// A gang begins only with all its tickets valid, and a long answer comes late for free room.
-		// An urgent step wants to know where room may be made for it.
-		const ahead = answer >= LONG_ANSWER || work.urgent
-		const until = now + ASK_AGAIN + (ahead || work.step.gang ? answer : 0)
+		// A gang starts only while all its tickets are valid, and a long answer is too late for
+		// free
+		// capacity. An urgent step needs to know where capacity can be freed for it.
+		const ahead = answer >= LONG_ANSWER_MS || work.urgent
+		const until = now + MIN_TICKET_LIFE_MS + (ahead || work.step.gang ? answer : 0)
 		const share = this.allowedShares.shareOf(queue.name)
-		const renew = roomAt === undefined || roomAt <= now + answer + ASK_AGAIN
+		const renew = roomAt === undefined || roomAt <= now + answer + MIN_TICKET_LIFE_MS
 		const need = {
 			tasks,
 			until,
@@ -70,12 +73,12 @@
 		if (workers.length > 0) this.send(work, workers, queue.advice)
 	}
 
-	/** @returns which share of workers a queue's policy allows, from 0 to 1, as seen of late. */
+	/** @returns the share of workers that a queue's policy recently allowed, from 0 to 1. */
 	allowedShareOf(queue: string): number {
 		return this.allowedShares.shareOf(queue)
 	}
 
-	/** Asks about these workers, in several questions side by side where one would take long. */
+	/** Asks about workers, in several parallel questions if one would take long. */
 	askAbout(work: StepWork, workers: readonly string[]): void {
 		const terms = work.queue.advice
 		if (!terms) return
@@ -114,9 +117,9 @@
 		}
 		const valid = work.queue.advice?.valid ?? 0
 		work.advice.firstAnswerAt ??= now
-		const news = asked.filter((worker) => !work.advice.isAllowed(worker))
-		const allowed = news.filter((worker) => result.tickets.has(worker)).length
-		this.allowedShares.record(work.queue.name, news.length, allowed)
+		const newlyAsked = asked.filter((worker) => !work.advice.isAllowed(worker))
+		const allowed = newlyAsked.filter((worker) => result.tickets.has(worker)).length
+		this.allowedShares.record(work.queue.name, newlyAsked.length, allowed)
 		work.advice.onAnswer(asked, result.tickets, now + valid - timing.ticketMargin)
 		const took = Math.round(now - askedAt)
 		const good = result.tickets.size
--- a/packages/jobs/src/lib/leader/advice/chooseAdviser.test.ts
+++ b/packages/jobs/src/lib/leader/advice/chooseAdviser.test.ts
@@ -1,4 +1,6 @@
-/** Through which instance a question goes: past those that bring no answer, run late, have much to do or little to do it with. */
+/**
+ * Tests the choice of the instance for a question: it avoids late, failing, loaded and small ones.
+ */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import { DEFAULT_ADVISER_STATUS } from './AdviserStatus'
@@ -6,17 +8,17 @@
 
 const PLAIN: RankedAdviser = { ...DEFAULT_ADVISER_STATUS, cooldownUntil: 0 }
 
-/** @returns the place of the best of these. */
+/** @returns the index of the chosen instance. */
 function best(...ranks: readonly Partial<RankedAdviser>[]): number {
 	const ids = ranks.map((_, place) => `${place}`)
 	return Number(chooseAdviser(ids, (id) => ({ ...PLAIN, ...ranks[Number(id)] })))
 }
 
-test('the first of those that are alike is asked', () => {
+test('the first one among equal instances is chosen', () => {
 	assert.equal(best({}, {}, {}), 0)
 })
 
-test('a late one is asked last, then one that rests, then the more loaded, then the small', () => {
+test('a late instance is chosen last, then one in cooldown, then the more loaded, then the small', () => {
 	assert.equal(best({ isLate: true }, { cooldownUntil: 900 }, { load: 3 }, { isSmall: true }), 3)
 	assert.equal(best({ isLate: true }, { cooldownUntil: 900 }, { load: 3 }), 2)
 	assert.equal(best({ isLate: true }, { cooldownUntil: 900 }), 1)
--- a/packages/jobs/src/lib/leader/advice/chooseAdviser.ts
+++ b/packages/jobs/src/lib/leader/advice/chooseAdviser.ts
@@ -1,16 +1,20 @@
 /** Chooses the instance through which the next question is asked. */
 import type { AdviserStatus } from './AdviserStatus'
 
-/** What the choice compares. @internal */
+/** The status of an instance and its cooldown. @internal */
 export interface RankedAdviser extends AdviserStatus {
-	/** Until when it is asked last, since it brought no answer; 0 once that is over. */
+	/**
+	 * Until when it is used last because it returned no answer, on the leader's clock; 0 if it is
+	 * not.
+	 */
 	readonly cooldownUntil: number
 }
 
 /**
  * @param free - instances that can be asked, at least one.
- * @param rank - tells how well each of them can ask.
- * @returns the punctual one, among those the most rested, least loaded and not small; the first of those that are alike.
+ * @param rank - returns the properties by which an instance is ranked.
+ * @returns the best instance: not late, then with the earliest end of its cooldown, then the least
+ * loaded, then not small; the first one among equals.
  * @internal
  */
 export function chooseAdviser(
--- a/packages/jobs/src/lib/leader/advice/chooseWorkersToAsk.ts
+++ b/packages/jobs/src/lib/leader/advice/chooseWorkersToAsk.ts
@@ -1,63 +1,64 @@
-/** Chooses the workers to ask about: few, since each one makes the answer later. */
+/** Chooses the workers to ask about: few, since each one delays the answer. */
 import type { Resources } from '@rillrudder/scheduler'
 import type { AdviceTerms } from '../../records/Cell'
 import type { Option } from '../steps/chooseForStep'
 import type { StepWork } from '../steps/StepWork'
 
 /**
- * Share of its least time that an answer may take longer so that it covers all workers: a second question costs the
- * whole least time again.
+ * Share of the base time by which an answer may take longer to cover all workers. A second question
+ * would cost the whole base time again.
  */
-const ALL_AT_ONCE = 0.5
-/** Room asked for as a multiple of the room wanted, since others place there meanwhile. */
-const SURPLUS = 1.5
-/** The same for a gang, all of which must find room at once. */
-const GANG_SURPLUS = 3
-/** Workers beyond that, so that bad luck does not cost another question. */
+const ALL_WORKERS_SHARE = 0.5
+/** Capacity to ask for, as a multiple of the need, since other steps use some of it meanwhile. */
+const SURPLUS_FACTOR = 1.5
+/** The same for a gang, whose members all need capacity at the same time. */
+const GANG_SURPLUS_FACTOR = 3
+/** Workers beyond that, so that a few unexpected refusals do not cost another question. */
 const SPARE_WORKERS = 2
 
 /**
- * Workers among which a question looks first where there are more; with free room there it needs no look at the others. They are the same for all
- * steps: each worker that runs something is polled over connections of its own, so work stays on few workers while these have room.
+ * Number of workers that are considered first; the others are considered only if these have too
+ * little free capacity. They are the same for all steps, so that work stays on few workers while
+ * these have capacity: each worker that runs something is polled over its own connections.
  */
-const LOOKED_AT_FIRST = 500
+const FIRST_CANDIDATES = 500
 
-/** What a question is for. @internal */
+/** The requirements of a question. @internal */
 export interface AdviceNeed {
-	/** How many tasks want a place. */
+	/** The number of tasks to place. */
 	readonly tasks: number
-	/** Tickets that end before this moment count as ended. */
+	/** Tickets that expire before this moment, on the leader's clock, count as expired. */
 	readonly until: number
-	/** How many workers may be asked about. */
+	/** The maximum number of workers to ask about. */
 	readonly most: number
-	/** Whether to ask also about workers without room now, so that it can be used once it is there. */
+	/** Whether to ask about workers without free capacity too, to use it as soon as it is freed. */
 	readonly ahead: boolean
-	/** Whether tickets that run out are to be renewed; not while room is expected only later. */
+	/** Whether to renew expiring tickets; not while capacity is expected only later. */
 	readonly renew: boolean
-	/** Share of workers that the queue's policy allows, from 0 to 1, as seen of late. */
+	/** Share of workers that the queue's policy recently allowed, from 0 to 1. */
 	readonly share: number
-	/** What an answer costs. */
+	/** The time that an answer takes. */
 	readonly terms: AdviceTerms
 }
 
 interface Candidate {
 	readonly option: Option
-	/** Tasks of the step that it can take. */
+	/** Number of tasks of the step that fit on the worker. */
 	readonly room: number
 }
 
 interface Choice {
 	/** Ids of the workers. */
 	readonly workers: string[]
-	/** Whether they are likely to have as much room as is wanted. */
+	/** Whether they are likely to have the capacity that is needed. */
 	readonly isEnough: boolean
 }
 
 /**
  * @param work - the step.
- * @param eligible - workers of the right service and label.
- * @param need - what the question is for.
- * @returns ids of the workers to ask about; empty when asking would not help.
+ * @param eligible - workers with the right service and labels.
+ * @param need - the requirements of the question.
+ * @returns ids of the workers to ask about; empty if asking would not help.
  * @internal
  */
 export function chooseWorkersToAsk(
@@ -66,8 +67,8 @@
 	need: AdviceNeed
 ): string[] {
 	const { advice } = work
-	if (eligible.length > LOOKED_AT_FIRST) {
-		const first = usefulAmong(work, eligible.slice(0, LOOKED_AT_FIRST), need)
+	if (eligible.length > FIRST_CANDIDATES) {
+		const first = usefulAmong(work, eligible.slice(0, FIRST_CANDIDATES), need)
 		const choice = pick(work, candidates(work, first, freeOf), need, 0)
 		if (choice.isEnough) return choice.workers
 	}
@@ -83,7 +84,10 @@
 	return pick(work, candidates(work, useful, capacityOf), need, covered).workers
 }
 
-/** Workers of which an answer would bring something: not known yet, or allowed with a ticket that runs out. */
+/**
+ * @returns the workers about which an answer is useful: unknown ones, and allowed ones with an
+ * expiring ticket.
+ */
 function usefulAmong(
 	{ advice }: StepWork,
 	options: readonly Option[],
@@ -95,7 +99,7 @@
 }
 
 function coversAllCheaply(workers: number, { terms, most }: AdviceNeed): boolean {
-	return workers <= most && terms.each * workers <= terms.base * ALL_AT_ONCE
+	return workers <= most && terms.each * workers <= terms.base * ALL_WORKERS_SHARE
 }
 
 function candidates(
@@ -109,14 +113,14 @@
 		.sort((left, right) => right.room - left.room)
 }
 
-/** Takes workers until they are likely to have enough room among them. */
+/** Chooses workers until they are likely to have enough capacity together. */
 function pick(
 	work: StepWork,
 	from: readonly Candidate[],
 	need: AdviceNeed,
 	covered: number
 ): Choice {
-	const wanted = need.tasks * (work.step.gang ? GANG_SURPLUS : SURPLUS)
+	const wanted = need.tasks * (work.step.gang ? GANG_SURPLUS_FACTOR : SURPLUS_FACTOR)
 	const chosen: string[] = []
 	let expected = covered
 	let spare = covered >= wanted ? 0 : SPARE_WORKERS
