--- a/packages/jobs/src/lib/gangs/GangAttempt.ts
+++ b/packages/jobs/src/lib/gangs/GangAttempt.ts
@@ -36,8 +36,8 @@
 export class GangAttempt {
 	/** Members whose start is committed and that have not ended, by task. */
 	private readonly members = new Map<string, Run>()
-	private startedCount = 0
-	private voidedCount = 0
+	private started = 0
+	private voided = 0
 	/** Whether no further member can start under its number. */
 	private isClosed = false
 	/** Whether all members were running at one time. From then on the workers end them together. */
@@ -67,7 +67,7 @@
 
 	/** Whether the start of every member is committed and none has ended. */
 	get isCommitted(): boolean {
-		return this.startedCount === this.size && this.members.size === this.size
+		return this.started === this.size && this.members.size === this.size
 	}
 
 	/** Whether its members are still gathering: it was neither abandoned nor complete so far. */
@@ -77,10 +77,7 @@
 
 	/** Whether all its members have ended and no further one can start. */
 	get isOver(): boolean {
-		return (
-			this.members.size === 0 &&
-			(this.isClosed || this.startedCount + this.voidedCount >= this.size)
-		)
+		return this.members.size === 0 && (this.isClosed || this.started + this.voided >= this.size)
 	}
 
 	/** Members whose workers have not confirmed them. */
@@ -91,12 +88,12 @@
 	/** Adds a member whose start is committed. */
 	add(run: Run): void {
 		this.members.set(run.taskId, run)
-		this.startedCount += 1
+		this.started += 1
 	}
 
 	/** Counts a member whose start was committed without effect. */
 	addVoid(): void {
-		this.voidedCount += 1
+		this.voided += 1
 	}
 
 	/**
