--- a/packages/jobs/src/lib/leader/runs/RunOrders.ts
+++ b/packages/jobs/src/lib/leader/runs/RunOrders.ts
@@ -153,8 +153,8 @@
 	private onAnswer(run: Run, asked: RunPhase, result: OrderResult, sentAt: number): void {
 		run.isOrderPending = false
 		const { meter, clock } = this.context
-		meter.count(Measure.Orders, { sendOrder: asked, result: result.kind })
-		meter.observe(Measure.OrderTime, clock.now() - sentAt, { sendOrder: asked })
+		meter.count(Measure.Orders, { order: asked, result: result.kind })
+		meter.observe(Measure.OrderTime, clock.now() - sentAt, { order: asked })
 		const view = this.workers.find(run.worker)
 		if (!view || !this.host.isCurrent(run)) return
 		switch (result.kind) {
@@ -205,7 +205,7 @@
 	private onRefused(run: Run, view: WorkerView, asked: RunPhase, reason: Refusal): void {
 		const { log, health, clock, timing } = this.context
 		const { taskId, attempt, worker } = run
-		log.info(LeaderEvent.OrderRefused, { task: taskId, attempt, worker, reason, sendOrder: asked })
+		log.info(LeaderEvent.OrderRefused, { task: taskId, attempt, worker, reason, order: asked })
 		if (reason === Refusal.Fence) {
 			this.workers.fenced(view)
 			return
