--- a/packages/jobs/src/lib/gangs/chooseGangWorkersToAsk.ts
+++ b/packages/jobs/src/lib/gangs/chooseGangWorkersToAsk.ts
@@ -65,16 +65,16 @@
 	const candidates = unknown
 		.map((option) => ({
 			id: option.view.id,
-			room: work.copiesIn(option.view.id, amount(option)),
+			capacity: work.copiesIn(option.view.id, amount(option)),
 			free: work.copiesIn(option.view.id, option.account.free),
 		}))
-		.filter(({ room }) => room > 0)
-		.sort((left, right) => right.free - left.free || right.room - left.room)
+		.filter(({ capacity }) => capacity > 0)
+		.sort((left, right) => right.free - left.free || right.capacity - left.capacity)
 	const chosen: string[] = []
 	let expected = 0
-	for (const { id, room } of candidates) {
+	for (const { id, capacity } of candidates) {
 		if (expected >= wanted) break
-		expected += room * share
+		expected += capacity * share
 		chosen.push(id)
 	}
 	return chosen
--- a/packages/jobs/src/lib/leader/advice/chooseWorkersToAsk.ts
+++ b/packages/jobs/src/lib/leader/advice/chooseWorkersToAsk.ts
@@ -44,7 +44,7 @@
 interface Candidate {
 	readonly option: Option
 	/** Number of tasks of the step that fit on the worker. */
-	readonly room: number
+	readonly capacity: number
 }
 
 interface Choice {
@@ -108,9 +108,9 @@
 	amount: (option: Option) => Resources
 ): Candidate[] {
 	return options
-		.map((option) => ({ option, room: work.copiesIn(option.view.id, amount(option)) }))
-		.filter(({ room }) => room > 0)
-		.sort((left, right) => right.room - left.room)
+		.map((option) => ({ option, capacity: work.copiesIn(option.view.id, amount(option)) }))
+		.filter(({ capacity }) => capacity > 0)
+		.sort((left, right) => right.capacity - left.capacity)
 }
 
 /** Chooses workers until they are likely to have enough capacity together. */
@@ -124,11 +124,11 @@
 	const chosen: string[] = []
 	let expected = covered
 	let spare = covered >= wanted ? 0 : SPARE_WORKERS
-	for (const { option, room } of from) {
+	for (const { option, capacity } of from) {
 		const { id } = option.view
 		if (chosen.length >= need.most) break
 		if (expected >= wanted && spare-- <= 0) break
-		expected += room * (work.advice.isAllowed(id) ? 1 : need.share)
+		expected += capacity * (work.advice.isAllowed(id) ? 1 : need.share)
 		chosen.push(id)
 	}
 	return { workers: chosen, isEnough: expected >= wanted }
--- a/packages/jobs/src/lib/leader/runs/LostRunHandler.ts
+++ b/packages/jobs/src/lib/leader/runs/LostRunHandler.ts
@@ -59,8 +59,7 @@
 		this.context.log.warn(LeaderEvent.RunsLost, { worker: view.id, runs: runs.length, reason })
 		for (const run of lost) {
 			view.runs.delete(run.taskId)
-			// The worker may answer again before the commit; the run must not be ordered there
-			// then.
+			// The worker may answer again before the commit; then the run must not be ordered there.
 			run.retryAt = Number.POSITIVE_INFINITY
 		}
 		this.context.proposals.propose({ kind: 'end', runs, at: epochOf(this.context) })
--- a/packages/jobs/src/lib/leader/runs/RunController.ts
+++ b/packages/jobs/src/lib/leader/runs/RunController.ts
@@ -349,7 +349,7 @@
 			this.enterPhase(run, RunPhase.Stopped)
 	}
 
-	/** Checks whether runs stall on a worker, and moves those that do. */
+	/** Excludes a worker on which runs stall from new work, and moves those runs. */
 	private checkStalls(view: WorkerView): void {
 		const now = this.context.clock.now()
 		const { stalls } = this.workers
@@ -447,8 +447,7 @@
 
 	private onNotListed(run: Run, sentAt: number): void {
 		if (run.isRestored && run.phase === RunPhase.Starting && (run.needsTicket || run.step.gang)) {
-			// It never started, and orders of earlier leaders are fenced off. Its ticket is unknown
-			// here.
+			// It never started, and orders of earlier leaders are fenced off. Its ticket is unknown.
 			this.gangs.onMemberFailed(run, GangFailure.NotStarted)
 			this.proposeEnd(run, RunEnd.Refused)
 			return
--- a/packages/jobs/src/lib/leader/runs/RunPacer.ts
+++ b/packages/jobs/src/lib/leader/runs/RunPacer.ts
@@ -47,7 +47,7 @@
 		run.pace = percent
 		log.info(LeaderEvent.RunPaced, { task, worker: view.id, percent, pressure })
 		orders.pace(view.worker, { task, attempt, percent, fence: view.fence }, (result) => {
-			// An order that was not carried out is decided again after the next poll.
+			// An unconfirmed order is decided again after the next poll.
 			if (result.kind !== 'done') run.pace = before
 		})
 	}
--- a/packages/jobs/src/lib/leader/runs/WastedWork.ts
+++ b/packages/jobs/src/lib/leader/runs/WastedWork.ts
@@ -8,7 +8,7 @@
 export const StopReason = {
 	/** Its job has ended, or an earlier run has completed its task. */
 	NoLongerNeeded: 'over',
-	/** It makes room for urgent work. */
+	/** It frees capacity for urgent work. */
 	Preempted: 'preempted',
 	/** Its worker is leaving. */
 	Leaving: 'leaving',
