--- a/packages/jobs/src/lib/leader/steps/StepScheduler.ts
+++ b/packages/jobs/src/lib/leader/steps/StepScheduler.ts
@@ -11,7 +11,7 @@
 } from '../../state/JobRecord'
 import { Suspicion } from '../../state/TaskCrashes'
 import { GangPlanner } from '../../gangs/GangPlanner'
-import { needsPlan } from '../../gangs/needsPlan'
+import { shouldPlanGang } from '../../gangs/shouldPlanGang'
 import type { Precedence } from '../../placement/Precedence'
 import { Reservations } from '../../placement/Reservations'
 import { timesOf } from '../../placement/stepTimes'
@@ -239,7 +239,7 @@
 
 	/** A ticket does not hold. */
 	ticketRefused(task: TaskName, worker: string): void {
-		this.steps.get(nameOf(task))?.advice.refused(worker)
+		this.steps.get(nameOf(task))?.advice.onTicketRefused(worker)
 	}
 
 	/** A run was moved away from a worker on which it stood still: another one is taken, if there is one. */
@@ -286,7 +286,7 @@
 
 	/** How many starts are under way; they are counted only where there is a bound. */
 	private get boundedStarts(): number {
-		return this.startWindow.isBounded ? this.runs.startsUnderWay : 0
+		return this.startWindow.isBounded ? this.runs.startsInProgress : 0
 	}
 
 	private isReady({ job, repeat, number }: StepWork): boolean {
@@ -350,7 +350,7 @@
 			if (!later.dependsOn.includes(step)) return
 			const work = this.open(job, repeat, number)
 			const eligible = this.lookAround().eligible(work)
-			if (needsPlan(work)) this.gangs.learn(work, eligible, this.context.clock.now())
+			if (shouldPlanGang(work)) this.gangs.discoverWorkers(work, eligible, this.context.clock.now())
 			else this.questions.ask(work, eligible, work.step.count)
 		})
 	}
@@ -386,7 +386,7 @@
 		const left = this.placeAmong(work, waiting, options, now)
 		if (left === 0) return
 		if (full) work.waits.note(reasonIn(work, { eligible, options }), now)
-		if (needsPlan(work)) return full ? this.gangs.prepare(work, eligible, now) : undefined
+		if (shouldPlanGang(work)) return full ? this.gangs.plan(work, eligible, now) : undefined
 		if (full && this.reservations.mayKeep(work)) this.reservations.keep(work, left, workers.allowed)
 		const room = this.reservations.expectedAt(work)
 		if (work.queue.advice) this.questions.ask(work, eligible, left, room?.next)
@@ -401,7 +401,7 @@
 		if (freed.length === 0) return
 		const options = this.readyAmong(work, freed, pass.now)
 		const left = this.placeAmong(work, waiting, options, pass.now)
-		if (left === 0 || options.length === freed.length || work.advice.asking) return
+		if (left === 0 || options.length === freed.length || work.advice.isAsking) return
 		const room = this.reservations.expectedAt(work)
 		this.questions.ask(work, pass.eligible(work), left, room?.next)
 	}
@@ -426,7 +426,7 @@
 	/** Of workers where something has come free those that may run the step now. */
 	private readyAmong(work: StepWork, freed: readonly Option[], now: number): readonly Option[] {
 		if (!work.queue.advice) return freed
-		return freed.filter(({ view }) => work.advice.ticket(view.id, now) !== undefined)
+		return freed.filter(({ view }) => work.advice.ticketOf(view.id, now) !== undefined)
 	}
 
 	private begin(work: StepWork, placed: readonly Placed[], now: number): void {
@@ -438,9 +438,9 @@
 			work.decided.add(index)
 			const isolated = this.quarantine.suspicionOf(work, index) === Suspicion.Isolated
 			if (isolated) this.quarantine.decided(task, job.id, worker)
-			const ticket = work.advice.ticket(worker, now) ?? ''
+			const ticket = work.advice.ticketOf(worker, now) ?? ''
 			const { urgent, yields } = work
-			this.runs.decided(task, { worker, ticket, urgent, yields, at: now })
+			this.runs.onDecided(task, { worker, ticket, urgent, yields, at: now })
 			return { task, attempt, worker }
 		})
 		this.log.placed(work, placed, now)
--- a/packages/jobs/src/lib/leader/workers/IncarnationChanges.ts
+++ b/packages/jobs/src/lib/leader/workers/IncarnationChanges.ts
@@ -12,7 +12,7 @@
  */
 import type { Worker } from '../../records/Cell'
 import { isOtherIncarnation } from '../../records/Incarnation'
-import { endsOf } from '../runs/endsOf'
+import { toCommandEnds } from '../runs/toCommandEnds'
 import type { FenceTokens } from './FenceTokens'
 import { epochOf, type LeaderContext } from '../LeaderContext'
 import type { OrderTarget, PollResult } from '../ports'
@@ -189,7 +189,7 @@
 	 */
 	private commitEnds({ ended }: ListedRuns): void {
 		if (ended.length === 0) return
-		const runs = endsOf(ended)
+		const runs = toCommandEnds(ended)
 		this.context.proposals.propose({ kind: 'end', runs, at: epochOf(this.context) })
 	}
 
--- a/packages/jobs/src/lib/leader/workers/WorkerLosses.ts
+++ b/packages/jobs/src/lib/leader/workers/WorkerLosses.ts
@@ -35,7 +35,7 @@
 	onLost(view: WorkerView): void {
 		view.lostAt = this.context.clock.now()
 		this.correlatedLosses.record(view)
-		this.reliability.lost(view.id, view.lostAt)
+		this.reliability.recordLoss(view.id, view.lostAt)
 	}
 
 	/** A call to a worker got no answer; its data centre may be unreachable. */
@@ -65,7 +65,7 @@
 		const evidenceOf = this.evidenceFrom(view)
 		for (const run of view.runs.values()) {
 			const evidence = evidenceOf(run)
-			if (evidence) findings[run.text] = evidence
+			if (evidence) findings[run.taskId] = evidence
 		}
 		return findings
 	}
--- a/packages/jobs/src/lib/leader/workers/WorkerRegistry.ts
+++ b/packages/jobs/src/lib/leader/workers/WorkerRegistry.ts
@@ -7,8 +7,8 @@
 import { Lease } from './Lease'
 import { WorkerHeartbeats } from './WorkerHeartbeats'
 import { WorkerPolls } from './WorkerPolls'
-import { LostRuns } from '../runs/LostRuns'
-import { endsOf } from '../runs/endsOf'
+import { LostRunHandler } from '../runs/LostRunHandler'
+import { toCommandEnds } from '../runs/toCommandEnds'
 import { FenceTokens } from './FenceTokens'
 import { IncarnationChanges } from './IncarnationChanges'
 import { isOtherIncarnation, parseIncarnation } from '../../records/Incarnation'
@@ -54,7 +54,7 @@
 	readonly losses: WorkerLosses
 	private readonly suspects: SuspectRuns
 	private readonly polls: WorkerPolls
-	private readonly lostRuns: LostRuns
+	private readonly lostRuns: LostRunHandler
 	private readonly heartbeats: WorkerHeartbeats
 	private readonly fences: FenceTokens
 	private readonly incarnations: IncarnationChanges
@@ -73,7 +73,7 @@
 			onPolled: (view, result, sentAt) => this.onPolled(view, result, sentAt),
 		})
 		this.losses = new WorkerLosses(context, this.views)
-		this.lostRuns = new LostRuns(context, this.suspects, this.losses)
+		this.lostRuns = new LostRunHandler(context, this.suspects, this.losses)
 		this.silentRecorder = new SilentWorkerRecorder(context)
 		this.fences = new FenceTokens(context.term)
 		this.incarnations = new IncarnationChanges(context, this.fences, {
@@ -220,13 +220,13 @@
 		this.incarnations.tick(now)
 		this.polls.sendDue(this.views.values(), now)
 		for (const view of this.views.values()) {
-			if (view.isUnreachable) this.lostRuns.giveUpCopies(view, now)
-			if (!view.isUnreachable) this.suspects.settle(view)
+			if (view.isUnreachable) this.lostRuns.abandonRepeatable(view, now)
+			if (!view.isUnreachable) this.suspects.stopAll(view)
 			if (view.hasLeft && (view.runs.size === 0 || view.lease.isOver(now))) {
 				this.proposeGone(view.id, WorkerEnd.Left)
 				view.hasLeft = false
 			}
-			if (view.isUnreachable && view.lease.isOver(now)) this.lostRuns.giveUp(view)
+			if (view.isUnreachable && view.lease.isOver(now)) this.lostRuns.abandonAll(view)
 			const heartbeatAge = now - view.heartbeatAt
 			if (heartbeatAge > this.context.timing.workerForgotten && view.runs.size === 0) {
 				this.proposeGone(view.id, WorkerEnd.Forgotten)
@@ -278,7 +278,7 @@
 		for (const { text, task } of tasksOf(job)) {
 			for (const { worker } of task.silent ?? []) {
 				const view = this.views.get(worker)
-				if (view) this.suspects.raise(view, text, Math.max(0, ...(task.lost ?? [])))
+				if (view) this.suspects.add(view, text, Math.max(0, ...(task.lost ?? [])))
 			}
 		}
 	}
@@ -287,8 +287,8 @@
 	 * A worker lists a run that it should not have: of a job that ended, or one abandoned earlier.
 	 */
 	onStrayRun(view: WorkerView, task: string, attempt: number): void {
-		this.suspects.raise(view, task, attempt)
-		this.suspects.settle(view)
+		this.suspects.add(view, task, attempt)
+		this.suspects.stopAll(view)
 	}
 
 	/**
@@ -360,7 +360,7 @@
 				view.pollDueAt = 0
 				this.proposeAnswered(view, sentAt)
 				this.takeEnds(view, result.ended)
-				this.suspects.drop(view, result.running, sentAt)
+				this.suspects.removeStopped(view, result.running, sentAt)
 				this.listener.onPolled(view, result, sentAt)
 				return
 			case 'refused':
@@ -397,7 +397,7 @@
 		if (newEnds.length === 0) return
 		const last = Math.max(...newEnds.map((end) => end.number))
 		view.endsProposed = last
-		const runs = endsOf(newEnds)
+		const runs = toCommandEnds(newEnds)
 		this.context.proposals.propose({ kind: 'end', runs, at: epochOf(this.context) }, () => {
 			view.endsCommitted = Math.max(view.endsCommitted, last)
 		})
--- a/packages/jobs/src/lib/leader/workers/crashEvidenceOf.test.ts
+++ b/packages/jobs/src/lib/leader/workers/crashEvidenceOf.test.ts
@@ -10,26 +10,26 @@
 import { DEFAULT_LEADER_TIMING } from '../LeaderTiming'
 import { Lease } from './Lease'
 import type { Run } from '../runs/Run'
-import { TimeAtWork } from '../runs/TimeAtWork'
+import { ObservedRunTime } from '../runs/ObservedRunTime'
 import { WorkerView } from './WorkerView'
 
 const { Strong, Doubtful, Weak } = CrashEvidence
 
 /** @returns the time at work of a run that its worker's clock showed at work for `span` ms. */
-function atWorkFor(span: number): TimeAtWork {
-	const time = new TimeAtWork()
-	time.confirmed(7000)
-	time.listed(7000 + span)
+function atWorkFor(span: number): ObservedRunTime {
+	const time = new ObservedRunTime()
+	time.onConfirmed(7000)
+	time.onListed(7000 + span)
 	return time
 }
 
 const RUN = {
-	ordered: true,
-	busy: false,
+	isOrdered: true,
+	isOrderPending: false,
 	isInDoubt: false,
 	confirmedAt: 1000,
-	atWork: atWorkFor(0),
-	restored: false,
+	observedTime: atWorkFor(0),
+	isRestored: false,
 	seenAtWork: false,
 	step: STEP,
 }
@@ -47,25 +47,29 @@
 
 const CASES: readonly Case[] = [
 	{ what: 'it had just started', expected: Strong },
-	{ what: 'it was listed just after its start', run: { atWork: atWorkFor(200) }, expected: Strong },
-	{ what: 'it was at work for a while', run: { atWork: atWorkFor(201) }, expected: Weak },
-	{ what: 'it was never ordered', run: { ordered: false }, expected: undefined },
+	{ what: 'it was listed just after its start', run: { observedTime: atWorkFor(200) }, expected: Strong },
+	{ what: 'it was at work for a while', run: { observedTime: atWorkFor(201) }, expected: Weak },
+	{ what: 'it was never ordered', run: { isOrdered: false }, expected: undefined },
 	{
 		what: 'its only order was refused, or answered by the next incarnation',
 		run: UNCONFIRMED,
 		expected: undefined,
 	},
-	{ what: 'its order is under way', run: { ...UNCONFIRMED, busy: true }, expected: Doubtful },
+	{
+		what: 'its order is under way',
+		run: { ...UNCONFIRMED, isOrderPending: true },
+		expected: Doubtful,
+	},
 	{ what: 'an order got no answer', run: { ...UNCONFIRMED, isInDoubt: true }, expected: Doubtful },
-	{ what: 'an earlier leader started it', run: { restored: true }, expected: Doubtful },
+	{ what: 'an earlier leader started it', run: { isRestored: true }, expected: Doubtful },
 	{
 		what: 'an earlier leader saw it at work, and no answer has reached this leader',
-		run: { ...UNCONFIRMED, restored: true, seenAtWork: true },
+		run: { ...UNCONFIRMED, isRestored: true, seenAtWork: true },
 		expected: Weak,
 	},
 	{
 		what: 'an earlier leader saw it at work',
-		run: { restored: true, seenAtWork: true },
+		run: { isRestored: true, seenAtWork: true },
 		expected: Weak,
 	},
 	{ what: 'its worker was leaving', view: { isDraining: true }, expected: Doubtful },
@@ -73,7 +77,7 @@
 	{ what: 'it is lasting and had just started', run: { step: LASTING }, expected: Strong },
 	{
 		what: 'it is lasting and was at work for long',
-		run: { step: LASTING, atWork: atWorkFor(5001) },
+		run: { step: LASTING, observedTime: atWorkFor(5001) },
 		expected: undefined,
 	},
 ]
@@ -103,13 +107,13 @@
 test('a worker is probed once a suspected task has started there and no answer shows that the worker survived', () => {
 	const view = viewOf('w1')
 	const atWork = atWorkFor(0)
-	view.runs.set('task', { suspected: true, confirmedAt: 1000, atWork } as Run)
+	view.runs.set('task', { isSuspected: true, confirmedAt: 1000, observedTime: atWork } as Run)
 	assert.equal(hasUnconfirmedSurvival(view, 1100), false)
 	assert.equal(hasUnconfirmedSurvival(view, 1300), true)
 	// Any other answer may have been made before the worker crashed.
 	view.answeredAt = 1300
 	assert.equal(hasUnconfirmedSurvival(view, 1400), true)
-	atWork.listed(7300)
+	atWork.onListed(7300)
 	assert.equal(hasUnconfirmedSurvival(view, 1400), false)
 })
 
--- a/packages/jobs/src/lib/leader/workers/crashEvidenceOf.ts
+++ b/packages/jobs/src/lib/leader/workers/crashEvidenceOf.ts
@@ -40,18 +40,25 @@
 export function crashEvidenceOf(
 	run: Pick<
 		Run,
-		'ordered' | 'busy' | 'isInDoubt' | 'confirmedAt' | 'atWork' | 'restored' | 'seenAtWork' | 'step'
+		| 'isOrdered'
+		| 'isOrderPending'
+		| 'isInDoubt'
+		| 'confirmedAt'
+		| 'observedTime'
+		| 'isRestored'
+		| 'seenAtWork'
+		| 'step'
 	>,
 	view: Pick<WorkerView, 'isDraining' | 'hasLeft'>,
 	isCorrelated: boolean
 ): CrashEvidence | undefined {
-	const { restored, confirmedAt, atWork } = run
+	const { isRestored, confirmedAt, observedTime } = run
 	if (!mayHaveStarted(run)) return undefined
 	if (confirmedAt === undefined) return run.seenAtWork ? CrashEvidence.Weak : CrashEvidence.Doubtful
-	if (run.step.lasting && atWork.least > HARMLESS_AFTER_MS) return undefined
-	if (atWork.hasOutlivedBeginning || run.seenAtWork) return CrashEvidence.Weak
+	if (run.step.lasting && observedTime.minimum > HARMLESS_AFTER_MS) return undefined
+	if (observedTime.hasOutlivedStartup || run.seenAtWork) return CrashEvidence.Weak
 	const isLeaving = view.isDraining || view.hasLeft
-	return isLeaving || restored || isCorrelated ? CrashEvidence.Doubtful : CrashEvidence.Strong
+	return isLeaving || isRestored || isCorrelated ? CrashEvidence.Doubtful : CrashEvidence.Strong
 }
 
 /**
@@ -59,14 +66,17 @@
  * without an answer may have been carried out.
  */
 function mayHaveStarted({
-	ordered,
-	busy,
+	isOrdered,
+	isOrderPending,
 	isInDoubt,
 	confirmedAt,
-	restored,
-}: Pick<Run, 'ordered' | 'busy' | 'isInDoubt' | 'confirmedAt' | 'restored'>): boolean {
-	if (restored) return true
-	return ordered && (confirmedAt !== undefined || busy || isInDoubt)
+	isRestored,
+}: Pick<
+	Run,
+	'isOrdered' | 'isOrderPending' | 'isInDoubt' | 'confirmedAt' | 'isRestored'
+>): boolean {
+	if (isRestored) return true
+	return isOrdered && (confirmedAt !== undefined || isOrderPending || isInDoubt)
 }
 
 /**
@@ -76,9 +86,9 @@
  * @internal
  */
 export function hasUnconfirmedSurvival(view: WorkerView, now: number): boolean {
-	for (const { suspected, confirmedAt, atWork } of view.runs.values()) {
-		if (!suspected || confirmedAt === undefined) continue
-		if (now - confirmedAt > PROBE_AFTER_MS && !atWork.hasOutlivedBeginning) return true
+	for (const { isSuspected, confirmedAt, observedTime } of view.runs.values()) {
+		if (!isSuspected || confirmedAt === undefined) continue
+		if (now - confirmedAt > PROBE_AFTER_MS && !observedTime.hasOutlivedStartup) return true
 	}
 	return false
 }
--- a/packages/jobs/src/lib/speeds/SpeedMonitor.ts
+++ b/packages/jobs/src/lib/speeds/SpeedMonitor.ts
@@ -4,7 +4,7 @@
 import { LeaderEvent } from '../leader/LeaderEvent'
 import type { PollResult } from '../leader/ports'
 import type { Run } from '../leader/runs/Run'
-import { tellsOfWorker } from '../leader/runs/tellsOfWorker'
+import { isWorkerSpeedSample } from '../leader/runs/isWorkerSpeedSample'
 import { stepName } from '../leader/steps/StepWork'
 import type { WorkerRegistry } from '../leader/workers/WorkerRegistry'
 import type { WorkerView } from '../leader/workers/WorkerView'
@@ -89,13 +89,13 @@
 	}
 
 	private record(view: WorkerView, run: Run, milliseconds: number | undefined): void {
-		if (milliseconds === undefined || !tellsOfWorker(run)) return
+		if (milliseconds === undefined || !isWorkerSpeedSample(run)) return
 		if (run.progress.stoodStillFor >= STALLED_AFTER_MS) return
 		const { job, repeat, step } = run.name
 		// Outside the rack of its data a task takes longer on any worker.
 		const far = run.step.rack !== '' && run.step.rack !== view.worker.rack
 		const group = `${stepName(job, repeat, step)}${far ? ' far' : ''}`
-		this.speeds.record({ group, task: run.text }, view.id, milliseconds, this.context.clock.now())
+		this.speeds.record({ group, task: run.taskId }, view.id, milliseconds, this.context.clock.now())
 	}
 
 	private logSpread(): void {
