--- a/packages/jobs/src/lib/leader/JobController.ts
+++ b/packages/jobs/src/lib/leader/JobController.ts
@@ -14,7 +14,7 @@
 import { listAccounts } from '../accounts/listAccounts'
 import type { AccountSummary, CellCall, CellReply } from './callers/calls'
 import { ClientCalls } from './callers/ClientCalls'
-import { epochOf, type LeaderContext } from './LeaderContext'
+import { epochTimeOf, type LeaderContext } from './LeaderContext'
 import { LeaderEvent } from './LeaderEvent'
 import { explainJob, listJobs } from './explainJob'
 import { Reconciliation } from './Reconciliation'
@@ -327,7 +327,7 @@
 	private forgetOld(now: number): void {
 		this.forgetDue = now + FORGET_PERIOD
 		const { state, proposals, timing } = this.context
-		const before = epochOf(this.context) - timing.keepEnded
+		const before = epochTimeOf(this.context) - timing.keepEnded
 		const jobs: string[] = []
 		for (const job of state.jobs.all()) {
 			if (!isActive(job) && job.ended < before) jobs.push(job.id)
--- a/packages/jobs/src/lib/leader/LeaderContext.ts
+++ b/packages/jobs/src/lib/leader/LeaderContext.ts
@@ -24,10 +24,10 @@
 	readonly log: Log
 	readonly meter: Meter
 	/** Called when a worker has obeyed a later leader: this one must give way. */
-	readonly deposed: () => void
+	readonly onDeposed: () => void
 }
 
 /** @returns milliseconds since the epoch. @internal */
-export function epochOf(context: LeaderContext): number {
+export function epochTimeOf(context: LeaderContext): number {
 	return context.clock.date().getTime()
 }
--- a/packages/jobs/src/lib/leader/LeaderPolicy.ts
+++ b/packages/jobs/src/lib/leader/LeaderPolicy.ts
@@ -12,4 +12,4 @@
 }
 
 /** The policy of a deployment that asks for nothing more. @public */
-export const PLAIN_POLICY: LeaderPolicy = { overload: false, shares: false }
+export const DEFAULT_LEADER_POLICY: LeaderPolicy = { overload: false, shares: false }
--- a/packages/jobs/src/lib/leader/callers/ClientCalls.ts
+++ b/packages/jobs/src/lib/leader/callers/ClientCalls.ts
@@ -16,7 +16,7 @@
 	type Destination,
 } from './calls'
 import { shapeOf } from '../explainJob'
-import { epochOf, type LeaderContext } from '../LeaderContext'
+import { epochTimeOf, type LeaderContext } from '../LeaderContext'
 import { LeaderEvent } from '../LeaderEvent'
 import { PendingCounts } from './PendingCounts'
 import { QueueTable, type Addressed } from './QueueTable'
@@ -72,7 +72,7 @@
 		this.pending = new PendingCounts(clock, () => state.jobs.all(), hasBegun)
 		this.rate = new SendingRate(context.timing.rateWindow)
 		if (context.policy.overload) {
-			this.rate.restore(context.state.jobs.all(), epochOf(context))
+			this.rate.restore(context.state.jobs.all(), epochTimeOf(context))
 		}
 		this.queues = new QueueTable(context.state.configuration)
 		this.access = new Access(context.state.configuration)
@@ -149,7 +149,7 @@
 			reply({ kind: 'noted' })
 			return
 		}
-		const command = { kind: 'cancel', id: job.id, at: epochOf(this.context) } as const
+		const command = { kind: 'cancel', id: job.id, at: epochTimeOf(this.context) } as const
 		this.context.proposals.propose(command, () => reply({ kind: 'noted' }))
 	}
 
@@ -199,7 +199,7 @@
 
 	private propose({ id, queue, caller }: Admitted, job: JobRequest, submitting: Submitting): void {
 		this.submitting.set(id, submitting)
-		const at = epochOf(this.context)
+		const at = epochTimeOf(this.context)
 		const account = caller.kind === 'account' ? termsOf(caller.account) : undefined
 		const within = !account || this.rate.take(account.name, account.weight, at)
 		const beyondRate = within ? undefined : true
--- a/packages/jobs/src/lib/leader/runs/LostRuns.ts
+++ b/packages/jobs/src/lib/leader/runs/LostRuns.ts
@@ -1,6 +1,6 @@
 /** Gives up the runs of workers that have fallen silent, so that they may begin elsewhere. */
 import { RunEnd } from '../../records/Job'
-import { epochOf, type LeaderContext } from '../LeaderContext'
+import { epochTimeOf, type LeaderContext } from '../LeaderContext'
 import { LeaderEvent } from '../LeaderEvent'
 import type { SuspectRuns } from './SuspectRuns'
 import type { Run } from './Run'
@@ -56,6 +56,6 @@
 			// The worker may answer again before this is committed; the run must not be ordered there then.
 			run.retryAt = Number.POSITIVE_INFINITY
 		}
-		this.context.proposals.propose({ kind: 'end', runs, at: epochOf(this.context) })
+		this.context.proposals.propose({ kind: 'end', runs, at: epochTimeOf(this.context) })
 	}
 }
--- a/packages/jobs/src/lib/leader/runs/RunController.ts
+++ b/packages/jobs/src/lib/leader/runs/RunController.ts
@@ -11,7 +11,7 @@
 import { tasksOf } from '../../state/JobTable'
 import { isActive, TaskStatus } from '../../state/JobRecord'
 import { Suspicion, suspicionOf } from '../../state/TaskCrashes'
-import { epochOf, type LeaderContext } from '../LeaderContext'
+import { epochTimeOf, type LeaderContext } from '../LeaderContext'
 import { LeaderEvent } from '../LeaderEvent'
 import { Pacing } from './Pacing'
 import type { PollResult } from '../ports'
@@ -445,7 +445,7 @@
 			how,
 			checkpoint,
 		}))
-		this.context.proposals.propose({ kind: 'end', runs, at: epochOf(this.context) })
+		this.context.proposals.propose({ kind: 'end', runs, at: epochTimeOf(this.context) })
 	}
 }
 
--- a/packages/jobs/src/lib/leader/steps/Preemption.ts
+++ b/packages/jobs/src/lib/leader/steps/Preemption.ts
@@ -1,6 +1,6 @@
 /** Makes room for urgent steps: when it pays to stop other work, and which runs. */
 import type { Option, RoomCheck } from './chooseForStep'
-import { epochOf, type LeaderContext } from '../LeaderContext'
+import { epochTimeOf, type LeaderContext } from '../LeaderContext'
 import type { Run } from '../runs/Run'
 import { runsToStop } from './runsToStop'
 import type { StepWork } from './StepWork'
@@ -52,7 +52,7 @@
 		if (work.queue.advice && advice.firstAnswerAt === undefined) return
 		if (work.waited(now) < PREEMPT_AFTER) return
 		if (this.mayFindRoom(work, need)) return
-		for (const run of runsToStop(work, need.options, need.tasks, epochOf(this.context)))
+		for (const run of runsToStop(work, need.options, need.tasks, epochTimeOf(this.context)))
 			this.runs.preempt(run, work.name)
 	}
 
@@ -62,7 +62,7 @@
 	 */
 	private needsRoomNow(work: StepWork, roomAt: number | undefined, now: number): boolean {
 		if (roomAt === undefined) return true
-		const inHand = work.urgency.latestStart - epochOf(this.context)
+		const inHand = work.urgency.latestStart - epochTimeOf(this.context)
 		return inHand >= 0 && roomAt - now > Math.min(inHand, URGENT_START)
 	}
 
--- a/packages/jobs/src/lib/leader/steps/StepPlacement.ts
+++ b/packages/jobs/src/lib/leader/steps/StepPlacement.ts
@@ -4,7 +4,7 @@
 import { freeOf, roomIn } from '../../gangs/learnWorkers'
 import type { Reservations } from '../../placement/Reservations'
 import type { UrgentRoom } from '../../placement/UrgentRoom'
-import { epochOf, type LeaderContext } from '../LeaderContext'
+import { epochTimeOf, type LeaderContext } from '../LeaderContext'
 import { chooseForStep, type Option, type RoomCheck } from './chooseForStep'
 import { placeGang, type Placed, type TaskChooser } from './placeGang'
 import type { OpenWorkerList } from './OpenWorkerList'
@@ -70,7 +70,7 @@
 		return (index, options) =>
 			this.parts.quarantine.isDoubtful(work, index)
 				? this.parts.quarantine.choose(work, index, options, this.isFree, now)
-				: chooseForStep(work, options, this.isFree, epochOf(this.context))
+				: chooseForStep(work, options, this.isFree, epochTimeOf(this.context))
 	}
 
 	/** Places a gang, on workers that are unlikely to go where they have room for it. */
--- a/packages/jobs/src/lib/leader/steps/StepScheduler.ts
+++ b/packages/jobs/src/lib/leader/steps/StepScheduler.ts
@@ -21,7 +21,7 @@
 import type { AccountUsage } from '../../accounts/AccountUsage'
 import { hasRoom, type Option } from './chooseForStep'
 import { DueRepeats, dueOf } from './DueRepeats'
-import { epochOf, type LeaderContext } from '../LeaderContext'
+import { epochTimeOf, type LeaderContext } from '../LeaderContext'
 import type { Placed } from './placeGang'
 import { Preemption } from './Preemption'
 import { Quarantine } from './Quarantine'
@@ -145,7 +145,7 @@
 	accept(job: JobRecord): void {
 		this.precedence.note(job.queue, this.context.clock.now())
 		job.repeats.forEach((_, number) => {
-			if (dueOf(job, number) > epochOf(this.context)) this.later.add(job, number)
+			if (dueOf(job, number) > epochTimeOf(this.context)) this.later.add(job, number)
 			else this.openReady(job, number)
 		})
 	}
@@ -204,7 +204,7 @@
 		if (!isActive(job)) return []
 		const missed: string[] = []
 		job.repeats.forEach((steps, repeat) => {
-			if (dueOf(job, repeat) > epochOf(this.context)) return
+			if (dueOf(job, repeat) > epochTimeOf(this.context)) return
 			steps.forEach(({ tasks }, step) => {
 				const waits = tasks.some(({ status }) => status === TaskStatus.Waiting)
 				if (!waits || !isStepReady(job, repeat, step)) return
@@ -250,7 +250,7 @@
 	/** Opens repeats that have become due. */
 	tick(now: number): void {
 		this.questions.tick(now)
-		for (const { job, repeat } of this.later.take(epochOf(this.context)))
+		for (const { job, repeat } of this.later.take(epochTimeOf(this.context)))
 			this.openReady(job, repeat)
 	}
 
--- a/packages/jobs/src/lib/leader/steps/StepWaits.ts
+++ b/packages/jobs/src/lib/leader/steps/StepWaits.ts
@@ -1,6 +1,6 @@
 /** Tells how long steps wait and why: a gauge of the oldest wait by reason, a line for each that lasts too long. */
 import { Measure } from '@rillrudder/telemetry'
-import { epochOf, type LeaderContext } from '../LeaderContext'
+import { epochTimeOf, type LeaderContext } from '../LeaderContext'
 import { LeaderEvent } from '../LeaderEvent'
 import type { PlacementPass } from './PlacementPass'
 import type { StepWork } from './StepWork'
@@ -64,7 +64,7 @@
 		isWaiting: (work: StepWork) => boolean,
 		pass: PlacementPass
 	): void {
-		const epoch = epochOf(this.context)
+		const epoch = epochTimeOf(this.context)
 		let told = 0
 		for (const work of steps) {
 			if (work.toldOverdue || !work.isOverdue(epoch) || !isWaiting(work)) continue
--- a/packages/jobs/src/lib/leader/workers/LifeChanges.ts
+++ b/packages/jobs/src/lib/leader/workers/LifeChanges.ts
@@ -12,7 +12,7 @@
 import { isOtherLife } from '../../records/Incarnation'
 import { endsOf } from '../runs/endsOf'
 import type { FenceTokens } from './FenceTokens'
-import { epochOf, type LeaderContext } from '../LeaderContext'
+import { epochTimeOf, type LeaderContext } from '../LeaderContext'
 import type { OrderTarget, PollResult } from '../ports'
 import { WorkerEnd } from './WorkerEnd'
 import type { WorkerView } from './WorkerView'
@@ -178,7 +178,7 @@
 	private commitEnds({ ended }: Listed): void {
 		if (ended.length === 0) return
 		const runs = endsOf(ended)
-		this.context.proposals.propose({ kind: 'end', runs, at: epochOf(this.context) })
+		this.context.proposals.propose({ kind: 'end', runs, at: epochTimeOf(this.context) })
 	}
 
 	private stopAll(change: LifeChange, fence: number, { running }: Listed): void {
--- a/packages/jobs/src/lib/leader/workers/WorkerHeartbeats.ts
+++ b/packages/jobs/src/lib/leader/workers/WorkerHeartbeats.ts
@@ -2,7 +2,7 @@
 import type { Heartbeat, Worker } from '../../records/Cell'
 import { workerNameOf } from '../../records/Incarnation'
 import type { HeardWorker } from '../callers/calls'
-import { epochOf, type LeaderContext } from '../LeaderContext'
+import { epochTimeOf, type LeaderContext } from '../LeaderContext'
 import { LeaderEvent } from '../LeaderEvent'
 import { Occupant, type LifeChanges } from './LifeChanges'
 import { samePlace, sameWorker } from './sameWorker'
@@ -119,7 +119,7 @@
 		const { worker, sequence } = heartbeat
 		const { id, address, dataCentre } = worker
 		this.context.log.info(LeaderEvent.WorkerJoined, { worker: id, address, dataCentre })
-		const at = epochOf(this.context)
+		const at = epochTimeOf(this.context)
 		this.context.proposals.propose({ kind: 'worker', worker, sequence, at }, () => {
 			const view = this.host.find(id)
 			if (view) this.note(view, heartbeat)
--- a/packages/jobs/src/lib/leader/workers/WorkerRegistry.ts
+++ b/packages/jobs/src/lib/leader/workers/WorkerRegistry.ts
@@ -1,7 +1,7 @@
 /** The workers of the cell as the leader sees them: heartbeats, leases, polls. */
 import { Measure } from '@rillrudder/telemetry'
 import type { Heartbeat, Worker } from '../../records/Cell'
-import { epochOf, type LeaderContext } from '../LeaderContext'
+import { epochTimeOf, type LeaderContext } from '../LeaderContext'
 import { LeaderEvent } from '../LeaderEvent'
 import { SuspectRuns } from '../runs/SuspectRuns'
 import { Lease } from './Lease'
@@ -287,7 +287,7 @@
 
 	/** A worker has refused an order since it has seen a higher fence: of a later leader, unless another life has seen one of this leader. */
 	fenced(view: WorkerView): void {
-		if (this.views.get(view.id) === view && !view.givenUp) this.context.deposed()
+		if (this.views.get(view.id) === view && !view.givenUp) this.context.onDeposed()
 	}
 
 	/** An incarnation of a worker has ended. */
@@ -299,7 +299,7 @@
 		const tasks = view && namesOf(view.runs.keys())
 		log.info(LeaderEvent.WorkerGone, { worker: id, reason, runs: view?.runs.size, silent, tasks })
 		const crash = view && isCrash(reason) ? this.losses.findingsOf(view) : undefined
-		proposals.propose({ kind: 'gone', worker: id, at: epochOf(this.context), crash }, done)
+		proposals.propose({ kind: 'gone', worker: id, at: epochTimeOf(this.context), crash }, done)
 	}
 
 	/**
@@ -364,7 +364,7 @@
 		const last = Math.max(...fresh.map((end) => end.number))
 		view.endsProposed = last
 		const runs = endsOf(fresh)
-		this.context.proposals.propose({ kind: 'end', runs, at: epochOf(this.context) }, () => {
+		this.context.proposals.propose({ kind: 'end', runs, at: epochTimeOf(this.context) }, () => {
 			view.endsCommitted = Math.max(view.endsCommitted, last)
 		})
 	}
@@ -393,7 +393,8 @@
 		const { timing, clock, state } = this.context
 		const since = state.workers.find(id)?.joinedAt
 		const isNew =
-			since !== undefined && epochOf(this.context) - since < timing.longestLease + CALENDAR_ERROR
+			since !== undefined &&
+			epochTimeOf(this.context) - since < timing.longestLease + CALENDAR_ERROR
 		const granted = born !== undefined && isNew ? timing.longestLease : timing.lease
 		const longest = granted / (1 - timing.clockDrift) + timing.leaseMargin
 		return new Lease(timing, clock.now() + longest)
--- a/packages/jobs/src/lib/placement/OrderByUse.test.ts
+++ b/packages/jobs/src/lib/placement/OrderByUse.test.ts
@@ -1,19 +1,19 @@
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
-import { PLAIN_POLICY } from '../leader/LeaderPolicy'
+import { DEFAULT_LEADER_POLICY } from '../leader/LeaderPolicy'
 import { LeaderSubject } from '../testing/LeaderSubject'
 import { jobOf } from '../testing/samples'
 import { OrderByUse } from './OrderByUse'
 
 test('the order by use is in force where settings call for it, speeds differ much, or gangs are planned', () => {
-	const plain = new OrderByUse(PLAIN_POLICY)
+	const plain = new OrderByUse(DEFAULT_LEADER_POLICY)
 	assert.equal(plain.inForce, false)
 	plain.speedsDiffer = true
 	assert.equal(plain.inForce, true)
-	const withGangs = new OrderByUse(PLAIN_POLICY)
+	const withGangs = new OrderByUse(DEFAULT_LEADER_POLICY)
 	withGangs.plansGangs = true
 	assert.equal(withGangs.inForce, true)
-	assert.equal(new OrderByUse({ ...PLAIN_POLICY, overload: true }).inForce, true)
+	assert.equal(new OrderByUse({ ...DEFAULT_LEADER_POLICY, overload: true }).inForce, true)
 })
 
 const WHOLE_WORKER = { cpu: 4000, memory: 512, accelerators: 0 }
@@ -24,7 +24,7 @@
 /** A worker that is full while one job waits until it can't be in time any more; then another one is handed in, and room comes free. */
 function begunFirst(overload: boolean): string {
 	const subject = new LeaderSubject()
-	subject.policy = { ...PLAIN_POLICY, overload }
+	subject.policy = { ...DEFAULT_LEADER_POLICY, overload }
 	subject.lead()
 	const job = jobOf({ need: WHOLE_WORKER, expectedTime: 1000 })
 	subject.heartbeat('w1')
--- a/packages/jobs/src/lib/shares/LeaderShares.ts
+++ b/packages/jobs/src/lib/shares/LeaderShares.ts
@@ -4,7 +4,7 @@
  */
 import { Measure } from '@rillrudder/telemetry'
 import type { AccountUsage } from '../accounts/AccountUsage'
-import { epochOf, type LeaderContext } from '../leader/LeaderContext'
+import { epochTimeOf, type LeaderContext } from '../leader/LeaderContext'
 import { LeaderEvent } from '../leader/LeaderEvent'
 import { AccountShares, type HadRoom, type ServiceStanding, type Want } from './AccountShares'
 import { AdviceShares } from './AdviceShares'
@@ -44,7 +44,7 @@
 	) {
 		const now = context.clock.now()
 		const { shares } = context.state
-		const gap = shares ? Math.min(MOST_GAP, Math.max(0, epochOf(context) - shares.at)) : 0
+		const gap = shares ? Math.min(MOST_GAP, Math.max(0, epochTimeOf(context) - shares.at)) : 0
 		this.began = now
 		this.noteDue = now + NOTE_EVERY
 		this.rooms = new AccountShares(now - gap)
@@ -75,7 +75,7 @@
 		const text = JSON.stringify([rooms, advice])
 		if (text === this.noted) return
 		this.noted = text
-		const had = { at: epochOf(this.context), rooms, advice }
+		const had = { at: epochTimeOf(this.context), rooms, advice }
 		this.context.proposals.propose({ kind: 'shares', had })
 	}
 
--- a/packages/jobs/src/lib/shares/StepShares.ts
+++ b/packages/jobs/src/lib/shares/StepShares.ts
@@ -9,7 +9,7 @@
 } from '@rillrudder/scheduler'
 import type { AccountUsage } from '../accounts/AccountUsage'
 import { needsPlan } from '../gangs/needsPlan'
-import { epochOf, type LeaderContext } from '../leader/LeaderContext'
+import { epochTimeOf, type LeaderContext } from '../leader/LeaderContext'
 import type { StepWork } from '../leader/steps/StepWork'
 import type { WorkerView } from '../leader/workers/WorkerView'
 import type { Reservations } from '../placement/Reservations'
@@ -59,7 +59,7 @@
 		if (!byUse && !rooms && !this.ordered) return false
 		this.ordered = byUse || rooms
 		if (rooms) this.shares.look(now, this.roomsOf(view), this.wantsOf(view))
-		const epoch = epochOf(this.context)
+		const epoch = epochTimeOf(this.context)
 		const kept = new KeptRooms()
 		let changed = false
 		for (const work of view.steps) {
--- a/packages/jobs/src/lib/testing/LeaderSubject.ts
+++ b/packages/jobs/src/lib/testing/LeaderSubject.ts
@@ -5,7 +5,7 @@
 import { digestOf, type ClientAccount } from '../accounts/ClientAccount'
 import { encodeCommands, type CellCommand } from '../commands/CellCommand'
 import type { CellCall, CellReply } from '../leader/callers/calls'
-import { PLAIN_POLICY, type LeaderPolicy } from '../leader/LeaderPolicy'
+import { DEFAULT_LEADER_POLICY, type LeaderPolicy } from '../leader/LeaderPolicy'
 import { DEFAULT_LEADER_TIMING } from '../leader/LeaderTiming'
 import { JobController } from '../leader/JobController'
 import {
@@ -287,7 +287,7 @@
 	}
 
 	/** What the next leadership is asked for; settings give it, as a leadership begins. */
-	policy: LeaderPolicy = PLAIN_POLICY
+	policy: LeaderPolicy = DEFAULT_LEADER_POLICY
 
 	/** Begins a leadership, after another one where there was one. */
 	lead(): void {
@@ -308,7 +308,7 @@
 			proposals: this.proposals,
 			log: new Log('test', this.clock, 'info', (line) => this.lines.push(line)),
 			meter: this.meter,
-			deposed: () => (this.deposed = true),
+			onDeposed: () => (this.deposed = true),
 		})
 		this.state.observer = (change) => this.controller.changed(change)
 	}
--- a/packages/runs/src/lib/jobs/JobRun.ts
+++ b/packages/runs/src/lib/jobs/JobRun.ts
@@ -304,7 +304,7 @@
 			proposals: log,
 			log: new Log('run', clock, 'silent', silent),
 			meter: new Meter(),
-			deposed: () => this.deposed(controller),
+			onDeposed: () => this.deposed(controller),
 		})
 		this.log = log
 		this.controller = controller
