--- a/packages/jobs/src/lib/leader/JobController.ts
+++ b/packages/jobs/src/lib/leader/JobController.ts
@@ -327,7 +327,7 @@
 	private forgetOld(now: number): void {
 		this.forgetDue = now + FORGET_PERIOD
 		const { state, proposals, timing } = this.context
-		const before = epochTimeOf(this.context) - timing.keepEnded
+		const before = epochTimeOf(this.context) - timing.endedJobRetention
 		const jobs: string[] = []
 		for (const job of state.jobs.all()) {
 			if (!isActive(job) && job.ended < before) jobs.push(job.id)
--- a/packages/jobs/src/lib/leader/LeaderTiming.ts
+++ b/packages/jobs/src/lib/leader/LeaderTiming.ts
@@ -5,7 +5,7 @@
 	/** Length of a worker's lease from the moment it is renewed. */
 	readonly lease: number
 	/** The longest time for which a worker keeps what it runs, whatever lease it is told. */
-	readonly longestLease: number
+	readonly maxLease: number
 	/** How slow a worker's clock may be, as a share. */
 	readonly clockDrift: number
 	/** Added to the end of a lease before it counts as over. */
@@ -19,16 +19,16 @@
 	/** Pause before a worker that did not answer is tried again. */
 	readonly retryPause: number
 	/** How long the state of an ended job is kept. */
-	readonly keepEnded: number
+	readonly endedJobRetention: number
 	/**
 	 * A worker that has not been heard of for this long is noted as such for the next leader, which relies on those that are not
-	 * noted for as long as is left of `workerSilent`.
+	 * noted for as long as is left of `heartbeatTimeout`.
 	 */
-	readonly workerQuiet: number
+	readonly heartbeatOverdue: number
 	/** A worker that has not been heard of for this long gets no new work. */
-	readonly workerSilent: number
+	readonly heartbeatTimeout: number
 	/** A worker that has not been heard of for this long, and runs nothing, is forgotten. */
-	readonly workerForgotten: number
+	readonly idleWorkerRetention: number
 	/** How long a member of a gang waits on its worker for the others, at least. */
 	readonly gangWait: number
 	/** How far ahead of its ticket's end a start must be decided. */
@@ -45,7 +45,7 @@
 export const DEFAULT_LEADER_TIMING: LeaderTiming = {
 	// Longer than a change of leader (up to 1.2 s) and the poll after it.
 	lease: 4000,
-	longestLease: 10_000,
+	maxLease: 10_000,
 	clockDrift: 0.02,
 	leaseMargin: 100,
 	// A lost answer hides ends for this long and half a second more.
@@ -54,13 +54,13 @@
 	longPollWait: 1000,
 	tightPollWait: 300,
 	retryPause: 200,
-	keepEnded: 150_000,
+	endedJobRetention: 150_000,
 	// A missed heartbeat of 1.5 s, and one that is late.
-	workerQuiet: 2500,
+	heartbeatOverdue: 2500,
 	// Two missed heartbeats of 1.5 s: half a second before room that has shrunk since the last one must count (3 s and one
 	// heartbeat).
-	workerSilent: 4000,
-	workerForgotten: 60_000,
+	heartbeatTimeout: 4000,
+	idleWorkerRetention: 60_000,
 	gangWait: 3000,
 	// A commit with a sync of 9 ms, and the order's way to the worker, with room for a slow disk.
 	ticketMargin: 300,
--- a/packages/jobs/src/lib/leader/runs/RunOrders.ts
+++ b/packages/jobs/src/lib/leader/runs/RunOrders.ts
@@ -79,7 +79,7 @@
 		// What was free when this was decided may be gone: a worker's room can shrink while its run is on its way.
 		if (ledger.find(run.worker)?.isOver) return StartObstacle.Room
 		// So may be that of a worker which an earlier leader chose and this one has not heard yet.
-		return view.silence(clock.now()) >= timing.workerSilent ? StartObstacle.Unheard : undefined
+		return view.silence(clock.now()) >= timing.heartbeatTimeout ? StartObstacle.Unheard : undefined
 	}
 
 	/** @returns why a member of a gang may not be ordered to start now. */
@@ -117,7 +117,7 @@
 	/** A run is not ordered before its worker is heard; it goes elsewhere if that takes longer than a heartbeat should. */
 	private awaitWord(run: Run): void {
 		const { clock, timing } = this.context
-		if (clock.now() - run.since > timing.workerQuiet) this.withdraw(run, StartObstacle.Unheard)
+		if (clock.now() - run.since > timing.heartbeatOverdue) this.withdraw(run, StartObstacle.Unheard)
 		else run.retryAt = clock.now() + timing.retryPause
 	}
 
--- a/packages/jobs/src/lib/leader/workers/SilenceNotes.ts
+++ b/packages/jobs/src/lib/leader/workers/SilenceNotes.ts
@@ -29,7 +29,7 @@
 		const changed: { readonly [silent in 'true' | 'false']: string[] } = { true: [], false: [] }
 		for (const view of views) {
 			const known = state.workers.find(view.id)
-			const silent = !view.heard || view.silence(now) > timing.workerQuiet
+			const silent = !view.heard || view.silence(now) > timing.heartbeatOverdue
 			if (known && silent !== (known.silent ?? false)) changed[`${silent}`].push(view.id)
 		}
 		this.note(changed.true, true)
--- a/packages/jobs/src/lib/leader/workers/WorkerRegistry.ts
+++ b/packages/jobs/src/lib/leader/workers/WorkerRegistry.ts
@@ -84,7 +84,7 @@
 		for (const { worker, draining, silent, sequence = 0 } of context.state.workers.all()) {
 			const view = this.add(worker)
 			view.sequence = sequence
-			view.heartbeatAt -= silent ? context.timing.workerSilent : context.timing.workerQuiet
+			view.heartbeatAt -= silent ? context.timing.heartbeatTimeout : context.timing.heartbeatOverdue
 			if (draining) this.draining(worker.id)
 		}
 	}
@@ -138,7 +138,7 @@
 		if (view.draining || view.givenUp || view.unreachable || !view.listed) return false
 		if (view.suspects.size > 0) return false
 		if (this.losses.isSuspect(view, now) || this.stalls.isStalled(view.id, now)) return false
-		return view.silence(now) < timing.workerSilent && health.isOpen(view.id, now)
+		return view.silence(now) < timing.heartbeatTimeout && health.isOpen(view.id, now)
 	}
 
 	/** A worker has joined, or describes itself anew. */
@@ -217,7 +217,7 @@
 			}
 			if (view.unreachable && view.lease.isOver(now)) this.lostRuns.giveUp(view)
 			const silence = now - view.heartbeatAt
-			if (silence > this.context.timing.workerForgotten && view.runs.size === 0) {
+			if (silence > this.context.timing.idleWorkerRetention && view.runs.size === 0) {
 				this.proposeGone(view.id, WorkerEnd.Forgotten)
 			}
 		}
@@ -393,9 +393,8 @@
 		const { timing, clock, state } = this.context
 		const since = state.workers.find(id)?.joinedAt
 		const isNew =
-			since !== undefined &&
-			epochTimeOf(this.context) - since < timing.longestLease + CALENDAR_ERROR
-		const granted = born !== undefined && isNew ? timing.longestLease : timing.lease
+			since !== undefined && epochTimeOf(this.context) - since < timing.maxLease + CALENDAR_ERROR
+		const granted = born !== undefined && isNew ? timing.maxLease : timing.lease
 		const longest = granted / (1 - timing.clockDrift) + timing.leaseMargin
 		return new Lease(timing, clock.now() + longest)
 	}
