--- a/packages/jobs/src/lib/leader/ports.ts
+++ b/packages/jobs/src/lib/leader/ports.ts
@@ -5,7 +5,7 @@
 import { PLAIN_STANDING, type AdviserStanding } from './advice/AdviserStanding'
 
 /** Polls that need a new connection which one instance sends in a tick; each takes about 1 ms of it. */
-const FIRST_POLLS = 20
+const MAX_PROBES_PER_TICK = 20
 
 /** The worker that an order is for. @public */
 export type OrderTarget = Pick<Worker, 'id' | 'address' | 'dataCentre'>
@@ -55,10 +55,10 @@
 	/** It has obeyed a higher fence. */
 	Fence: 'fence',
 	/** That run, or a later one of the task, has ended there or was stopped. */
-	Old: 'old',
+	Superseded: 'old',
 	/** The lease that the order brought is over. */
-	Late: 'late',
-	Room: 'room',
+	LeaseExpired: 'late',
+	NoCapacity: 'room',
 	/** The ticket does not let it run the step, or no longer. */
 	Ticket: 'ticket',
 	/** It is not well and has done nothing. */
@@ -120,8 +120,8 @@
 /** Carries orders to workers. @public */
 export abstract class WorkerOrders {
 	/** Most polls of workers of unknown state that the leader should send in one tick. */
-	get firstPolls(): number {
-		return FIRST_POLLS
+	get maxProbesPerTick(): number {
+		return MAX_PROBES_PER_TICK
 	}
 
 	abstract start(worker: OrderTarget, order: StartOrder, done: (result: OrderResult) => void): void
--- a/packages/jobs/src/lib/leader/runs/RunOrders.ts
+++ b/packages/jobs/src/lib/leader/runs/RunOrders.ts
@@ -199,14 +199,14 @@
 		}
 		run.retryAt = clock.now() + timing.retryPause
 		if (asked === RunPhase.Stopping || run.phase === RunPhase.Stopping) {
-			if (!run.busy && reason === Refusal.Old) this.host.enter(run, RunPhase.Stopped)
+			if (!run.busy && reason === Refusal.Superseded) this.host.enter(run, RunPhase.Stopped)
 			else if (asked === RunPhase.Starting && !run.isInDoubt)
 				this.host.proposeEnd(run, RunEnd.Refused)
 			return
 		}
-		if (reason === Refusal.Late) return
+		if (reason === Refusal.LeaseExpired) return
 		this.host.gangFailed(run, GangFailure.Refused, reason)
-		if (reason === Refusal.Old) {
+		if (reason === Refusal.Superseded) {
 			// Its end is listed, or it was stopped by an order of an earlier leader.
 			this.host.enter(run, RunPhase.Stopped)
 			return
--- a/packages/jobs/src/lib/leader/runs/gangAttempt.test.ts
+++ b/packages/jobs/src/lib/leader/runs/gangAttempt.test.ts
@@ -62,9 +62,13 @@
 }
 
 const NOT_STARTED: readonly Row[] = [
-	...[Refusal.Ticket, Refusal.Room, Refusal.Unhealthy, Refusal.Invalid, Refusal.Old].map(
-		(reason) => ({ what: `is refused (${reason})`, results: [refused(reason)] })
-	),
+	...[
+		Refusal.Ticket,
+		Refusal.NoCapacity,
+		Refusal.Unhealthy,
+		Refusal.Invalid,
+		Refusal.Superseded,
+	].map((reason) => ({ what: `is refused (${reason})`, results: [refused(reason)] })),
 	{
 		what: 'is not answered, and is refused when it is sent again',
 		results: [{ kind: 'unknown', message: 'no answer' }, refused(Refusal.Ticket)],
@@ -77,7 +81,7 @@
 	{ what: 'reaches another incarnation', results: [{ kind: 'other-incarnation' }] },
 	{
 		what: 'is refused as late again and again',
-		results: Array<OrderResult>(30).fill(refused(Refusal.Late)),
+		results: Array<OrderResult>(30).fill(refused(Refusal.LeaseExpired)),
 		later: DEFAULT_LEADER_TIMING.gangWait - SOON - UNANSWERED,
 	},
 ]
@@ -166,7 +170,7 @@
 
 test('a line tells which member kept a gang from beginning, and for how long the others had gathered', () => {
 	const subject = threeWorkers()
-	subject.worker('w2').startResults = [refused(Refusal.Room)]
+	subject.worker('w2').startResults = [refused(Refusal.NoCapacity)]
 	subject.submit(ID, jobOf(GANG))
 	subject.run(SOON, ...WORKERS)
 	const lines = subject.lines.filter((line) => line.includes(`"${LeaderEvent.GangGivenUp}"`))
--- a/packages/jobs/src/lib/leader/workers/WorkerPolls.ts
+++ b/packages/jobs/src/lib/leader/workers/WorkerPolls.ts
@@ -53,7 +53,7 @@
 			else if (isDueForProbe(view, now) && this.hidesNews(view, now)) this.probe(view, now)
 		}
 		const due = unclear.filter((view) => isDueForPoll(view, now) || isDueForProbe(view, now))
-		const most = this.context.orders.firstPolls
+		const most = this.context.orders.maxProbesPerTick
 		if (due.length > most) due.sort((left, right) => left.askedAt - right.askedAt)
 		for (const view of due.slice(0, most)) {
 			view.askedAt = now
--- a/packages/member/src/lib/carriers/CarriedOrders.ts
+++ b/packages/member/src/lib/carriers/CarriedOrders.ts
@@ -98,8 +98,8 @@
 		this.refresh(this.tickedAt)
 	}
 
-	override get firstPolls(): number {
-		return super.firstPolls * (1 + this.choice.size)
+	override get maxProbesPerTick(): number {
+		return super.maxProbesPerTick * (1 + this.choice.size)
 	}
 
 	override start(
--- a/packages/runs/src/lib/jobs/FleetWorker.ts
+++ b/packages/runs/src/lib/jobs/FleetWorker.ts
@@ -193,9 +193,9 @@
 		const { task, attempt, spec, ticket } = order
 		const past = order.leaseUntil <= this.ownClock
 		if (!past) this.extend(order.leaseUntil)
-		if (attempt <= (this.closed.get(task) ?? 0)) return this.refuse(Refusal.Old)
+		if (attempt <= (this.closed.get(task) ?? 0)) return this.refuse(Refusal.Superseded)
 		if (this.runs.get(task)?.attempt === attempt) return this.done()
-		if (past) return this.refuse(Refusal.Late)
+		if (past) return this.refuse(Refusal.LeaseExpired)
 		if (!this.parts.mayRun(task, this.worker.id, ticket)) return this.refuse(Refusal.Ticket)
 		const refusal = this.parts.refusal()
 		if (refusal) return this.refuse(refusal)
--- a/packages/runs/src/lib/jobs/JobFaults.ts
+++ b/packages/runs/src/lib/jobs/JobFaults.ts
@@ -107,8 +107,8 @@
 const REFUSED_SHARE = 0.08
 /** Why workers refuse a start that they could carry out; the other reasons follow from what they have done. */
 const REFUSALS = [
-	Refusal.Late,
-	Refusal.Room,
+	Refusal.LeaseExpired,
+	Refusal.NoCapacity,
 	Refusal.Ticket,
 	Refusal.Unhealthy,
 	Refusal.Invalid,
