--- a/packages/jobs/src/lib/leader/callers/ClientCalls.ts
+++ b/packages/jobs/src/lib/leader/callers/ClientCalls.ts
@@ -8,18 +8,12 @@
 import type { JobRequest } from '../../records/Job'
 import type { CellConfiguration } from '../../records/Cell'
 import { isActive, type JobRecord } from '../../state/JobRecord'
-import {
-	isJobRefusal,
-	type CallName,
-	type CellCall,
-	type CellReply,
-	type Destination,
-} from './calls'
+import { isJobRefusal, type CallId, type CellCall, type CellReply, type Destination } from './calls'
 import { shapeOf } from '../explainJob'
 import { epochTimeOf, type LeaderContext } from '../LeaderContext'
 import { LeaderEvent } from '../LeaderEvent'
 import { PendingCounts } from './PendingCounts'
-import { QueueTable, type Addressed } from './QueueTable'
+import { QueueTable, type ResolvedDestination } from './QueueTable'
 import { RefusedCalls } from './RefusedCalls'
 
 /** Jobs that may be kept at a time; bounds the leader's memory and its snapshots. */
@@ -41,7 +35,7 @@
 }
 
 /** A call whose queue and caller are known. */
-interface Admitted extends Addressed {
+interface Admitted extends ResolvedDestination {
 	readonly caller: Caller
 }
 
@@ -96,7 +90,7 @@
 	}
 
 	/** Takes a job by a call that may have been tried before: a refusal holds for all its tries. */
-	private takeOnce(call: CallName, to: Destination, job: JobRequest, reply: Reply): void {
+	private takeOnce(call: CallId, to: Destination, job: JobRequest, reply: Reply): void {
 		const { clock } = this.context
 		const refused = this.refusedCalls.find(call, clock.now())
 		if (refused) {
--- a/packages/jobs/src/lib/leader/callers/QueueTable.ts
+++ b/packages/jobs/src/lib/leader/callers/QueueTable.ts
@@ -3,7 +3,7 @@
 import type { Destination } from './calls'
 
 /** A queue and the rest of the path behind its prefix. @public */
-export interface Addressed {
+export interface ResolvedDestination {
 	readonly queue: Queue
 	/** The job's id; empty for the queue itself. */
 	readonly id: string
@@ -32,7 +32,7 @@
 	}
 
 	/** @returns the queue of that name, or the one with the longest prefix that begins the path. */
-	find(to: Destination): Addressed | undefined {
+	find(to: Destination): ResolvedDestination | undefined {
 		if ('queue' in to) {
 			const queue = this.byName.get(to.queue)
 			return queue && { queue, id: to.id }
--- a/packages/jobs/src/lib/leader/callers/RefusedCalls.ts
+++ b/packages/jobs/src/lib/leader/callers/RefusedCalls.ts
@@ -2,7 +2,7 @@
  * Submissions that were refused, so that no earlier try of the same call is taken afterwards. A try that got no answer may still be on its way
  * to this leader: one that comes after its call was refused gets the same refusal, and so "not run" stays true.
  */
-import type { CallName, JobRefusal } from './calls'
+import type { CallId, JobRefusal } from './calls'
 
 /** Milliseconds for which refusals are kept. Links that are silent for a second are closed, and what they held is lost with them. */
 const KEPT = 60_000
@@ -27,13 +27,13 @@
 	 * @param now - the moment, on the leader's clock.
 	 * @returns how a call was refused; undefined when it was not.
 	 */
-	find(call: CallName, now: number): JobRefusal | undefined {
+	find(call: CallId, now: number): JobRefusal | undefined {
 		this.forgetOld(now)
 		return this.refused.get(keyOf(call))?.refusal
 	}
 
 	/** A call is refused. */
-	note(call: CallName, refusal: JobRefusal, now: number): void {
+	note(call: CallId, refusal: JobRefusal, now: number): void {
 		this.forgetOld(now)
 		this.refused.set(keyOf(call), { refusal, at: now })
 	}
@@ -46,6 +46,6 @@
 	}
 }
 
-function keyOf({ instance, number }: CallName): string {
+function keyOf({ instance, number }: CallId): string {
 	return `${instance} ${number}`
 }
--- a/packages/jobs/src/lib/leader/callers/calls.ts
+++ b/packages/jobs/src/lib/leader/callers/calls.ts
@@ -102,7 +102,7 @@
 }
 
 /** A worker that another instance has heard. @public */
-export interface HeardWorker {
+export interface RelayedHeartbeat {
 	/** Its id. */
 	readonly worker: string
 	/** Number of its heartbeat. */
@@ -114,7 +114,7 @@
 }
 
 /** Names a call of an instance through all its tries. @public */
-export interface CallName {
+export interface CallId {
 	/** One life of the instance. */
 	readonly instance: string
 	/** Counts its calls. */
@@ -128,7 +128,7 @@
 			readonly to: Destination
 			readonly job: JobRequest
 			/** Names the call through all its tries; absent where it is tried once. */
-			readonly call?: CallName
+			readonly call?: CallId
 	  }
 	| { readonly kind: 'show'; readonly to: Destination }
 	| { readonly kind: 'cancel'; readonly to: Destination }
@@ -139,7 +139,7 @@
 	| { readonly kind: 'read-configuration' }
 	| { readonly kind: 'heartbeat'; readonly heartbeat: Heartbeat }
 	/** Heartbeats that brought nothing new to another instance. */
-	| { readonly kind: 'heartbeats'; readonly heard: readonly HeardWorker[] }
+	| { readonly kind: 'heartbeats'; readonly heard: readonly RelayedHeartbeat[] }
 	| { readonly kind: 'leave'; readonly worker: string }
 	/** From the leader to any instance: ask for advice on its behalf. */
 	| { readonly kind: 'advise'; readonly question: AdviceQuestion }
--- a/packages/jobs/src/lib/leader/workers/WorkerHeartbeats.ts
+++ b/packages/jobs/src/lib/leader/workers/WorkerHeartbeats.ts
@@ -1,7 +1,7 @@
 /** What workers say of themselves: that they are there, where, with what, and that they are leaving. */
 import type { Heartbeat, Worker } from '../../records/Cell'
 import { workerNameOf } from '../../records/Incarnation'
-import type { HeardWorker } from '../callers/calls'
+import type { RelayedHeartbeat } from '../callers/calls'
 import { epochTimeOf, type LeaderContext } from '../LeaderContext'
 import { LeaderEvent } from '../LeaderEvent'
 import { Occupant, type LifeChanges } from './LifeChanges'
@@ -62,7 +62,7 @@
 	}
 
 	/** Another instance has heard a worker. */
-	heard({ worker, sequence, clock, age }: HeardWorker): void {
+	heard({ worker, sequence, clock, age }: RelayedHeartbeat): void {
 		const view = this.host.find(worker)
 		if (view) this.note(view, { sequence, clock }, age)
 	}
--- a/packages/jobs/src/lib/leader/workers/WorkerRegistry.ts
+++ b/packages/jobs/src/lib/leader/workers/WorkerRegistry.ts
@@ -16,7 +16,7 @@
 import { tasksOf } from '../../state/JobTable'
 import { StallWatch } from '../../placement/StallWatch'
 import type { AccountUsage } from '../../accounts/AccountUsage'
-import type { HeardWorker } from '../callers/calls'
+import type { RelayedHeartbeat } from '../callers/calls'
 import type { ListedEnd, PollResult } from '../ports'
 import { SilenceNotes } from './SilenceNotes'
 import { isCrash, WorkerEnd } from './WorkerEnd'
@@ -177,7 +177,7 @@
 	}
 
 	/** Another instance has heard a worker. */
-	heard(heard: HeardWorker): void {
+	heard(heard: RelayedHeartbeat): void {
 		this.heartbeats.heard(heard)
 	}
 
--- a/packages/member/src/lib/GatheredHeartbeats.test.ts
+++ b/packages/member/src/lib/GatheredHeartbeats.test.ts
@@ -5,7 +5,7 @@
 	CellState,
 	encodeCommands,
 	type CellReply,
-	type HeardWorker,
+	type RelayedHeartbeat,
 	type Worker,
 } from '@rillrudder/jobs'
 import { ManualClock } from '@rillrudder/utils'
@@ -24,7 +24,7 @@
 
 class Subject {
 	readonly clock = new ManualClock()
-	readonly told: (readonly HeardWorker[])[] = []
+	readonly told: (readonly RelayedHeartbeat[])[] = []
 	readonly state = new CellState()
 	answer: CellReply = { kind: 'noted' }
 	led = true
--- a/packages/member/src/lib/GatheredHeartbeats.ts
+++ b/packages/member/src/lib/GatheredHeartbeats.ts
@@ -5,7 +5,7 @@
 import {
 	sameWorker,
 	type CellReply,
-	type HeardWorker,
+	type RelayedHeartbeat,
 	type Heartbeat,
 	type KnownWorkers,
 } from '@rillrudder/jobs'
@@ -39,7 +39,7 @@
 	readonly workers: KnownWorkers
 	readonly clock: Clock
 	/** Tells the leader. */
-	readonly tell: (heard: readonly HeardWorker[]) => Promise<CellReply>
+	readonly tell: (heard: readonly RelayedHeartbeat[]) => Promise<CellReply>
 	/** Whether a leader is known that can be told. */
 	readonly mayTell: () => boolean
 	/** Told when heartbeats begin to be refused, and when they are no longer. */
