--- a/packages/jobs/src/lib/accounts/AccountUsage.ts
+++ b/packages/jobs/src/lib/accounts/AccountUsage.ts
@@ -48,8 +48,8 @@
 	}
 
 	/** @returns whether a step may begin what it begins at a time; what is larger than the quota may run by itself. */
-	mayBegin(account: QuotaAccount | undefined, step: Step): boolean {
-		if (!account || account.allows(begunAtATime(step))) return true
+	canStart(account: QuotaAccount | undefined, step: Step): boolean {
+		if (!account || account.allows(startedTogether(step))) return true
 		return isIdle(account) && fitsAlone(step, account.terms, this.tolerance)
 	}
 
@@ -58,23 +58,23 @@
 	 *
 	 * @returns whether a run that is counted, and whose worker has not confirmed it, may still begin.
 	 */
-	mayGoOn(account: QuotaAccount | undefined, step: Step): boolean {
+	canContinue(account: QuotaAccount | undefined, step: Step): boolean {
 		if (!account) return true
-		const others = minus(account.used, begunAtATime(step))
+		const others = minus(account.used, startedTogether(step))
 		return isWithin(others, account.terms.quota)
 	}
 
 	/** Counts a run that is given up and may still go on, or is found where it should not be. */
-	countGivenUp(place: TaskPlace | undefined): CountedRun | undefined {
-		const account = place && this.of(place.job)
+	countAbandonedRun(place: TaskPlace | undefined): CountedRun | undefined {
+		const account = place && this.accountOf(place.job)
 		if (!account) return undefined
-		const amount = countedFor(place.job.request.steps[place.name.step])
+		const amount = quotaUsageOf(place.job.request.steps[place.name.step])
 		account.take(amount)
 		return { account, amount }
 	}
 
 	/** @returns the account of a job; undefined for one that belongs to none. */
-	of({ account }: JobRecord): QuotaAccount | undefined {
+	accountOf({ account }: JobRecord): QuotaAccount | undefined {
 		if (!account) return undefined
 		const known = this.accounts.get(account.name) ?? new QuotaAccount(account)
 		this.accounts.set(account.name, known)
@@ -83,7 +83,7 @@
 }
 
 /** @returns what a task of a step counts as against its account's quota: all it asks for, also what it takes of others' leftovers. @internal */
-export function countedFor(step: Step): Resources {
+export function quotaUsageOf(step: Step): Resources {
 	return step.need
 }
 
@@ -102,7 +102,7 @@
  * @returns why it could never run; undefined when it could.
  * @internal
  */
-export function whyBeyondQuota(
+export function explainQuotaExcess(
 	job: JobRequest,
 	terms: QuotaTerms,
 	tolerance: number
@@ -114,12 +114,12 @@
 /** Whether what a step begins at a time may run by itself; a single task always may. */
 function fitsAlone(step: Step, { quota }: QuotaTerms, tolerance: number): boolean {
 	if (!step.gang || !quota) return true
-	return isWithin(times(countedFor(step), step.count - 1), scaled(quota, 1 + tolerance))
+	return isWithin(times(quotaUsageOf(step), step.count - 1), scaled(quota, 1 + tolerance))
 }
 
 /** What a step begins at a time: one task, or all of a gang. */
-function begunAtATime(step: Step): Resources {
-	return step.gang ? times(countedFor(step), step.count) : countedFor(step)
+function startedTogether(step: Step): Resources {
+	return step.gang ? times(quotaUsageOf(step), step.count) : quotaUsageOf(step)
 }
 
 function isIdle({ used }: QuotaAccount): boolean {
--- a/packages/jobs/src/lib/leader/callers/ClientCalls.ts
+++ b/packages/jobs/src/lib/leader/callers/ClientCalls.ts
@@ -1,6 +1,6 @@
 /** What clients ask of the leader: to take a job, to show its state, to cancel it. */
 import { Access, mayUse, type Caller } from '../../accounts/Access'
-import { whyBeyondQuota } from '../../accounts/AccountUsage'
+import { explainQuotaExcess } from '../../accounts/AccountUsage'
 import { termsOf } from '../../accounts/ClientAccount'
 import { SendingRate } from '../../accounts/SendingRate'
 import { objectiveOf } from '../../placement/stepTimes'
@@ -212,7 +212,7 @@
 	/** @returns why a job is not taken; undefined when it is. */
 	private whyNot(caller: Caller, job: JobRequest): CellReply | undefined {
 		if (caller.kind === 'account') {
-			const reason = whyBeyondQuota(job, caller.account, this.context.timing.quotaTolerance)
+			const reason = explainQuotaExcess(job, caller.account, this.context.timing.quotaTolerance)
 			if (reason) return { kind: 'impossible', reason }
 		}
 		const { jobs } = this.context.state
--- a/packages/jobs/src/lib/leader/runs/RunController.ts
+++ b/packages/jobs/src/lib/leader/runs/RunController.ts
@@ -194,7 +194,7 @@
 		const job = this.context.state.jobs.find(name.job)
 		const decision = this.takeDecision(formatTaskName(name))
 		if (!job) return
-		const claimed = claimOf(job, name.step, decision?.urgent ?? false, this.accounts.of(job))
+		const claimed = claimOf(job, name.step, decision?.urgent ?? false, this.accounts.accountOf(job))
 		unclaim(this.context.ledger, worker, claimed)
 		const { gang, count } = claimed.step
 		if (gang) this.gangs.voided(name, attempt, count)
@@ -354,7 +354,7 @@
 		const { urgent, yields } =
 			decision ?? this.precedence.standingOf(job.queue, step, now, job.beyondRate)
 		const origin = {
-			...claimOf(job, name.step, urgent, this.accounts.of(job)),
+			...claimOf(job, name.step, urgent, this.accounts.accountOf(job)),
 			text,
 			name,
 			attempt,
--- a/packages/jobs/src/lib/leader/runs/RunOrders.ts
+++ b/packages/jobs/src/lib/leader/runs/RunOrders.ts
@@ -75,7 +75,7 @@
 	/** @returns why a run may not be ordered to start now, though its worker can be reached. */
 	private startObstacle(run: Run, view: WorkerView): StartObstacle | undefined {
 		const { clock, timing, ledger } = this.context
-		if (!this.accounts.mayGoOn(run.account, run.step)) return StartObstacle.Quota
+		if (!this.accounts.canContinue(run.account, run.step)) return StartObstacle.Quota
 		// What was free when this was decided may be gone: a worker's room can shrink while its run is on its way.
 		if (ledger.find(run.worker)?.isOver) return StartObstacle.Room
 		// So may be that of a worker which an earlier leader chose and this one has not heard yet.
--- a/packages/jobs/src/lib/leader/runs/SuspectRuns.ts
+++ b/packages/jobs/src/lib/leader/runs/SuspectRuns.ts
@@ -30,7 +30,7 @@
 		const known = view.suspects.get(task)
 		if (known && known.attempt >= attempt) return
 		if (known) uncount(known)
-		const counted = this.accounts.countGivenUp(this.context.state.jobs.locate(task))
+		const counted = this.accounts.countAbandonedRun(this.context.state.jobs.locate(task))
 		view.suspects.set(task, { attempt, counted, busy: false })
 	}
 
--- a/packages/jobs/src/lib/leader/steps/StepPlacement.ts
+++ b/packages/jobs/src/lib/leader/steps/StepPlacement.ts
@@ -101,7 +101,7 @@
 		const placed: Placed[] = []
 		const choose = this.chooserFor(work, now)
 		for (const index of waiting) {
-			if (!this.accounts.mayBegin(work.account, work.step)) break
+			if (!this.accounts.canStart(work.account, work.step)) break
 			const option = choose(index, options)
 			if (!option || !claim(this.context.ledger, option.view.id, work)) break
 			work.count(option.view.id, 1)
--- a/packages/jobs/src/lib/leader/steps/StepScheduler.ts
+++ b/packages/jobs/src/lib/leader/steps/StepScheduler.ts
@@ -134,7 +134,7 @@
 		const eligible = pass.eligible(work)
 		const room = eligible.filter((option) => this.admits(work, option))
 		const kept = this.reservations.expectedAt(work)
-		const withinQuota = this.accounts.mayBegin(work.account, work.step)
+		const withinQuota = this.accounts.canStart(work.account, work.step)
 		const held = this.quarantine.mayBegin(work).length === 0
 		const behind = !this.startWindow.admits(this.boundedStarts)
 		const now = this.context.clock.now()
@@ -326,7 +326,7 @@
 		const times = timesOf(job, repeat, step, queue)
 		const now = this.context.clock.now()
 		const standing = this.precedence.standingOf(queue, job.request.steps[step], now, job.beyondRate)
-		const account = this.accounts.of(job)
+		const account = this.accounts.accountOf(job)
 		const work = new StepWork(job, queue, repeat, step, times, standing, account)
 		this.steps.set(name, work)
 		this.stale = true
@@ -371,7 +371,7 @@
 			const isHeld = work.waiting().length > 0
 			return work.waits.note(isHeld ? WaitReason.Held : undefined, now)
 		}
-		if (!this.accounts.mayBegin(work.account, work.step)) {
+		if (!this.accounts.canStart(work.account, work.step)) {
 			work.waits.note(WaitReason.Quota, now)
 			return this.reservations.drop(work)
 		}
--- a/packages/jobs/src/lib/leader/steps/reservation.ts
+++ b/packages/jobs/src/lib/leader/steps/reservation.ts
@@ -1,6 +1,6 @@
 /** What a task takes: room on its worker, and a part of its account's quota. */
 import type { Ledger, QuotaAccount, Resources } from '@rillrudder/scheduler'
-import { countedFor } from '../../accounts/AccountUsage'
+import { quotaUsageOf } from '../../accounts/AccountUsage'
 import type { Step } from '../../records/Job'
 import type { JobRecord } from '../../state/JobRecord'
 
@@ -40,7 +40,7 @@
 	{ step, need, service, urgent, account }: Claim
 ): boolean {
 	if (!ledger.reserve(worker, need, urgent)) return false
-	account?.take(countedFor(step))
+	account?.take(quotaUsageOf(step))
 	account?.reserve(service, need)
 	return true
 }
@@ -52,7 +52,7 @@
 	{ step, need, service, urgent, account }: Claim
 ): void {
 	ledger.restore(worker, need, urgent)
-	account?.take(countedFor(step))
+	account?.take(quotaUsageOf(step))
 	account?.reserve(service, need)
 }
 
@@ -63,6 +63,6 @@
 	{ step, need, service, urgent, account }: Claim
 ): void {
 	ledger.release(worker, need, urgent)
-	account?.giveBack(countedFor(step))
+	account?.giveBack(quotaUsageOf(step))
 	account?.release(service, need)
 }
--- a/packages/jobs/src/lib/shares/StepShares.ts
+++ b/packages/jobs/src/lib/shares/StepShares.ts
@@ -114,7 +114,7 @@
 		for (const work of steps) {
 			const { account, service, step } = work
 			if (!account || step.lasting || !waits(work)) continue
-			if (!this.accounts.mayBegin(account, step)) continue
+			if (!this.accounts.canStart(account, step)) continue
 			const count = work.waiting().length
 			yield { account, service, need: times(work.need, count) }
 		}
