--- a/packages/jobs/src/lib/accounts/Access.ts
+++ b/packages/jobs/src/lib/accounts/Access.ts
@@ -44,7 +44,7 @@
  * @returns whether a caller that used a queue may see and cancel a job.
  * @internal
  */
-export function mayUse(caller: Caller, queue: Queue, job: JobRecord): boolean {
+export function canAccessJob(caller: Caller, queue: Queue, job: JobRecord): boolean {
 	if (job.account === undefined) return true
 	if (caller.kind === 'account') return caller.account.name === job.account.name
 	return caller.kind === 'anyone' && queue.name === job.queue.name
--- a/packages/jobs/src/lib/accounts/SendingRate.test.ts
+++ b/packages/jobs/src/lib/accounts/SubmissionRate.test.ts
@@ -1,10 +1,10 @@
 /** Which jobs count as beyond an account's rate. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
-import { SendingRate } from './SendingRate'
+import { SubmissionRate } from './SubmissionRate'
 
 test('jobs beyond the rate are told, each account for itself', () => {
-	const rate = new SendingRate(1000)
+	const rate = new SubmissionRate(1000)
 	assert.deepEqual(
 		[0, 100, 200].map((at) => rate.take('town', 2, at)),
 		[true, true, false]
@@ -13,13 +13,13 @@
 })
 
 test('the window slides, and what was beyond the rate takes nothing from it', () => {
-	const rate = new SendingRate(1000)
+	const rate = new SubmissionRate(1000)
 	const within = [0, 600, 700, 999, 1000, 1599, 1600].map((at) => rate.take('town', 2, at))
 	assert.deepEqual(within, [true, true, false, false, true, false, true])
 })
 
 test('over a longer window a short burst is within the rate', () => {
-	const rate = new SendingRate(5000)
+	const rate = new SubmissionRate(5000)
 	const within = [0, 0, 0, 0, 0, 100, 5000].map((at) => rate.take('town', 1, at))
 	assert.deepEqual(within, [true, true, true, true, true, false, true])
 })
--- a/packages/jobs/src/lib/accounts/SendingRate.ts
+++ b/packages/jobs/src/lib/accounts/SubmissionRate.ts
@@ -6,7 +6,7 @@
  *
  * @internal
  */
-export class SendingRate {
+export class SubmissionRate {
 	/** When jobs within the rate came, by account. */
 	private readonly sent = new Map<string, number[]>()
 
--- a/packages/jobs/src/lib/leader/callers/ClientCalls.ts
+++ b/packages/jobs/src/lib/leader/callers/ClientCalls.ts
@@ -1,8 +1,8 @@
 /** What clients ask of the leader: to take a job, to show its state, to cancel it. */
-import { Access, mayUse, type Caller } from '../../accounts/Access'
+import { Access, canAccessJob, type Caller } from '../../accounts/Access'
 import { explainQuotaExcess } from '../../accounts/AccountUsage'
 import { termsOf } from '../../accounts/ClientAccount'
-import { SendingRate } from '../../accounts/SendingRate'
+import { SubmissionRate } from '../../accounts/SubmissionRate'
 import { objectiveOf } from '../../placement/stepTimes'
 import { countTasks } from '../../records/checkJob'
 import type { JobRequest } from '../../records/Job'
@@ -47,7 +47,7 @@
 export class ClientCalls {
 	private queues: QueueTable
 	private access: Access
-	private readonly rate: SendingRate
+	private readonly rate: SubmissionRate
 	private readonly submitting = new Map<string, Submitting>()
 	private readonly refusedCalls = new RefusedCalls()
 	/** Jobs refused by account name. */
@@ -64,7 +64,7 @@
 	) {
 		const { clock, state } = context
 		this.pending = new PendingCounts(clock, () => state.jobs.all(), hasBegun)
-		this.rate = new SendingRate(context.timing.rateWindow)
+		this.rate = new SubmissionRate(context.timing.rateWindow)
 		if (context.policy.overload) {
 			this.rate.restore(context.state.jobs.all(), epochTimeOf(context))
 		}
@@ -128,7 +128,7 @@
 		const { id, queue, caller } = admitted
 		if (id === '') return { kind: 'pending', count: this.pending.of(queue.name) }
 		const job = this.context.state.jobs.find(id)
-		if (!job || !mayUse(caller, queue, job)) return { kind: 'no-such-job' }
+		if (!job || !canAccessJob(caller, queue, job)) return { kind: 'no-such-job' }
 		return { kind: 'state', state: job.state }
 	}
 
@@ -154,7 +154,7 @@
 		const admitted = this.admit(to)
 		if ('kind' in admitted) return admitted.kind === 'no-such-queue' ? NO_SUCH_JOB : admitted
 		const job = jobs.find(admitted.id)
-		return job && mayUse(admitted.caller, admitted.queue, job) ? job : NO_SUCH_JOB
+		return job && canAccessJob(admitted.caller, admitted.queue, job) ? job : NO_SUCH_JOB
 	}
 
 	/** Finds the queue of a call, and who calls. */
@@ -177,7 +177,7 @@
 		const account = caller.kind === 'account' ? caller.account.name : undefined
 		const known = this.context.state.jobs.find(id)
 		if (known) {
-			reply({ kind: mayUse(caller, queue, known) ? 'accepted' : 'id-taken' })
+			reply({ kind: canAccessJob(caller, queue, known) ? 'accepted' : 'id-taken' })
 			return
 		}
 		const waiting = this.submitting.get(id)
