--- a/packages/jobs/src/lib/leader/JobController.ts
+++ b/packages/jobs/src/lib/leader/JobController.ts
@@ -153,7 +153,7 @@
 	}
 
 	/** Takes in what a committed command has changed. */
-	changed(change: Change): void {
+	onChange(change: Change): void {
 		switch (change.kind) {
 			case 'configured':
 				return this.configured(change.configuration)
--- a/packages/jobs/src/lib/leader/Reconciliation.ts
+++ b/packages/jobs/src/lib/leader/Reconciliation.ts
@@ -19,7 +19,7 @@
 /** The part of the controller that knows what waits. @internal */
 export interface WaitingWork {
 	/** @returns the steps of a job that it had missed and has taken up, by name; none as a rule. */
-	lookAgain(job: JobRecord): readonly string[]
+	reconcile(job: JobRecord): readonly string[]
 }
 
 /**
@@ -54,7 +54,7 @@
 
 	private look(job: JobRecord): void {
 		const { log, meter } = this.context
-		for (const step of this.waiting.lookAgain(job)) {
+		for (const step of this.waiting.reconcile(job)) {
 			meter.count(Measure.MissedWork)
 			log.warn(LeaderEvent.WorkMissed, { step })
 		}
--- a/packages/jobs/src/lib/leader/steps/StepScheduler.ts
+++ b/packages/jobs/src/lib/leader/steps/StepScheduler.ts
@@ -200,7 +200,7 @@
 	}
 
 	/** Opens steps of a job, and tries those again, that have tasks to begin and that no change has told of. */
-	lookAgain(job: JobRecord): readonly string[] {
+	reconcile(job: JobRecord): readonly string[] {
 		if (!isActive(job)) return []
 		const missed: string[] = []
 		job.repeats.forEach((steps, repeat) => {
--- a/packages/jobs/src/lib/testing/LeaderSubject.ts
+++ b/packages/jobs/src/lib/testing/LeaderSubject.ts
@@ -310,7 +310,7 @@
 			meter: this.meter,
 			onDeposed: () => (this.deposed = true),
 		})
-		this.state.observer = (change) => this.controller.changed(change)
+		this.state.observer = (change) => this.controller.onChange(change)
 	}
 
 	/** Makes a call. @returns the reply, if it came at once. */
--- a/packages/member/src/lib/Leading.ts
+++ b/packages/member/src/lib/Leading.ts
@@ -77,7 +77,7 @@
 			onDeposed: () => group.handOver(),
 		})
 		meter.count(Measure.Leaderships)
-		state.observer = (change) => this.controller.changed(change)
+		state.observer = (change) => this.controller.onChange(change)
 	}
 
 	/** Answers a call; callers that still wait when the leadership ends are told so. */
--- a/packages/runs/src/lib/jobs/JobRun.ts
+++ b/packages/runs/src/lib/jobs/JobRun.ts
@@ -308,7 +308,7 @@
 		})
 		this.log = log
 		this.controller = controller
-		state.observer = (change) => controller.changed(change)
+		state.observer = (change) => controller.onChange(change)
 	}
 
 	/** An operator sends a configuration until it is confirmed. */
