--- a/packages/jobs/src/lib/gangs/gangs.test.ts
+++ b/packages/jobs/src/lib/gangs/gangs.test.ts
@@ -15,7 +15,7 @@
 
 function subjectWith(workers: readonly string[], advice = SHORT): LeaderSubject {
 	const subject = new LeaderSubject({ advice, latencyTarget: 60_000 })
-	subject.answerTakes = ({ workers: named }) => advice.base + advice.each * named.length
+	subject.adviceDelay = ({ workers: named }) => advice.base + advice.each * named.length
 	subject.instances = Array.from({ length: 8 }, (_, number) => `instance-${number}`)
 	for (const id of workers) subject.heartbeat(id)
 	return subject
@@ -59,7 +59,7 @@
 	const subject = subjectWith(['w1', 'w2'])
 	// Full workers whose runs end after twenty seconds.
 	subject.configure({ advice: SHORT, latencyTarget: 60_000 }, { name: 'plain', prefix: '/plain/' })
-	for (const id of ['w1', 'w2']) subject.worker(id).pace = 2
+	for (const id of ['w1', 'w2']) subject.worker(id).progressPerPoll = 2
 	subject.submit(OTHER, jobOf({ count: 8, expectedTime: 25_000 }), 'plain')
 	subject.run(500, 'w1', 'w2')
 	subject.submit(GANG, jobOf(gangOf(8)))
@@ -76,7 +76,7 @@
 test('an answer that does not come is asked for through another instance, and the gang begins', () => {
 	const subject = subjectWith(WORKERS)
 	let lost = 2
-	subject.answerTakes = ({ workers }) =>
+	subject.adviceDelay = ({ workers }) =>
 		lost-- > 0 ? Number.POSITIVE_INFINITY : SHORT.base + SHORT.each * workers.length
 	subject.submit(GANG, jobOf(gangOf(12)))
 	subject.run(8000, ...WORKERS)
@@ -85,7 +85,7 @@
 
 test('an adviser that is twice as slow as it says delays a gang and does not keep it', () => {
 	const subject = subjectWith(WORKERS)
-	subject.answerTakes = ({ workers }) => 2 * (SHORT.base + SHORT.each * workers.length)
+	subject.adviceDelay = ({ workers }) => 2 * (SHORT.base + SHORT.each * workers.length)
 	subject.submit(GANG, jobOf(gangOf(12)))
 	subject.run(5000, ...WORKERS)
 	assert.equal(runningOf(subject, WORKERS, GANG), 12)
--- a/packages/jobs/src/lib/leader/JobController.test.ts
+++ b/packages/jobs/src/lib/leader/JobController.test.ts
@@ -73,7 +73,7 @@
 	subject.heartbeat('w1')
 	const unwell = { kind: 'refused', reason: Refusal.Unhealthy } as const
 	subject.worker('w1').startResults = [{ kind: 'not-carried' }, unwell]
-	subject.worker('w1').stopTakes = 10_000
+	subject.worker('w1').stopDelay = 10_000
 	subject.submit(ID, jobOf({}))
 	subject.heartbeat('w2')
 	subject.run(1500, 'w1', 'w2')
@@ -213,9 +213,9 @@
 	subject.submit(ID, jobOf({ copies: true }))
 	subject.run(100, 'w1')
 	subject.heartbeat('w2')
-	subject.worker('w1').losesPolls = 1
+	subject.worker('w1').lostPolls = 1
 	subject.run(2000, 'w1', 'w2')
-	assert.equal(subject.worker('w1').losesPolls, 0)
+	assert.equal(subject.worker('w1').lostPolls, 0)
 	assert.equal(subject.worker('w2').starts.length, 0)
 })
 
@@ -376,7 +376,7 @@
 	subject.heartbeat('w1')
 	const worker = subject.worker('w1')
 	worker.running = [{ task: `${OTHER}.0.0.0`, attempt: 1, checkpoint: '', percent: 0, measure: 0 }]
-	worker.stopTakes = 200
+	worker.stopDelay = 200
 	subject.lead()
 	subject.submit(ID, jobOf({}))
 	assert.equal(subject.startCount, 0)
@@ -499,7 +499,7 @@
 
 test('a step with advice begins only on workers that are allowed, with their tickets', () => {
 	const subject = new LeaderSubject({ advice: { base: 20, each: 1, valid: 2500 } })
-	subject.allowed = (id) => id === 'w2'
+	subject.isAllowed = (id) => id === 'w2'
 	for (const id of ['w1', 'w2', 'w3']) subject.heartbeat(id)
 	subject.submit(ID, jobOf({ count: 3 }))
 	subject.run(500, 'w1', 'w2', 'w3')
@@ -590,7 +590,7 @@
 
 test('a step that no worker may run says so, and is asked about again only for workers that join', () => {
 	const subject = new LeaderSubject({ advice: { base: 20, each: 1, valid: 2000 } })
-	subject.allowed = (worker) => worker === 'w3'
+	subject.isAllowed = (worker) => worker === 'w3'
 	for (const id of ['w1', 'w2']) subject.heartbeat(id)
 	subject.submit(ID, jobOf({}))
 	subject.run(6000, 'w1', 'w2')
--- a/packages/jobs/src/lib/leader/behindWithStarts.test.ts
+++ b/packages/jobs/src/lib/leader/behindWithStarts.test.ts
@@ -32,7 +32,7 @@
 	subject.submit('00000000000000a2', jobOf({ count: WORKERS.length * TASKS_EACH - 30 }))
 	subject.run(1000, ...WORKERS)
 	assert.equal(begunIn(subject), before)
-	assert.ok(subject.lines.some((line) => line.includes('start-window-changed')))
+	assert.ok(subject.logLines.some((line) => line.includes('start-window-changed')))
 })
 
 test('once it confirms them what waits begins, the most urgent first', () => {
--- a/packages/jobs/src/lib/leader/crashingTask.test.ts
+++ b/packages/jobs/src/lib/leader/crashingTask.test.ts
@@ -108,7 +108,7 @@
 	const worker = subject.worker('w1')
 	subject.heartbeat('w1')
 	subject.submit(POISON, jobOf({ copies: true }))
-	worker.answersHeldUp = 1500
+	worker.answerDelay = 1500
 	subject.run(1100, 'w1')
 	worker.silent = true
 	subject.submit(INNOCENT, jobOf({}))
--- a/packages/jobs/src/lib/leader/restartedWorker.test.ts
+++ b/packages/jobs/src/lib/leader/restartedWorker.test.ts
@@ -54,7 +54,7 @@
 
 test('a step begins after one that was done on a worker which has started again', () => {
 	const subject = restartedCell()
-	subject.worker(WORKER).keepsUnseen = true
+	subject.worker(WORKER).keepsUnacknowledgedEnds = true
 	subject.submit(AFTER, jobOf({ count: 2 }, { dependsOn: [0] }))
 	for (let round = 0; round < 6; round++) {
 		subject.run(5000, WORKER)
--- a/packages/jobs/src/lib/leader/runs/WastedWork.test.ts
+++ b/packages/jobs/src/lib/leader/runs/WastedWork.test.ts
@@ -14,7 +14,7 @@
 }
 
 function endsOf(subject: LeaderSubject): Line[] {
-	return subject.lines
+	return subject.logLines
 		.filter((line) => line.includes(`"${LeaderEvent.RunEnded}"`))
 		.map((line) => JSON.parse(line) as Line)
 }
--- a/packages/jobs/src/lib/leader/runs/gangAttempt.test.ts
+++ b/packages/jobs/src/lib/leader/runs/gangAttempt.test.ts
@@ -26,7 +26,7 @@
 	const subject = new LeaderSubject()
 	for (const id of WORKERS) {
 		subject.heartbeat(id)
-		subject.worker(id).pace = 0
+		subject.worker(id).progressPerPoll = 0
 	}
 	return subject
 }
@@ -149,7 +149,7 @@
 test('a gang at work is left alone by the next leader', () => {
 	const subject = threeWorkers()
 	subject.submit(ID, jobOf(GANG))
-	for (const id of WORKERS) subject.worker(id).pace = 3
+	for (const id of WORKERS) subject.worker(id).progressPerPoll = 3
 	subject.run(2000, ...WORKERS)
 	subject.lead()
 	subject.run(DEFAULT_LEADER_TIMING.gangWait + SOON, ...WORKERS)
@@ -173,7 +173,7 @@
 	subject.worker('w2').startResults = [refused(Refusal.NoCapacity)]
 	subject.submit(ID, jobOf(GANG))
 	subject.run(SOON, ...WORKERS)
-	const lines = subject.lines.filter((line) => line.includes(`"${LeaderEvent.GangGivenUp}"`))
+	const lines = subject.logLines.filter((line) => line.includes(`"${LeaderEvent.GangGivenUp}"`))
 	assert.equal(lines.length, 1)
 	const { reason, detail, worker, members } = JSON.parse(lines[0]) as Record<string, unknown>
 	assert.deepEqual(
--- a/packages/jobs/src/lib/leader/shrunkenRoom.test.ts
+++ b/packages/jobs/src/lib/leader/shrunkenRoom.test.ts
@@ -70,7 +70,7 @@
 	for (const id of ['w1', 'w2']) {
 		subject.heartbeat(id)
 		// Members get on only once all of them are there.
-		subject.worker(id).pace = 0
+		subject.worker(id).progressPerPoll = 0
 	}
 	subject.worker('w2').silent = true
 	subject.submit(FIRST, jobOf({ count: 6, gang: true }))
--- a/packages/jobs/src/lib/leader/steps/StepWaits.test.ts
+++ b/packages/jobs/src/lib/leader/steps/StepWaits.test.ts
@@ -23,7 +23,7 @@
 }
 
 function told(subject: LeaderSubject): string[] {
-	return subject.lines.filter((line) => line.includes(`"${LeaderEvent.StepWaitsLong}"`))
+	return subject.logLines.filter((line) => line.includes(`"${LeaderEvent.StepWaitsLong}"`))
 }
 
 test('a step without room is told by its reason, since when and until what, and by no line of waits that nobody keeps', async () => {
@@ -39,7 +39,7 @@
 
 test('a step that waits too long with room there is told once', async () => {
 	const subject = new LeaderSubject({ advice: { base: 30, each: 0, valid: 2000 } })
-	subject.allowed = (worker) => worker === 'w9'
+	subject.isAllowed = (worker) => worker === 'w9'
 	for (const worker of ['w1', 'w9']) subject.heartbeat(worker)
 	subject.submit(JOB, jobOf({ count: 2, ...WIDE }))
 	subject.run(9000, 'w1', 'w9')
--- a/packages/jobs/src/lib/leader/steps/passCost.test.ts
+++ b/packages/jobs/src/lib/leader/steps/passCost.test.ts
@@ -96,7 +96,7 @@
 /** @returns looks at workers in a second in which so many steps wait for an answer that does not come. */
 function looksWhileWaiting(steps: number): number {
 	const subject = new LeaderSubject(SLOW_POLICY)
-	subject.answerTakes = () => Number.POSITIVE_INFINITY
+	subject.adviceDelay = () => Number.POSITIVE_INFINITY
 	subject.instances = Array.from({ length: steps }, (_, number) => `instance-${number}`)
 	for (let number = 0; number < MANY_WORKERS; number++) subject.heartbeat(`w${number}`)
 	for (let number = 1; number <= steps; number++) subject.submit(idOf(number), jobOf({}))
--- a/packages/jobs/src/lib/leader/workers/LifeChanges.test.ts
+++ b/packages/jobs/src/lib/leader/workers/LifeChanges.test.ts
@@ -41,7 +41,7 @@
 	const { subject, worker, other } = cellWithRun()
 	worker.restart(FIRST + 5000)
 	worker.running = [{ task: TASK, attempt: 1, checkpoint: '', percent: 0, measure: 0 }]
-	worker.stopTakes = 200
+	worker.stopDelay = 200
 	for (let spent = 0; spent < 3000; spent += 20) {
 		subject.run(20)
 		const there = worker.running.filter(({ attempt }) => attempt === 1).length
@@ -95,7 +95,7 @@
 	subject.run(1000, WORKER, OTHER)
 	worker.end(TASK, 'done')
 	subject.run(2000, WORKER, OTHER)
-	worker.answersHeldUp = 900
+	worker.answerDelay = 900
 	subject.run(3000, WORKER, OTHER)
 	const before = worker.polls.length
 	worker.restart(FIRST + 5000)
--- a/packages/jobs/src/lib/leader/workers/WorkerPolls.test.ts
+++ b/packages/jobs/src/lib/leader/workers/WorkerPolls.test.ts
@@ -16,7 +16,7 @@
 	const subject = new LeaderSubject()
 	subject.configure({ priority: 2 }, URGENT)
 	subject.heartbeat('w1')
-	subject.worker('w1').losesPolls = 1
+	subject.worker('w1').lostPolls = 1
 	subject.submit(ID, jobOf(SHORT), queue)
 	subject.run(640, 'w1')
 	subject.worker('w1').end(TASK, RunEnd.Done)
--- a/packages/jobs/src/lib/placement/Reservations.test.ts
+++ b/packages/jobs/src/lib/placement/Reservations.test.ts
@@ -19,7 +19,7 @@
 	const subject = new LeaderSubject({ latencyTarget: 200_000 })
 	for (const id of WORKERS) {
 		subject.heartbeat(id)
-		subject.worker(id).pace = 15
+		subject.worker(id).progressPerPoll = 15
 	}
 	return subject
 }
@@ -57,10 +57,10 @@
 	for (const id of WORKERS) subject.heartbeat(id)
 	const half = { cpu: 2000, memory: 512, accelerators: 0 }
 	// What runs on the other worker goes on for long, so the last tasks have to wait.
-	subject.allowed = (worker) => worker === 'w2'
+	subject.isAllowed = (worker) => worker === 'w2'
 	subject.submit(smallId(1), jobOf({ need: WHOLE_WORKER, expectedTime: 120_000 }))
 	subject.run(500, ...WORKERS)
-	subject.allowed = () => true
+	subject.isAllowed = () => true
 	subject.submit(BIG, jobOf({ count: 6, need: half, expectedTime: 3000 }))
 	subject.run(3000, ...WORKERS)
 	const fake = subject.worker('w1')
--- a/packages/jobs/src/lib/placement/StallWatch.test.ts
+++ b/packages/jobs/src/lib/placement/StallWatch.test.ts
@@ -12,7 +12,7 @@
 function subjectOnOneWorker(changes: object = {}): LeaderSubject {
 	const subject = new LeaderSubject()
 	subject.heartbeat('w1')
-	for (const id of ['w1', 'w2']) subject.worker(id).pace = 20
+	for (const id of ['w1', 'w2']) subject.worker(id).progressPerPoll = 20
 	subject.submit(ID, jobOf({ ...QUICK, ...changes }))
 	subject.run(1100, 'w1')
 	subject.heartbeat('w2')
@@ -21,7 +21,7 @@
 
 test('what stands still on a worker that answers is moved, and nothing new goes there', () => {
 	const subject = subjectOnOneWorker()
-	subject.worker('w1').pace = 0
+	subject.worker('w1').progressPerPoll = 0
 	subject.run(FOUND_WITHIN, 'w1', 'w2')
 	assert.equal(subject.worker('w1').stops.length, 1)
 	assert.equal(subject.worker('w2').starts.length, 1)
@@ -34,19 +34,19 @@
 	// A gang's members wait for each other before their work and after, on workers that are well.
 	for (const changes of [{ lasting: true }, { expectedTime: 0 }, { gang: true }]) {
 		const subject = subjectOnOneWorker(changes)
-		subject.worker('w1').pace = 0
+		subject.worker('w1').progressPerPoll = 0
 		subject.run(FOUND_WITHIN, 'w1', 'w2')
 		assert.equal(subject.worker('w1').stops.length, 0)
 	}
 	const subject = subjectOnOneWorker({ expectedTime: 5000 })
-	subject.worker('w1').pace = 8
+	subject.worker('w1').progressPerPoll = 8
 	subject.run(FOUND_WITHIN, 'w1', 'w2')
 	assert.equal(subject.worker('w1').stops.length, 0)
 })
 
 test('a task whose declared time is far off ends all the same: it is moved a few times at most', () => {
 	const subject = subjectOnOneWorker()
-	for (const id of ['w1', 'w2']) subject.worker(id).pace = 0
+	for (const id of ['w1', 'w2']) subject.worker(id).progressPerPoll = 0
 	subject.run(FOUND_WITHIN * 20, 'w1', 'w2')
 	const starts = subject.worker('w1').starts.length + subject.worker('w2').starts.length
 	assert.ok(starts <= 4, `${starts} starts`)
--- a/packages/jobs/src/lib/placement/UrgentRoom.test.ts
+++ b/packages/jobs/src/lib/placement/UrgentRoom.test.ts
@@ -38,7 +38,7 @@
 
 test('in a calm service nothing waits for urgent work that is not there', () => {
 	const subject = subjectWithWorkers(...FOUR)
-	subject.allowed = (worker) => worker === 'w1'
+	subject.isAllowed = (worker) => worker === 'w1'
 	subject.submit(LASTING, jobOf({ need: MUCH, lasting: true }))
 	subject.run(500, ...FOUR)
 	subject.submit(LATER, jobOf({ need: SOME }))
@@ -48,7 +48,7 @@
 
 test('a worker is filled by large tasks while the service has room elsewhere', () => {
 	const subject = subjectWithWorkers(...FOUR)
-	subject.allowed = (worker) => worker === 'w1'
+	subject.isAllowed = (worker) => worker === 'w1'
 	subject.submit(LATER, jobOf({ count: 3, need: { ...SOME, cpu: 1300 } }))
 	subject.run(3000, ...FOUR)
 	assert.equal(subject.worker('w1').running.length, 3)
--- a/packages/jobs/src/lib/shares/LeaderShares.test.ts
+++ b/packages/jobs/src/lib/shares/LeaderShares.test.ts
@@ -43,14 +43,14 @@
 	const subject = fullSubject()
 	const [use] = usesOf(subject, 'pressing')
 	assert.equal(use.over, true)
-	assert.ok(subject.lines.some((line) => line.includes('share-exceeded')))
+	assert.ok(subject.logLines.some((line) => line.includes('share-exceeded')))
 	const worker = subject.worker('w1')
 	worker.end(worker.running[0].task, 'done')
 	subject.run(1000, ...WORKERS)
 	assert.ok(worker.running.some(({ task }) => task.startsWith(idOf(99))))
 	subject.call({ kind: 'cancel', to: { id: idOf(99) } })
 	subject.run(1000, ...WORKERS)
-	assert.ok(subject.lines.some((line) => line.includes('share-regained')))
+	assert.ok(subject.logLines.some((line) => line.includes('share-regained')))
 })
 
 test('the next leader goes on with what accounts had, and notes of it come every three seconds at most', () => {
@@ -88,7 +88,7 @@
 	const subject = fullSubject({ overload: false, shares: false })
 	assert.deepEqual(usesOf(subject, 'pressing'), [])
 	assert.deepEqual(notesIn(subject), [])
-	assert.ok(!subject.lines.some((line) => line.includes('share-')))
+	assert.ok(!subject.logLines.some((line) => line.includes('share-')))
 })
 
 test('accounts of no weight have no shares', () => {
--- a/packages/jobs/src/lib/speeds/SpeedWatch.test.ts
+++ b/packages/jobs/src/lib/speeds/SpeedWatch.test.ts
@@ -17,7 +17,7 @@
 	const subject = new LeaderSubject()
 	for (const id of WORKERS) {
 		subject.heartbeat(id)
-		subject.worker(id).pace = SLOW.includes(id) ? slowPace : PACE
+		subject.worker(id).progressPerPoll = SLOW.includes(id) ? slowPace : PACE
 	}
 	for (const job of ['00000000000000a1', '00000000000000a2', '00000000000000a3']) {
 		subject.submit(job, jobOf({ count: WORKERS.length, mostPerWorker: 1 }))
@@ -26,7 +26,7 @@
 }
 
 function calledSlow(subject: LeaderSubject): string[] {
-	const lines = subject.lines.filter((line) => line.includes('"worker-slow"'))
+	const lines = subject.logLines.filter((line) => line.includes('"worker-slow"'))
 	return SLOW.filter((id) => lines.some((line) => line.includes(`"${id}"`)))
 }
 
@@ -61,7 +61,7 @@
 test('the next leader learns speeds anew from what workers list', () => {
 	const subject = unevenSubject()
 	subject.run(LEARNED_IN, ...WORKERS)
-	subject.lines.length = 0
+	subject.logLines.length = 0
 	subject.lead()
 	subject.run(LEARNED_IN, ...WORKERS)
 	assert.deepEqual(calledSlow(subject), SLOW)
@@ -70,5 +70,5 @@
 test('where workers are alike none is called slow', () => {
 	const subject = unevenSubject(PACE)
 	subject.run(LEARNED_IN, ...WORKERS)
-	assert.equal(subject.lines.filter((line) => /speeds-heeded|worker-slow/.test(line)).length, 0)
+	assert.equal(subject.logLines.filter((line) => /speeds-heeded|worker-slow/.test(line)).length, 0)
 })
--- a/packages/jobs/src/lib/testing/LeaderSubject.ts
+++ b/packages/jobs/src/lib/testing/LeaderSubject.ts
@@ -30,9 +30,9 @@
 import { CellState } from '../state/CellState'
 import { QUEUE, workerNamed } from './samples'
 
-const TICK = 20
-const CLOCK_OFFSET = 50_000
-const ANSWER_LIMIT = 400
+const TICK_MS = 20
+const CLOCK_OFFSET_MS = 50_000
+const ORDER_TIMEOUT_MS = 400
 
 /** What one worker of a test does and has seen. */
 export class FakeWorker {
@@ -47,11 +47,11 @@
 	/** Set once another incarnation is at its address. */
 	replaced = false
 	/** How many of the next polls get no answer. */
-	losesPolls = 0
+	lostPolls = 0
 	/** Milliseconds that a stop takes. */
-	stopTakes = 0
+	stopDelay = 0
 	/** Percent by which what it runs gets on from one poll to the next; 0 to let it stand still. */
-	pace = 3
+	progressPerPoll = 3
 	/** What the next starts are answered with in turn, in place of being carried out. */
 	startResults: OrderResult[] = []
 	/** How many of the next polls are not carried. */
@@ -63,13 +63,13 @@
 	/** Where it is, if orders to elsewhere are to reach nobody. */
 	address: string | undefined
 	/** Milliseconds by which answers to polls are held up on their way; they come although it has crashed meanwhile. */
-	answersHeldUp = 0
+	answerDelay = 0
 	/** What its clock shows beyond that of the others. */
-	clockAhead = 0
+	clockOffset = 0
 	/** Number of its latest heartbeat. */
 	sequence = 0
 	/** Set to make it keep ends that it is told were seen before it has had so many. */
-	keepsUnseen = false
+	keepsUnacknowledgedEnds = false
 	private endCount = 0
 
 	/** It starts anew, and knows nothing of before. */
@@ -79,18 +79,18 @@
 		this.ended = []
 		this.endCount = 0
 		this.sequence = 0
-		this.clockAhead = -20_000
+		this.clockOffset = -20_000
 	}
 
 	/** It is told that ends up to a number were seen. */
 	forget(seen: number): void {
-		if (this.keepsUnseen && seen > this.endCount) return
+		if (this.keepsUnacknowledgedEnds && seen > this.endCount) return
 		this.ended = this.ended.filter((end) => end.number > seen)
 	}
 
 	/** What it runs gets on a little. */
 	work(): void {
-		const { pace } = this
+		const { progressPerPoll: pace } = this
 		this.running = this.running.map((run) => ({
 			...run,
 			percent: Math.min(99, run.percent + pace),
@@ -154,8 +154,8 @@
 			fake.notCarried -= 1
 			return done({ kind: 'not-carried' })
 		}
-		if (order.wait > 0 && fake.losesPolls > 0) {
-			fake.losesPolls -= 1
+		if (order.wait > 0 && fake.lostPolls > 0) {
+			fake.lostPolls -= 1
 			this.subject.clock.after(order.wait, () => this.lose(done))
 			return
 		}
@@ -167,19 +167,21 @@
 			const { running, ended, born } = fake
 			const clock = this.subject.clockOf(fake)
 			const result = { kind: 'done', clock, born, running, ended: [...ended] } as const
-			if (fake.answersHeldUp === 0) done(result)
-			else this.subject.clock.after(fake.answersHeldUp, () => done(result))
+			if (fake.answerDelay === 0) done(result)
+			else this.subject.clock.after(fake.answerDelay, () => done(result))
 		}
 		this.subject.clock.after(order.wait > 0 && fake.ended.length === 0 ? order.wait : 1, answer)
 	}
 
 	private end(fake: FakeWorker, task: string): void {
-		if (fake.stopTakes === 0) fake.end(task, 'stopped')
-		else this.subject.clock.after(fake.stopTakes, () => fake.end(task, 'stopped'))
+		if (fake.stopDelay === 0) fake.end(task, 'stopped')
+		else this.subject.clock.after(fake.stopDelay, () => fake.end(task, 'stopped'))
 	}
 
 	private lose(done: (result: { kind: 'unknown'; message: string }) => void): void {
-		this.subject.clock.after(ANSWER_LIMIT, () => done({ kind: 'unknown', message: 'no answer' }))
+		this.subject.clock.after(ORDER_TIMEOUT_MS, () =>
+			done({ kind: 'unknown', message: 'no answer' })
+		)
 	}
 }
 
@@ -194,9 +196,9 @@
 
 	override ask(via: string, question: AdviceQuestion, done: (result: AdviceResult) => void): void {
 		this.subject.questions.push({ via, question })
-		const good = question.workers.filter((id) => this.subject.allowed(id))
+		const good = question.workers.filter((id) => this.subject.isAllowed(id))
 		const tickets = new Map(good.map((id) => [id, `ticket-${id}`]))
-		const takes = this.subject.answerTakes(question)
+		const takes = this.subject.adviceDelay(question)
 		this.subject.clock.after(takes, () => done({ kind: 'answered', tickets }))
 	}
 }
@@ -237,14 +239,14 @@
 	readonly state = new CellState()
 	readonly proposals = new InstantProposals(this)
 	readonly questions: { readonly via: string; readonly question: AdviceQuestion }[] = []
-	allowed: (worker: string) => boolean = () => true
+	isAllowed: (worker: string) => boolean = () => true
 	/** Milliseconds that an answer takes; infinite for one that does not come. */
-	answerTakes: (question: AdviceQuestion) => number = () => 30
+	adviceDelay: (question: AdviceQuestion) => number = () => 30
 	/** Instances that can ask. */
 	instances: readonly string[] = ['self', 'other', 'third']
 	deposed = false
 	/** Log lines of all leaderships. */
-	readonly lines: string[] = []
+	readonly logLines: string[] = []
 	readonly meter = new Meter()
 	/** The room of the workers, as the present leadership counts it. */
 	ledger!: Ledger
@@ -272,11 +274,11 @@
 
 	/** What all workers' clocks show. */
 	get workerClock(): number {
-		return Math.floor(this.clock.now() + CLOCK_OFFSET)
+		return Math.floor(this.clock.now() + CLOCK_OFFSET_MS)
 	}
 
 	/** What a worker's own clock shows. */
-	clockOf({ clockAhead }: FakeWorker): number {
+	clockOf({ clockOffset: clockAhead }: FakeWorker): number {
 		return this.workerClock + clockAhead
 	}
 
@@ -306,7 +308,7 @@
 			orders: new FakeOrders(this),
 			advisers: new FakeAdvisers(this),
 			proposals: this.proposals,
-			log: new Log('test', this.clock, 'info', (line) => this.lines.push(line)),
+			log: new Log('test', this.clock, 'info', (line) => this.logLines.push(line)),
 			meter: this.meter,
 			onDeposed: () => (this.deposed = true),
 		})
@@ -362,9 +364,9 @@
 
 	/** Lets time pass, with heartbeats of these workers once a second. */
 	run(span: number, ...alive: string[]): void {
-		for (let spent = 0; spent < span; spent += TICK) {
+		for (let spent = 0; spent < span; spent += TICK_MS) {
 			if (spent % 1000 === 0) for (const id of alive) this.heartbeat(id)
-			this.clock.advance(TICK)
+			this.clock.advance(TICK_MS)
 			this.controller.tick()
 		}
 	}
