--- a/packages/jobs/src/lib/leader/JobController.ts
+++ b/packages/jobs/src/lib/leader/JobController.ts
@@ -26,13 +26,13 @@
 import { SpeedWatch } from '../speeds/SpeedWatch'
 
 /** Milliseconds after which a configuration that is not there yet may be read again. */
-const RETRY_AFTER = 1000
+const RETRY_AFTER_MS = 1000
 /** Milliseconds between two passes over steps for which nothing has come free. */
-const FULL_PASS = 100
+const FULL_PASS_PERIOD_MS = 100
 /** Milliseconds that a start may take where no queue has a latency target. */
-const PLAIN_TARGET = 1000
+const DEFAULT_LATENCY_TARGET_MS = 1000
 /** Milliseconds between two looks for jobs that may be forgotten. */
-const FORGET_PERIOD = 5000
+const FORGET_PERIOD_MS = 5000
 
 type CrashCounted = Extract<Change, { readonly kind: 'crash-counted' }>
 type Reply = (reply: CellReply) => void
@@ -62,7 +62,7 @@
 	private readonly speeds: SpeedWatch
 	private fullPassDue = 0
 	private forgetDue = 0
-	private placing = false
+	private isPlacing = false
 
 	/** @param context - the state as of the beginning of this leadership, and the world around it. */
 	constructor(private readonly context: LeaderContext) {
@@ -99,7 +99,7 @@
 		)
 		this.clients = new ClientCalls(context, (job) => this.runs.hasBegun(job))
 		this.reconciliation = new Reconciliation(context, this.steps)
-		for (const job of state.jobs.all()) this.takeUp(job)
+		for (const job of state.jobs.all()) this.restoreJob(job)
 		log.info(LeaderEvent.LeadershipGained, {
 			term,
 			jobs: state.jobs.size,
@@ -156,11 +156,11 @@
 	onChange(change: Change): void {
 		switch (change.kind) {
 			case 'configured':
-				return this.configured(change.configuration)
+				return this.onConfigured(change.configuration)
 			case 'job-accepted':
 				return this.steps.accept(change.job)
 			case 'job-ended':
-				return this.jobEnded(change.job)
+				return this.onJobEnded(change.job)
 			case 'run-begun':
 				this.steps.begun(change.task, change.worker)
 				return this.runs.begun(change.task, change.attempt, change.worker)
@@ -171,7 +171,7 @@
 				this.runs.ended(change.task, change.attempt, change.worker, change.how)
 				return this.steps.ended(change.task, change.worker, change.how)
 			case 'crash-counted':
-				return this.crashCounted(change)
+				return this.onCrashCounted(change)
 			case 'task-cleared':
 				return this.steps.reconsider(change.task)
 			case 'task-done':
@@ -198,26 +198,26 @@
 		this.reconciliation.tick(now)
 		this.speeds.tick(now)
 		this.shares.tick(now)
-		this.judgeStarts(now)
-		if (now >= this.forgetDue) this.forgetOld(now)
+		this.updateStartWindow(now)
+		if (now >= this.forgetDue) this.forgetEndedJobs(now)
 		this.place()
 	}
 
 	/** Begins what can begin; to be called after every batch of events. */
 	place(): void {
-		if (this.placing) return
-		this.placing = true
+		if (this.isPlacing) return
+		this.isPlacing = true
 		const now = this.context.clock.now()
 		const full = now >= this.fullPassDue
-		if (full) this.fullPassDue = now + FULL_PASS
+		if (full) this.fullPassDue = now + FULL_PASS_PERIOD_MS
 		this.steps.place(now, full)
 		const { clock, meter } = this.context
 		meter.observe(Measure.PassTime, clock.now() - now, { full: String(full) })
-		this.placing = false
+		this.isPlacing = false
 	}
 
 	/** A cell is behind when half of its starts take longer than its most urgent queue allows a whole job. */
-	private judgeStarts(now: number): void {
+	private updateStartWindow(now: number): void {
 		const { runs, startWindow: window, context } = this
 		const delay = this.startDelays.take(now, () => runs.awaitedStarts())
 		if (delay === undefined) return
@@ -237,7 +237,7 @@
 		context.meter.gauge(Measure.StartWindow, most ?? 0)
 	}
 
-	private takeUp(job: JobRecord): void {
+	private restoreJob(job: JobRecord): void {
 		this.workers.restoreGivenUp(job)
 		this.runs.restore(job)
 		if (isActive(job)) this.steps.accept(job)
@@ -271,7 +271,7 @@
 	private readConfiguration(): CellReply {
 		const { configuration } = this.context.state
 		if (!configuration) {
-			return { kind: 'not-run', reason: 'no configuration yet', retryAfter: RETRY_AFTER }
+			return { kind: 'not-run', reason: 'no configuration yet', retryAfter: RETRY_AFTER_MS }
 		}
 		return { kind: 'configuration', configuration }
 	}
@@ -284,7 +284,7 @@
 		)
 	}
 
-	private configured(configuration: CellConfiguration): void {
+	private onConfigured(configuration: CellConfiguration): void {
 		const { version, queues, accounts } = configuration
 		this.clients.configured(configuration)
 		this.accounts.configure(accounts ?? [])
@@ -296,7 +296,7 @@
 		})
 	}
 
-	private jobEnded(job: JobRecord): void {
+	private onJobEnded(job: JobRecord): void {
 		const took = job.ended - job.submitted
 		const { log, meter } = this.context
 		const objective = Math.round(objectiveOf(job.request, job.queue))
@@ -308,7 +308,7 @@
 	}
 
 	/** One line for each crash under a task, and one when the task is given up. */
-	private crashCounted({ task: name, worker, crashed }: CrashCounted): void {
+	private onCrashCounted({ task: name, worker, crashed }: CrashCounted): void {
 		const { log, meter } = this.context
 		const task = formatTaskName(name)
 		const evidence = crashed.find((lost) => lost.worker === worker)?.evidence ?? 'none'
@@ -324,8 +324,8 @@
 		})
 	}
 
-	private forgetOld(now: number): void {
-		this.forgetDue = now + FORGET_PERIOD
+	private forgetEndedJobs(now: number): void {
+		this.forgetDue = now + FORGET_PERIOD_MS
 		const { state, proposals, timing } = this.context
 		const before = epochTimeOf(this.context) - timing.endedJobRetention
 		const jobs: string[] = []
@@ -339,5 +339,5 @@
 /** @returns the shortest latency target of a queue, in milliseconds. */
 function shortestTarget(queues: readonly Queue[]): number {
 	const targets = queues.map(({ latencyTarget }) => latencyTarget).filter((target) => target > 0)
-	return targets.length > 0 ? Math.min(...targets) : PLAIN_TARGET
+	return targets.length > 0 ? Math.min(...targets) : DEFAULT_LATENCY_TARGET_MS
 }
--- a/packages/jobs/src/lib/leader/Reconciliation.ts
+++ b/packages/jobs/src/lib/leader/Reconciliation.ts
@@ -9,12 +9,12 @@
 import { LeaderEvent } from './LeaderEvent'
 
 /** Milliseconds between two looks. */
-const LOOK_EVERY = 500
+const PERIOD_MS = 500
 /**
  * Jobs that one look compares; 1 to 3 ms of an instance for jobs of ten tasks. With the 670,000 jobs a day of the size to design for some 9,000 are
  * kept at a time, so each is looked at every 9 s.
  */
-const JOBS_A_LOOK = 500
+const MAX_JOBS_PER_TICK = 500
 
 /** The part of the controller that knows what waits. @internal */
 export interface WaitingWork {
@@ -29,32 +29,32 @@
  */
 export class Reconciliation {
 	private dueAt = 0
-	private rest: Iterator<JobRecord>
+	private remaining: Iterator<JobRecord>
 
 	constructor(
 		private readonly context: LeaderContext,
-		private readonly waiting: WaitingWork
+		private readonly waitingWork: WaitingWork
 	) {
-		this.rest = context.state.jobs.all()
+		this.remaining = context.state.jobs.all()
 	}
 
 	/** Looks at the next jobs, where that is due. */
 	tick(now: number): void {
 		if (now < this.dueAt) return
-		this.dueAt = now + LOOK_EVERY
-		for (let count = 0; count < JOBS_A_LOOK; count++) {
-			const next = this.rest.next()
+		this.dueAt = now + PERIOD_MS
+		for (let count = 0; count < MAX_JOBS_PER_TICK; count++) {
+			const next = this.remaining.next()
 			if (next.done) {
-				this.rest = this.context.state.jobs.all()
+				this.remaining = this.context.state.jobs.all()
 				return
 			}
-			this.look(next.value)
+			this.reconcileJob(next.value)
 		}
 	}
 
-	private look(job: JobRecord): void {
+	private reconcileJob(job: JobRecord): void {
 		const { log, meter } = this.context
-		for (const step of this.waiting.reconcile(job)) {
+		for (const step of this.waitingWork.reconcile(job)) {
 			meter.count(Measure.MissedWork)
 			log.warn(LeaderEvent.WorkMissed, { step })
 		}
