--- a/packages/jobs/src/lib/accounts/Access.ts
+++ b/packages/jobs/src/lib/accounts/Access.ts
@@ -23,7 +23,7 @@
 	/** @param configuration - the configuration in force, or undefined before the first. */
 	constructor(configuration: CellConfiguration | undefined) {
 		const { accounts } = configuration ?? {}
-		this.byDigest = accounts && new Map(accounts.flatMap(holdersOf))
+		this.byDigest = accounts && new Map(accounts.flatMap(keyHoldersOf))
 	}
 
 	/**
@@ -50,6 +50,6 @@
 	return caller.kind === 'anyone' && queue.name === job.queue.name
 }
 
-function holdersOf(account: ClientAccount): [string, ClientAccount][] {
+function keyHoldersOf(account: ClientAccount): [string, ClientAccount][] {
 	return account.keyDigests.map((digest) => [digest, account])
 }
--- a/packages/jobs/src/lib/accounts/AccountUsage.ts
+++ b/packages/jobs/src/lib/accounts/AccountUsage.ts
@@ -49,8 +49,8 @@
 
 	/** @returns whether a step may begin what it begins at a time; what is larger than the quota may run by itself. */
 	canStart(account: QuotaAccount | undefined, step: Step): boolean {
-		if (!account || account.allows(startedTogether(step))) return true
-		return isIdle(account) && fitsAlone(step, account.terms, this.tolerance)
+		if (!account || account.allows(concurrentNeedOf(step))) return true
+		return isIdle(account) && canRunAlone(step, account.terms, this.tolerance)
 	}
 
 	/**
@@ -60,7 +60,7 @@
 	 */
 	canContinue(account: QuotaAccount | undefined, step: Step): boolean {
 		if (!account) return true
-		const others = minus(account.used, startedTogether(step))
+		const others = minus(account.used, concurrentNeedOf(step))
 		return isWithin(others, account.terms.quota)
 	}
 
@@ -107,18 +107,18 @@
 	terms: QuotaTerms,
 	tolerance: number
 ): string | undefined {
-	const number = job.steps.findIndex((step) => !fitsAlone(step, terms, tolerance))
+	const number = job.steps.findIndex((step) => !canRunAlone(step, terms, tolerance))
 	return number < 0 ? undefined : `the gang of step ${number} is beyond the quota of its account`
 }
 
 /** Whether what a step begins at a time may run by itself; a single task always may. */
-function fitsAlone(step: Step, { quota }: QuotaTerms, tolerance: number): boolean {
+function canRunAlone(step: Step, { quota }: QuotaTerms, tolerance: number): boolean {
 	if (!step.gang || !quota) return true
 	return isWithin(times(quotaUsageOf(step), step.count - 1), scaled(quota, 1 + tolerance))
 }
 
 /** What a step begins at a time: one task, or all of a gang. */
-function startedTogether(step: Step): Resources {
+function concurrentNeedOf(step: Step): Resources {
 	return step.gang ? times(quotaUsageOf(step), step.count) : quotaUsageOf(step)
 }
 
--- a/packages/jobs/src/lib/accounts/ClientAccount.ts
+++ b/packages/jobs/src/lib/accounts/ClientAccount.ts
@@ -32,30 +32,30 @@
 
 /**
  * @param accounts - the accounts of one configuration.
- * @param add - told of each thing that is wrong, with its path. No message holds a key or its digest.
+ * @param report - told of each thing that is wrong, with its path. No message holds a key or its digest.
  * @internal
  */
 export function checkAccounts(
 	accounts: readonly ClientAccount[],
-	add: (path: string, message: string) => void
+	report: (path: string, message: string) => void
 ): void {
 	const names = new Set<string>()
 	const holders = new Map<string, string>()
 	accounts.forEach((account, index) => {
 		const path = `accounts[${index}]`
 		const { name, weight, quota } = account
-		if (name === '') add(path, 'has no name')
-		if (names.has(name)) add(path, `has the name of another account (${name})`)
+		if (name === '') report(path, 'has no name')
+		if (names.has(name)) report(path, `has the name of another account (${name})`)
 		names.add(name)
-		if (!(weight >= 0)) add(`${path}.weight`, 'is not a number from 0')
+		if (!(weight >= 0)) report(`${path}.weight`, 'is not a number from 0')
 		for (const [resource, amount] of Object.entries(quota ?? {})) {
 			if (amount !== undefined && !(amount >= 0))
-				add(`${path}.quota.${resource}`, 'is not a number from 0')
+				report(`${path}.quota.${resource}`, 'is not a number from 0')
 		}
 		for (const digest of account.keyDigests) {
 			const holder = holders.get(digest)
-			if (digest === EMPTY_KEY) add(`${path}.keys`, 'hold an empty key')
-			if (holder !== undefined && holder !== name) add(`${path}.keys`, `hold one of ${holder}`)
+			if (digest === EMPTY_KEY) report(`${path}.keys`, 'hold an empty key')
+			if (holder !== undefined && holder !== name) report(`${path}.keys`, `hold one of ${holder}`)
 			holders.set(digest, name)
 		}
 	})
--- a/packages/jobs/src/lib/accounts/SubmissionRate.ts
+++ b/packages/jobs/src/lib/accounts/SubmissionRate.ts
@@ -8,7 +8,7 @@
  */
 export class SubmissionRate {
 	/** When jobs within the rate came, by account. */
-	private readonly sent = new Map<string, number[]>()
+	private readonly recentByAccount = new Map<string, number[]>()
 
 	/** @param window - milliseconds over which jobs are counted; a short burst within it is no offence. */
 	constructor(private readonly window: number) {}
@@ -17,8 +17,8 @@
 	restore(jobs: Iterable<JobRecord>, now: number): void {
 		for (const { account, beyondRate, submitted } of jobs) {
 			if (!account || beyondRate || now - submitted >= this.window) continue
-			const recent = this.sent.get(account.name) ?? []
-			this.sent.set(account.name, [...recent, submitted])
+			const recent = this.recentByAccount.get(account.name) ?? []
+			this.recentByAccount.set(account.name, [...recent, submitted])
 		}
 	}
 
@@ -31,10 +31,10 @@
 	 * @returns whether the job is within the rate.
 	 */
 	take(account: string, rate: number, now: number): boolean {
-		const recent = (this.sent.get(account) ?? []).filter((at) => now - at < this.window)
+		const recent = (this.recentByAccount.get(account) ?? []).filter((at) => now - at < this.window)
 		const within = recent.length < (rate * this.window) / 1000
 		if (within) recent.push(now)
-		this.sent.set(account, recent)
+		this.recentByAccount.set(account, recent)
 		return within
 	}
 }
--- a/packages/jobs/src/lib/accounts/listAccounts.ts
+++ b/packages/jobs/src/lib/accounts/listAccounts.ts
@@ -15,7 +15,7 @@
 /**
  * @param usage - what the accounts have reserved.
  * @param work - their jobs.
- * @param refused - how many jobs of an account were refused.
+ * @param refusalCountOf - how many jobs of an account were refused.
  * @param total - what all workers offer.
  * @param standings - what accounts have of each service, where they have shares of it.
  * @returns a line for each account, by name.
@@ -24,7 +24,7 @@
 export function listAccounts(
 	usage: AccountUsage,
 	work: AccountWork,
-	refused: (account: string) => number,
+	refusalCountOf: (account: string) => number,
 	total: Resources,
 	standings: readonly ServiceStanding[]
 ): AccountSummary[] {
@@ -42,7 +42,7 @@
 				jobs: jobs.length,
 				beyondRate: jobs.filter((job) => job.beyondRate).length,
 				waiting: work.waiting.get(name) ?? 0,
-				refused: refused(name),
+				refused: refusalCountOf(name),
 				services: standings
 					.filter((standing) => standing.account === account)
 					.map(({ service, share, held, had, over }) => ({ service, share, held, had, over })),
--- a/packages/jobs/src/lib/leader/JobController.ts
+++ b/packages/jobs/src/lib/leader/JobController.ts
@@ -253,7 +253,7 @@
 	private listAccounts(): AccountSummary[] {
 		const { state, ledger } = this.context
 		const work = { jobs: state.jobs.all(), waiting: this.steps.waitingByAccount() }
-		const refused = (name: string): number => this.clients.refusedOf(name)
+		const refused = (name: string): number => this.clients.refusalCountOf(name)
 		return listAccounts(this.accounts, work, refused, ledger.total, [...this.shares.rooms.all()])
 	}
 
@@ -286,7 +286,7 @@
 
 	private onConfigured(configuration: CellConfiguration): void {
 		const { version, queues, accounts } = configuration
-		this.clients.configured(configuration)
+		this.clients.onConfigured(configuration)
 		this.accounts.configure(accounts ?? [])
 		this.precedence.configured(queues, this.context.clock.now())
 		this.context.log.info(LeaderEvent.ConfigurationApplied, {
--- a/packages/jobs/src/lib/leader/callers/ClientCalls.ts
+++ b/packages/jobs/src/lib/leader/callers/ClientCalls.ts
@@ -17,25 +17,25 @@
 import { RefusedCalls } from './RefusedCalls'
 
 /** Jobs that may be kept at a time; bounds the leader's memory and its snapshots. */
-const MOST_JOBS = 20_000
+const MAX_JOBS = 20_000
 /** Tasks of all kept jobs together, for the same reason: at about 100 bytes each, a sixth of the heap. */
-const MOST_TASKS = 300_000
+const MAX_TASKS = 300_000
 /** Milliseconds after which a refused submission may come again. */
-const RETRY_AFTER = 1000
+const RETRY_AFTER_MS = 1000
 
 type Reply = (reply: CellReply) => void
 /** A call that hands a job in. */
 type Submission = Extract<CellCall, { readonly kind: 'submit' }>
 
 /** A submission that waits to be committed. */
-interface Submitting {
+interface PendingSubmission {
 	/** Name of the account that it comes from; undefined for none. */
 	readonly account: string | undefined
 	readonly replies: Reply[]
 }
 
 /** A call whose queue and caller are known. */
-interface Admitted extends ResolvedDestination {
+interface AdmittedCall extends ResolvedDestination {
 	readonly caller: Caller
 }
 
@@ -48,7 +48,7 @@
 	private queues: QueueTable
 	private access: Access
 	private readonly rate: SubmissionRate
-	private readonly submitting = new Map<string, Submitting>()
+	private readonly submitting = new Map<string, PendingSubmission>()
 	private readonly refusedCalls = new RefusedCalls()
 	/** Jobs refused by account name. */
 	private readonly refusals = new Map<string, number>()
@@ -73,46 +73,46 @@
 	}
 
 	/** A configuration is in force from now on. */
-	configured(configuration: CellConfiguration): void {
+	onConfigured(configuration: CellConfiguration): void {
 		this.queues = new QueueTable(configuration)
 		this.access = new Access(configuration)
 	}
 
 	/** @returns how many jobs of an account were refused since this leadership began. */
-	refusedOf(account: string): number {
+	refusalCountOf(account: string): number {
 		return this.refusals.get(account) ?? 0
 	}
 
 	/** Takes a job; the same id again from the same account remains one job. */
 	submit({ to, job, call }: Submission, reply: Reply): void {
-		if (!call) this.take(to, job, reply)
-		else this.takeOnce(call, to, job, reply)
+		if (!call) this.submitUnnamed(to, job, reply)
+		else this.submitNamed(call, to, job, reply)
 	}
 
 	/** Takes a job by a call that may have been tried before: a refusal holds for all its tries. */
-	private takeOnce(call: CallId, to: Destination, job: JobRequest, reply: Reply): void {
+	private submitNamed(call: CallId, to: Destination, job: JobRequest, reply: Reply): void {
 		const { clock } = this.context
 		const refused = this.refusedCalls.find(call, clock.now())
 		if (refused) {
 			reply({ kind: 'settled', refusal: refused })
 			return
 		}
-		this.take(to, job, (answer) => {
-			if (!isJobRefusal(answer) || this.mayHaveTaken(to)) return reply(answer)
-			this.refusedCalls.note(call, answer, clock.now())
+		this.submitUnnamed(to, job, (answer) => {
+			if (!isJobRefusal(answer) || this.mayBeAccepted(to)) return reply(answer)
+			this.refusedCalls.add(call, answer, clock.now())
 			reply({ kind: 'settled', refusal: answer })
 		})
 	}
 
 	/** Whether an earlier try may have handed a job of the id in; its key or queue may have gone since. */
-	private mayHaveTaken(to: Destination): boolean {
+	private mayBeAccepted(to: Destination): boolean {
 		const id = idOf(to)
 		return this.submitting.has(id) || this.context.state.jobs.find(id) !== undefined
 	}
 
-	private take(to: Destination, job: JobRequest, reply: Reply): void {
+	private submitUnnamed(to: Destination, job: JobRequest, reply: Reply): void {
 		if (!this.context.state.configuration) {
-			reply({ kind: 'not-run', reason: 'no configuration yet', retryAfter: RETRY_AFTER })
+			reply({ kind: 'not-run', reason: 'no configuration yet', retryAfter: RETRY_AFTER_MS })
 			return
 		}
 		const admitted = this.admit(to)
@@ -126,7 +126,7 @@
 		const admitted = this.admit(to)
 		if ('kind' in admitted) return admitted
 		const { id, queue, caller } = admitted
-		if (id === '') return { kind: 'pending', count: this.pending.of(queue.name) }
+		if (id === '') return { kind: 'pending', count: this.pending.countOf(queue.name) }
 		const job = this.context.state.jobs.find(id)
 		if (!job || !canAccessJob(caller, queue, job)) return { kind: 'no-such-job' }
 		return { kind: 'state', state: job.state }
@@ -158,7 +158,7 @@
 	}
 
 	/** Finds the queue of a call, and who calls. */
-	private admit(to: Destination): Admitted | CellReply {
+	private admit(to: Destination): AdmittedCall | CellReply {
 		const addressed = this.queues.find(to)
 		if (!addressed) return { kind: 'no-such-queue' }
 		const caller = this.access.callerOf(
@@ -172,7 +172,7 @@
 		return { kind: 'unauthorized' }
 	}
 
-	private submitAdmitted(admitted: Admitted, job: JobRequest, reply: Reply): void {
+	private submitAdmitted(admitted: AdmittedCall, job: JobRequest, reply: Reply): void {
 		const { id, queue, caller } = admitted
 		const account = caller.kind === 'account' ? caller.account.name : undefined
 		const known = this.context.state.jobs.find(id)
@@ -186,23 +186,27 @@
 			else reply({ kind: 'id-taken' })
 			return
 		}
-		const refusal = this.whyNot(caller, job)
+		const refusal = this.refusalOf(caller, job)
 		if (refusal) this.refuse(id, account, refusal, reply)
 		else this.propose(admitted, job, { account, replies: [reply] })
 	}
 
-	private propose({ id, queue, caller }: Admitted, job: JobRequest, submitting: Submitting): void {
+	private propose(
+		{ id, queue, caller }: AdmittedCall,
+		job: JobRequest,
+		submitting: PendingSubmission
+	): void {
 		this.submitting.set(id, submitting)
 		const at = epochTimeOf(this.context)
 		const account = caller.kind === 'account' ? termsOf(caller.account) : undefined
 		const within = !account || this.rate.take(account.name, account.weight, at)
 		const beyondRate = within ? undefined : true
 		const command = { kind: 'submit', id, queue, job, account, beyondRate, at } as const
-		this.context.proposals.propose(command, () => this.submitted(id))
+		this.context.proposals.propose(command, () => this.onSubmitted(id))
 	}
 
 	private refuse(id: string, account: string | undefined, refusal: CellReply, reply: Reply): void {
-		if (account !== undefined) this.refusals.set(account, this.refusedOf(account) + 1)
+		if (account !== undefined) this.refusals.set(account, this.refusalCountOf(account) + 1)
 		const reason = 'reason' in refusal ? refusal.reason : refusal.kind
 		const jobs = this.context.state.jobs.size
 		this.context.log.warn(LeaderEvent.JobRefused, { job: id, account, reason, jobs })
@@ -210,7 +214,7 @@
 	}
 
 	/** @returns why a job is not taken; undefined when it is. */
-	private whyNot(caller: Caller, job: JobRequest): CellReply | undefined {
+	private refusalOf(caller: Caller, job: JobRequest): CellReply | undefined {
 		if (caller.kind === 'account') {
 			const reason = explainQuotaExcess(job, caller.account, this.context.timing.quotaTolerance)
 			if (reason) return { kind: 'impossible', reason }
@@ -219,13 +223,13 @@
 		const full = (reason: string): CellReply => ({
 			kind: 'not-run',
 			reason,
-			retryAfter: RETRY_AFTER,
+			retryAfter: RETRY_AFTER_MS,
 		})
-		if (jobs.size >= MOST_JOBS) return full('too many jobs')
-		return jobs.taskCount + countTasks(job) > MOST_TASKS ? full('too many tasks') : undefined
+		if (jobs.size >= MAX_JOBS) return full('too many jobs')
+		return jobs.taskCount + countTasks(job) > MAX_TASKS ? full('too many tasks') : undefined
 	}
 
-	private submitted(id: string): void {
+	private onSubmitted(id: string): void {
 		const { state, log } = this.context
 		const job = state.jobs.find(id)
 		log.info(LeaderEvent.JobAccepted, {
--- a/packages/jobs/src/lib/leader/callers/PendingCounts.ts
+++ b/packages/jobs/src/lib/leader/callers/PendingCounts.ts
@@ -4,7 +4,7 @@
 import type { JobRecord } from '../../state/JobRecord'
 
 /** Milliseconds for which a count serves; callers may be told one that is 2 s old, and ask hundreds of times a second. */
-const COUNTED_EVERY = 250
+const MAX_AGE_MS = 250
 
 /**
  * The counts of jobs that have not begun.
@@ -26,13 +26,13 @@
 	) {}
 
 	/** @returns how many jobs of a queue have not begun. */
-	of(queue: string): number {
+	countOf(queue: string): number {
 		const now = this.clock.now()
-		if (now - this.countedAt >= COUNTED_EVERY) this.count(now)
+		if (now - this.countedAt >= MAX_AGE_MS) this.recount(now)
 		return this.counts.get(queue) ?? 0
 	}
 
-	private count(now: number): void {
+	private recount(now: number): void {
 		this.countedAt = now
 		this.counts = new Map()
 		for (const job of this.jobs()) {
--- a/packages/jobs/src/lib/leader/callers/RefusedCalls.test.ts
+++ b/packages/jobs/src/lib/leader/callers/RefusedCalls.test.ts
@@ -6,7 +6,7 @@
 
 test('a refusal is kept for a minute, by life of an instance and number of its call', () => {
 	const refused = new RefusedCalls()
-	refused.note({ instance: 'a', number: 1 }, REFUSAL, 0)
+	refused.add({ instance: 'a', number: 1 }, REFUSAL, 0)
 	assert.equal(refused.find({ instance: 'a', number: 1 }, 59_999), REFUSAL)
 	assert.equal(refused.find({ instance: 'a', number: 2 }, 0), undefined)
 	assert.equal(refused.find({ instance: 'b', number: 1 }, 0), undefined)
@@ -16,7 +16,7 @@
 test('under a flood of refusals the oldest are forgotten, so that memory stays bounded', () => {
 	const refused = new RefusedCalls()
 	for (let number = 0; number < 60_000; number++) {
-		refused.note({ instance: 'a', number }, REFUSAL, 1)
+		refused.add({ instance: 'a', number }, REFUSAL, 1)
 	}
 	assert.equal(refused.find({ instance: 'a', number: 0 }, 2), undefined)
 	assert.equal(refused.find({ instance: 'a', number: 59_999 }, 2), REFUSAL)
--- a/packages/jobs/src/lib/leader/callers/RefusedCalls.ts
+++ b/packages/jobs/src/lib/leader/callers/RefusedCalls.ts
@@ -5,11 +5,11 @@
 import type { CallId, JobRefusal } from './calls'
 
 /** Milliseconds for which refusals are kept. Links that are silent for a second are closed, and what they held is lost with them. */
-const KEPT = 60_000
+const RETENTION_MS = 60_000
 /** Refusals that are kept at most; bounds the leader's memory at about 10 MB. */
-const MOST = 50_000
+const MAX_REFUSALS = 50_000
 
-interface Refused {
+interface RefusedCall {
 	readonly refusal: JobRefusal
 	readonly at: number
 }
@@ -21,26 +21,26 @@
  */
 export class RefusedCalls {
 	/** By instance and number, the oldest first. */
-	private readonly refused = new Map<string, Refused>()
+	private readonly refused = new Map<string, RefusedCall>()
 
 	/**
 	 * @param now - the moment, on the leader's clock.
 	 * @returns how a call was refused; undefined when it was not.
 	 */
 	find(call: CallId, now: number): JobRefusal | undefined {
-		this.forgetOld(now)
+		this.evictExpired(now)
 		return this.refused.get(keyOf(call))?.refusal
 	}
 
 	/** A call is refused. */
-	note(call: CallId, refusal: JobRefusal, now: number): void {
-		this.forgetOld(now)
+	add(call: CallId, refusal: JobRefusal, now: number): void {
+		this.evictExpired(now)
 		this.refused.set(keyOf(call), { refusal, at: now })
 	}
 
-	private forgetOld(now: number): void {
+	private evictExpired(now: number): void {
 		for (const [key, { at }] of this.refused) {
-			if (now - at < KEPT && this.refused.size <= MOST) return
+			if (now - at < RETENTION_MS && this.refused.size <= MAX_REFUSALS) return
 			this.refused.delete(key)
 		}
 	}
--- a/packages/jobs/src/lib/leader/explainJob.ts
+++ b/packages/jobs/src/lib/leader/explainJob.ts
@@ -104,13 +104,13 @@
 		placed: tasks.length - done - waiting,
 		waiting,
 		failures,
-		losses: lossesIn(tasks),
+		losses: lossesOf(tasks),
 		workers,
 		reason: waiting === 0 ? '' : reasonOf(steps, job, repeat, number),
 	}
 }
 
-function lossesIn(tasks: readonly TaskRecord[]): LossSummary[] {
+function lossesOf(tasks: readonly TaskRecord[]): LossSummary[] {
 	const losses: LossSummary[] = []
 	tasks.forEach((task, index) => {
 		const { crashed = [], silent = [] } = task
