--- a/packages/jobs/src/lib/leader/JobController.ts
+++ b/packages/jobs/src/lib/leader/JobController.ts
@@ -1,4 +1,4 @@
-/** The controller of a cell's leader: answers calls, and decides what runs where. */
+/** The leader's controller of a cell: answers calls and decides which task runs on which worker. */
 import { Measure } from '@rillrudder/telemetry'
 import { exhaustive } from '@rillrudder/utils'
 import type { CellConfiguration, Heartbeat, Queue } from '../records/Cell'
@@ -25,20 +25,20 @@
 import { WorkerRegistry } from './workers/WorkerRegistry'
 import { SpeedWatch } from '../speeds/SpeedWatch'
 
-/** Milliseconds after which a configuration that is not there yet may be read again. */
+/** Milliseconds after which a client may retry reading a configuration that does not exist yet. */
 const RETRY_AFTER_MS = 1000
-/** Milliseconds between two passes over steps for which nothing has come free. */
+/** Milliseconds between full passes, which also try steps for which no capacity has become free. */
 const FULL_PASS_PERIOD_MS = 100
-/** Milliseconds that a start may take where no queue has a latency target. */
+/** Bound on the delay of starts, in milliseconds, where no queue has a latency target. */
 const DEFAULT_LATENCY_TARGET_MS = 1000
-/** Milliseconds between two looks for jobs that may be forgotten. */
+/** Milliseconds between two searches for ended jobs whose retention is over. */
 const FORGET_PERIOD_MS = 5000
 
 type CrashCounted = Extract<Change, { readonly kind: 'crash-counted' }>
 type Reply = (reply: CellReply) => void
 
 /**
- * The controller of a cell's leader. It lives as long as one leadership.
+ * The leader's controller of a cell. One instance serves one leadership.
  *
  * @example
  * ```ts
@@ -64,7 +64,7 @@
 	private forgetDue = 0
 	private isPlacing = false
 
-	/** @param context - the state as of the beginning of this leadership, and the world around it. */
+	/** @param context - the state as of the start of this leadership, and the ports of the controller. */
 	constructor(private readonly context: LeaderContext) {
 		const { state, log, term } = context
 		this.startDelays = new StartDelays(context.clock.now())
@@ -108,7 +108,7 @@
 		})
 	}
 
-	/** Sets the gauges of what the controller has on it. */
+	/** Updates the gauges of runs, configuration, steps, shares, workers and speeds. */
 	measure(): void {
 		const { meter, state } = this.context
 		meter.gauge(Measure.Runs, this.runs.size)
@@ -119,7 +119,7 @@
 		this.speeds.measure()
 	}
 
-	/** Answers a call, at once or once what it asks is committed. */
+	/** Handles a call. `reply` is called at once, or after the command that the call requires is committed. */
 	call(call: CellCall, reply: Reply): void {
 		switch (call.kind) {
 			case 'submit':
@@ -146,13 +146,13 @@
 			case 'leave':
 				return this.workers.leave(call.worker, () => reply({ kind: 'noted' }))
 			case 'advise':
-				return reply({ kind: 'unknown', reason: 'a leader asks others for advice' })
+				return reply({ kind: 'unknown', reason: 'a leader does not answer requests for advice' })
 			default:
 				return exhaustive(call)
 		}
 	}
 
-	/** Takes in what a committed command has changed. */
+	/** Applies a change of the replicated state, made by a committed command, to the controller. */
 	onChange(change: Change): void {
 		switch (change.kind) {
 			case 'configured':
@@ -189,7 +189,7 @@
 		}
 	}
 
-	/** Does what time has made due; to be called every few tens of milliseconds. */
+	/** Runs periodic work and timeouts; to be called every few tens of milliseconds. */
 	tick(): void {
 		const now = this.context.clock.now()
 		this.workers.tick(now)
@@ -203,7 +203,7 @@
 		this.place()
 	}
 
-	/** Begins what can begin; to be called after every batch of events. */
+	/** Starts the tasks that can start; to be called after every batch of events. */
 	place(): void {
 		if (this.isPlacing) return
 		this.isPlacing = true
@@ -216,7 +216,10 @@
 		this.isPlacing = false
 	}
 
-	/** A cell is behind when half of its starts take longer than its most urgent queue allows a whole job. */
+	/**
+	 * Adjusts the limit of concurrent starts. A cell is behind when half of its starts take longer than the shortest
+	 * latency target of its queues, which bounds a whole job.
+	 */
 	private updateStartWindow(now: number): void {
 		const { runs, startWindow: window, context } = this
 		const delay = this.startDelays.take(now, () => runs.awaitedStarts())
@@ -279,7 +282,12 @@
 	private heartbeat(heartbeat: Heartbeat, reply: Reply): void {
 		this.workers.heartbeat(heartbeat, (noted) =>
 			reply(
-				noted ? { kind: 'noted' } : { kind: 'unknown', reason: 'another worker is known there' }
+				noted
+					? { kind: 'noted' }
+					: {
+							kind: 'unknown',
+							reason: 'another worker is known under this name or at this address',
+						}
 			)
 		)
 	}
@@ -307,7 +315,7 @@
 		this.runs.stopJob(job)
 	}
 
-	/** One line for each crash under a task, and one when the task is given up. */
+	/** Logs the crash of a worker that ran the task, and the abandoned task once the suspicion is proven. */
 	private onCrashCounted({ task: name, worker, crashed }: CrashCounted): void {
 		const { log, meter } = this.context
 		const task = formatTaskName(name)
@@ -336,7 +344,7 @@
 	}
 }
 
-/** @returns the shortest latency target of a queue, in milliseconds. */
+/** @returns the shortest latency target of the queues, in milliseconds; the default where none has one. */
 function shortestTarget(queues: readonly Queue[]): number {
 	const targets = queues.map(({ latencyTarget }) => latencyTarget).filter((target) => target > 0)
 	return targets.length > 0 ? Math.min(...targets) : DEFAULT_LATENCY_TARGET_MS
--- a/packages/jobs/src/lib/leader/LeaderContext.ts
+++ b/packages/jobs/src/lib/leader/LeaderContext.ts
@@ -1,4 +1,4 @@
-/** What the parts of the controller share. */
+/** The state, ports and settings that the parts of the controller share. */
 import type { Ledger, WorkerHealth } from '@rillrudder/scheduler'
 import type { Log, Meter } from '@rillrudder/telemetry'
 import type { Clock, Random } from '@rillrudder/utils'
@@ -7,7 +7,7 @@
 import type { LeaderTiming } from './LeaderTiming'
 import type { Advisers, Proposals, WorkerOrders } from './ports'
 
-/** What the parts of the controller share. @public */
+/** State, ports and settings of one leadership, shared by the parts of the controller. @public */
 export interface LeaderContext {
 	readonly state: CellState
 	readonly ledger: Ledger
@@ -16,18 +16,18 @@
 	readonly random: Random
 	readonly timing: LeaderTiming
 	readonly policy: LeaderPolicy
-	/** Term of this leadership, the fence of its orders. */
+	/** Term of this leadership; it is the fencing token of its orders. */
 	readonly term: number
 	readonly orders: WorkerOrders
 	readonly advisers: Advisers
 	readonly proposals: Proposals
 	readonly log: Log
 	readonly meter: Meter
-	/** Called when a worker has obeyed a later leader: this one must give way. */
+	/** Called when a worker has obeyed a leader of a higher term, so that this one must step down. */
 	readonly onDeposed: () => void
 }
 
-/** @returns milliseconds since the epoch. @internal */
+/** @returns the current time in milliseconds since the Unix epoch. @internal */
 export function epochTimeOf(context: LeaderContext): number {
 	return context.clock.date().getTime()
 }
--- a/packages/jobs/src/lib/leader/LeaderPolicy.ts
+++ b/packages/jobs/src/lib/leader/LeaderPolicy.ts
@@ -1,15 +1,16 @@
-/** What a deployment asks of its leader beyond what every deployment gets. */
+/** Optional features of the leader that a deployment's settings enable. */
 
-/** Parts of the policy that are off unless a deployment's settings call for them. @public */
+/** Features that are off unless a deployment's settings enable them. @public */
 export interface LeaderPolicy {
 	/**
-	 * Whether callers compete for too little room: what can still be in time goes before what can't, and a change of leader pardons nobody
-	 * who sends beyond its rate.
+	 * Whether clients are expected to overload the cell. Work that can still meet its target then goes before work that
+	 * cannot, and a new leader restores the submission rates of accounts, so that none exceeds its rate after a change of
+	 * leader.
 	 */
 	readonly overload: boolean
-	/** Whether accounts get shares of scarce room and advice by their weights. */
+	/** Whether accounts get shares of scarce capacity and of advice by their weights. */
 	readonly shares: boolean
 }
 
-/** The policy of a deployment that asks for nothing more. @public */
+/** The policy with all optional features off. @public */
 export const DEFAULT_LEADER_POLICY: LeaderPolicy = { overload: false, shares: false }
--- a/packages/jobs/src/lib/leader/Reconciliation.ts
+++ b/packages/jobs/src/lib/leader/Reconciliation.ts
@@ -1,29 +1,34 @@
 /**
- * Compares the steps that the controller knows to wait with what is replicated, again and again, so that none waits for a change that was
- * missed. Each change makes a step be tried at once; this finds what such a wake-up should have found and did not. It looks
- * at a bounded number of jobs at a time, so a cell of many jobs costs no more per look, and is only looked through more slowly.
+ * Periodically compares the waiting steps that the controller knows with the replicated state, so that a missed change
+ * cannot leave a step waiting forever. Each change normally wakes its step at once; this finds the steps that were not
+ * woken. Each tick checks a bounded number of jobs, so the cost per tick does not grow with the cell; a full round over
+ * many jobs only takes longer.
  */
 import { Measure } from '@rillrudder/telemetry'
 import type { JobRecord } from '../state/JobRecord'
 import type { LeaderContext } from './LeaderContext'
 import { LeaderEvent } from './LeaderEvent'
 
-/** Milliseconds between two looks. */
+/** Milliseconds between two batches of jobs. */
 const PERIOD_MS = 500
 /**
- * Jobs that one look compares; 1 to 3 ms of an instance for jobs of ten tasks. With the 670,000 jobs a day of the size to design for some 9,000 are
- * kept at a time, so each is looked at every 9 s.
+ * Jobs in a batch. A batch takes 1 to 3 ms of an instance's time for jobs of ten tasks. At the design load of 670,000 jobs
+ * a day about 9,000 jobs are kept at a time, so each job is checked every 9 s.
  */
 const MAX_JOBS_PER_TICK = 500
 
-/** The part of the controller that knows what waits. @internal */
+/** The part of the controller that holds the waiting steps. @internal */
 export interface WaitingWork {
-	/** @returns the steps of a job that it had missed and has taken up, by name; none as a rule. */
+	/**
+	 * Adds the ready steps of a job that were missing.
+	 *
+	 * @returns the names of the steps that it added; normally none.
+	 */
 	reconcile(job: JobRecord): readonly string[]
 }
 
 /**
- * Looks again at jobs.
+ * Checks the jobs of the replicated state in turn, in batches.
  *
  * @internal
  */
@@ -38,7 +43,7 @@
 		this.remaining = context.state.jobs.all()
 	}
 
-	/** Looks at the next jobs, where that is due. */
+	/** Checks the next batch of jobs if it is due. */
 	tick(now: number): void {
 		if (now < this.dueAt) return
 		this.dueAt = now + PERIOD_MS
--- a/packages/jobs/src/lib/leader/callers/ClientCalls.ts
+++ b/packages/jobs/src/lib/leader/callers/ClientCalls.ts
@@ -85,19 +85,19 @@
 
 	/** Takes a job; the same id again from the same account remains one job. */
 	submit({ to, job, call }: Submission, reply: Reply): void {
-		if (!call) this.submitUnnamed(to, job, reply)
-		else this.submitNamed(call, to, job, reply)
+		if (!call) this.trySubmit(to, job, reply)
+		else this.submitWithCallId(call, to, job, reply)
 	}
 
 	/** Takes a job by a call that may have been tried before: a refusal holds for all its tries. */
-	private submitNamed(call: CallId, to: Destination, job: JobRequest, reply: Reply): void {
+	private submitWithCallId(call: CallId, to: Destination, job: JobRequest, reply: Reply): void {
 		const { clock } = this.context
 		const refused = this.refusedCalls.find(call, clock.now())
 		if (refused) {
 			reply({ kind: 'settled', refusal: refused })
 			return
 		}
-		this.submitUnnamed(to, job, (answer) => {
+		this.trySubmit(to, job, (answer) => {
 			if (!isJobRefusal(answer) || this.mayBeAccepted(to)) return reply(answer)
 			this.refusedCalls.add(call, answer, clock.now())
 			reply({ kind: 'settled', refusal: answer })
@@ -110,7 +110,7 @@
 		return this.submitting.has(id) || this.context.state.jobs.find(id) !== undefined
 	}
 
-	private submitUnnamed(to: Destination, job: JobRequest, reply: Reply): void {
+	private trySubmit(to: Destination, job: JobRequest, reply: Reply): void {
 		if (!this.context.state.configuration) {
 			reply({ kind: 'not-run', reason: 'no configuration yet', retryAfter: RETRY_AFTER_MS })
 			return
--- a/packages/jobs/src/lib/leader/explainJob.ts
+++ b/packages/jobs/src/lib/leader/explainJob.ts
@@ -1,4 +1,4 @@
-/** Tells what is known of jobs: lists, and why a job waits. */
+/** Lists and describes jobs, including the reason why a job waits. */
 import { countTasks } from '../records/checkJob'
 import type { JobRequest } from '../records/Job'
 import {
@@ -20,19 +20,19 @@
 import type { StepScheduler } from './steps/StepScheduler'
 import { stepName } from './steps/StepWork'
 
-/** A job's shape, as its log line tells it. */
+/** A job's shape, as logged when the job is accepted. */
 interface JobShape {
 	readonly steps: number
-	/** Of all steps and repeats. */
+	/** Total of all steps and repeats. */
 	readonly tasks: number
-	/** Thousandths of a processor that its largest task needs. */
+	/** Thousandths of a processor that the task with the largest need requires. */
 	readonly cpu: number
-	/** Accelerators that the task with most of them needs. */
+	/** Most accelerators that a task requires. */
 	readonly accelerators: number
 	readonly gang: boolean
 }
 
-/** @returns jobs that pass the filter, the newest first. @internal */
+/** @returns the jobs that match the filter, newest first. @internal */
 export function listJobs(state: CellState, filter: JobFilter): JobSummary[] {
 	const found: JobSummary[] = []
 	for (const job of [...state.jobs.all()].reverse()) {
@@ -44,7 +44,7 @@
 	return found
 }
 
-/** @returns what is known of a job, with the reason why its tasks wait. @internal */
+/** @returns the state of a job and its steps, with the reason why tasks wait. @internal */
 export function explainJob(
 	state: CellState,
 	steps: StepScheduler,
@@ -61,7 +61,10 @@
 	return { ...summaryOf(job), term, configuration, steps: explained }
 }
 
-/** @returns a job's shape for its log line: steps, tasks, the most that one task needs, and whether it has a gang. @internal */
+/**
+ * @returns the shape of a job for its log line: steps, tasks, the largest needs of a task, and whether it has a gang.
+ * @internal
+ */
 export function shapeOf(request: JobRequest): JobShape {
 	const { steps } = request
 	return {
--- a/packages/jobs/src/lib/leader/ports.ts
+++ b/packages/jobs/src/lib/leader/ports.ts
@@ -1,28 +1,28 @@
-/** What the controller asks of the world: orders to workers, advice, and the replicated log. */
+/** Ports of the controller: orders to workers, advice, and the replicated log. */
 import type { CellCommand } from '../commands/CellCommand'
 import type { Worker } from '../records/Cell'
 import type { RunEnd } from '../records/Job'
 import { PLAIN_STANDING, type AdviserStanding } from './advice/AdviserStanding'
 
-/** Polls that need a new connection which one instance sends in a tick; each takes about 1 ms of it. */
+/** Polls over a new connection that one instance sends in a tick; each takes it about 1 ms. */
 const MAX_PROBES_PER_TICK = 20
 
-/** The worker that an order is for. @public */
+/** The worker that an order is addressed to. @public */
 export type OrderTarget = Pick<Worker, 'id' | 'address' | 'dataCentre'>
 
 /** Starts one run of a task. @public */
 export interface StartOrder {
-	/** The task's name as text. */
+	/** The task's name in text form. */
 	readonly task: string
 	readonly attempt: number
 	readonly spec: string
-	/** Until when the worker may keep what it runs, on its own clock. */
+	/** End of the worker's lease in milliseconds, on the worker's own clock. */
 	readonly leaseUntil: number
-	/** Term of the leader that orders; a worker obeys no lower one after a higher one. */
+	/** Fencing token: the term of the leader. A worker that has obeyed a higher one refuses the order. */
 	readonly fence: number
-	/** Where to go on from; empty for the beginning. */
+	/** Checkpoint to resume from; empty to start from the beginning. */
 	readonly checkpoint: string
-	/** Shows that the queue's policy lets this worker run the step; empty where none is wanted. */
+	/** Proof that the queue's policy allows this worker to run the step; empty where the policy requires none. */
 	readonly ticket: string
 }
 
@@ -33,54 +33,55 @@
 	readonly fence: number
 }
 
-/** Lets one run work at a share of its speed. @public */
+/** Throttles one run to a share of its full speed. @public */
 export interface PaceOrder extends StopOrder {
-	/** From 0 to 100. */
+	/** Share of the full speed, from 0 to 100. */
 	readonly percent: number
 }
 
-/** Renews a worker's lease and asks what runs and what has ended there. @public */
+/** Renews a worker's lease and requests its running and ended runs. @public */
 export interface PollOrder {
 	readonly fence: number
-	/** Ends up to this number are committed; the worker may forget them. */
+	/** Ends up to this number are committed, so the worker may forget them. */
 	readonly endsSeen: number
-	/** New end of the lease on the worker's clock; absent to leave it as it is. */
+	/** New end of the lease on the worker's clock; absent to leave the lease unchanged. */
 	readonly leaseUntil?: number
-	/** Whole milliseconds that the answer may wait for the next end. */
+	/** Whole milliseconds for which the worker may delay its answer until the next run ends. */
 	readonly wait: number
 }
 
-/** Why a worker did not do what it was told. @public */
+/** Why a worker refused an order. @public */
 export const Refusal = {
-	/** It has obeyed a higher fence. */
+	/** It has obeyed an order with a higher fencing token. */
 	Fence: 'fence',
-	/** That run, or a later one of the task, has ended there or was stopped. */
+	/** This run, or a later one of the task, has ended or was stopped there. */
 	Superseded: 'old',
-	/** The lease that the order brought is over. */
+	/** The lease that the order carried has expired. */
 	LeaseExpired: 'late',
+	/** It lacks free capacity for the run. */
 	NoCapacity: 'room',
-	/** The ticket does not let it run the step, or no longer. */
+	/** The ticket does not allow it to run the step, or has expired. */
 	Ticket: 'ticket',
-	/** It is not well and has done nothing. */
+	/** It is unhealthy and did not carry out the order. */
 	Unhealthy: 'unhealthy',
-	/** It does not understand the order. */
+	/** The order is malformed. */
 	Invalid: 'invalid',
 } as const
-/** One of the reasons. @public */
+/** A reason of a worker to refuse an order. @public */
 export type Refusal = (typeof Refusal)[keyof typeof Refusal]
 
-/** What came of an order. @public */
+/** The result of an order. @public */
 export type OrderResult =
-	/** Done; `clock` is the worker's own clock in milliseconds, where it told it. */
+	/** Carried out; `clock` is the worker's own clock in milliseconds, where it reported it. */
 	| { readonly kind: 'done'; readonly clock?: number }
 	| { readonly kind: 'refused'; readonly reason: Refusal; readonly clock?: number }
 	/** Another incarnation answers at that address. */
 	| { readonly kind: 'other-incarnation' }
-	/** No whole answer came: it may have been done, or may still be. */
+	/** No complete answer arrived: the order may have been carried out, or may still be. */
 	| { readonly kind: 'unknown'; readonly message: string }
 	/**
-	 * The instance that was to carry it said nothing of it: it may have been done, or may still be. It tells nothing of
-	 * the worker.
+	 * The instance that should have carried the order reported no result: the order may have been carried out, or may
+	 * still be. This is no evidence about the worker.
 	 */
 	| { readonly kind: 'not-carried' }
 
@@ -89,15 +90,15 @@
 	readonly task: string
 	readonly attempt: number
 	readonly checkpoint: string
-	/** How far it has got, from 0 to 100. */
+	/** Progress, from 0 to 100. */
 	readonly percent: number
-	/** Tail latency in milliseconds of a lasting task that serves; thousandths of a core for others. */
+	/** For a lasting task that serves requests, its tail latency in milliseconds; for others, thousandths of a core in use. */
 	readonly measure: number
 }
 
 /** A run that a worker lists as ended. @public */
 export interface ListedEnd {
-	/** Rises from 1 in each incarnation. */
+	/** Sequence number of the end; starts at 1 in each incarnation of the worker. */
 	readonly number: number
 	readonly task: string
 	readonly attempt: number
@@ -105,12 +106,12 @@
 	readonly checkpoint: string
 }
 
-/** What a poll of a worker brought. @public */
+/** The result of a poll. @public */
 export type PollResult =
 	| {
 			readonly kind: 'done'
 			readonly clock: number
-			/** When the worker that answers started, milliseconds since the epoch; absent where workers do not say. */
+			/** When the worker that answers started, milliseconds since the epoch; absent where workers do not report it. */
 			readonly born?: number
 			readonly running: readonly ListedRun[]
 			readonly ended: readonly ListedEnd[]
@@ -119,7 +120,7 @@
 
 /** Carries orders to workers. @public */
 export abstract class WorkerOrders {
-	/** Most polls of workers of unknown state that the leader should send in one tick. */
+	/** Maximum number of polls that the leader should send in one tick to workers whose state is unknown. */
 	get maxProbesPerTick(): number {
 		return MAX_PROBES_PER_TICK
 	}
@@ -130,41 +131,45 @@
 	abstract poll(worker: OrderTarget, order: PollOrder, done: (result: PollResult) => void): void
 }
 
-/** A question to the service that knows a queue's policy. @public */
+/** A request to the service that evaluates a queue's policy. @public */
 export interface AdviceQuestion {
 	/** Name of the step: job, repeat and step. */
 	readonly step: string
-	/** Ids of the workers asked about. */
+	/** Ids of the candidate workers. */
 	readonly workers: readonly string[]
 }
 
-/** What came of a question. @public */
+/** The result of a request for advice. @public */
 export type AdviceResult =
-	/** For each worker that may run the step its ticket. */
+	/** Tickets by the ids of the workers that may run the step. */
 	| { readonly kind: 'answered'; readonly tickets: ReadonlyMap<string, string> }
 	| { readonly kind: 'busy' }
 	| { readonly kind: 'unknown'; readonly message: string }
 
-/** Asks for advice through one instance or another: the service answers one call at a time from each. @public */
+/**
+ * Requests advice through the instances of the cell, because the service answers only one call at a time from each.
+ *
+ * @public
+ */
 export abstract class Advisers {
-	/** Ids of the instances that can ask now. */
+	/** @returns the ids of the instances that can request advice now. */
 	abstract available(): readonly string[]
-	/** How well an instance can ask now; all alike unless more is known. */
+	/** @returns how suitable an instance is for a request now; the same for all unless overridden. */
 	standing(_via: string): AdviserStanding {
 		return PLAIN_STANDING
 	}
 
-	/** Asks through an instance. */
+	/** Sends a request through an instance. */
 	abstract ask(via: string, question: AdviceQuestion, done: (result: AdviceResult) => void): void
 }
 
-/** The replicated log as the controller sees it. @public */
+/** The replicated log, as the controller uses it. @public */
 export abstract class Proposals {
 	/**
-	 * Adds a command; it takes effect once it is committed.
+	 * Proposes a command, which takes effect after it is committed.
 	 *
 	 * @param command - the command.
-	 * @param done - called once it has been applied; never when leadership is lost before.
+	 * @param done - called after the command is applied; never if leadership is lost before that.
 	 */
 	abstract propose(command: CellCommand, done?: () => void): void
 }
