--- a/packages/jobs/src/lib/accounts/Access.ts
+++ b/packages/jobs/src/lib/accounts/Access.ts
@@ -1,18 +1,18 @@
-/** Whether a caller may use a queue, and which jobs are shown to it. */
+/** Authenticates the callers of queues and controls their access to jobs. */
 import type { CellConfiguration, Queue } from '../records/Cell'
 import type { JobRecord } from '../state/JobRecord'
 import type { ClientAccount } from './ClientAccount'
 
-/** What a caller is known as. @internal */
+/** The identity of a caller. @internal */
 export type Caller =
-	/** Of a cell without accounts, of a queue that is open to all, or an operator. */
+	/** A caller of a cell without accounts or of an open queue, or an operator. */
 	| { readonly kind: 'anyone' }
 	| { readonly kind: 'account'; readonly account: ClientAccount }
-	/** It shows no key, or one that no account holds. */
+	/** A caller without a key, or with a key of no account. */
 	| { readonly kind: 'unknown' }
 
 /**
- * The keys of one configuration.
+ * Finds accounts by the keys of one configuration.
  *
  * @internal
  */
@@ -27,9 +27,9 @@
 	}
 
 	/**
-	 * @param queue - the queue that is called.
-	 * @param keyDigest - digest of the key that the caller shows; absent for none.
-	 * @returns what the caller is known as.
+	 * @param queue - the called queue.
+	 * @param keyDigest - digest of the caller's key; absent for none.
+	 * @returns the identity of the caller.
 	 */
 	callerOf(queue: Queue, keyDigest: string | undefined): Caller {
 		if (!this.byDigest || queue.open) return { kind: 'anyone' }
@@ -39,9 +39,10 @@
 }
 
 /**
- * A job is its account's for life. One of an open queue is nobody's, and shown to all who may use its queue.
+ * A job belongs to its account until it is forgotten. A job of an open queue belongs to no account and is accessible to
+ * all callers of its queue.
  *
- * @returns whether a caller that used a queue may see and cancel a job.
+ * @returns whether a caller that addresses a queue may see and cancel a job.
  * @internal
  */
 export function canAccessJob(caller: Caller, queue: Queue, job: JobRecord): boolean {
--- a/packages/jobs/src/lib/accounts/AccountUsage.ts
+++ b/packages/jobs/src/lib/accounts/AccountUsage.ts
@@ -1,4 +1,4 @@
-/** What each client account has running, so that none has more than its quota. */
+/** Tracks the resources that each client account has reserved, to keep it within its quota. */
 import {
 	isWithin,
 	minus,
@@ -14,8 +14,8 @@
 import type { ClientAccount } from './ClientAccount'
 
 /**
- * The accounts of a cell with what they have reserved. A run counts from its decision until its end is committed, so
- * that what may still run on a worker out of reach, and what is being stopped, counts too.
+ * The accounts of a cell and the resources that they have reserved. A run counts from the decision to start it until its
+ * end is committed, so that runs on unreachable workers and runs that are being stopped count too.
  *
  * @internal
  */
@@ -23,8 +23,8 @@
 	private readonly accounts = new Map<string, QuotaAccount>()
 
 	/**
-	 * @param configured - the accounts in force at the beginning.
-	 * @param tolerance - share of its quota by which an account's gang that runs by itself may go beyond it.
+	 * @param configured - the accounts of the current configuration.
+	 * @param tolerance - fraction by which a gang that runs alone may exceed its account's quota.
 	 */
 	constructor(
 		configured: readonly ClientAccount[],
@@ -33,12 +33,12 @@
 		this.configure(configured)
 	}
 
-	/** All accounts that are configured or have had a job. */
+	/** @returns all accounts that are configured or have had a job. */
 	all(): IterableIterator<QuotaAccount> {
 		return this.accounts.values()
 	}
 
-	/** These accounts are in force from now on. One that is gone keeps its terms for the jobs that it has. */
+	/** Applies the accounts of a new configuration. A removed account keeps its terms for its remaining jobs. */
 	configure(accounts: readonly ClientAccount[]): void {
 		for (const terms of accounts) {
 			const known = this.accounts.get(terms.name)
@@ -47,16 +47,16 @@
 		}
 	}
 
-	/** @returns whether a step may begin what it begins at a time; what is larger than the quota may run by itself. */
+	/** @returns whether the quota allows a step to start its next task or gang; one larger than the quota may run alone. */
 	canStart(account: QuotaAccount | undefined, step: Step): boolean {
 		if (!account || account.allows(concurrentNeedOf(step))) return true
 		return isIdle(account) && canRunAlone(step, account.terms, this.tolerance)
 	}
 
 	/**
-	 * A quota may be cut after a run was decided and before its worker begins it.
+	 * A quota may be reduced after a run was decided and before its worker starts it.
 	 *
-	 * @returns whether a run that is counted, and whose worker has not confirmed it, may still begin.
+	 * @returns whether a run that is counted, but not yet confirmed by its worker, may still start.
 	 */
 	canContinue(account: QuotaAccount | undefined, step: Step): boolean {
 		if (!account) return true
@@ -64,7 +64,7 @@
 		return isWithin(others, account.terms.quota)
 	}
 
-	/** Counts a run that is given up and may still go on, or is found where it should not be. */
+	/** Counts an abandoned run that may still be running, or a run on a worker where none is expected. */
 	countAbandonedRun(place: TaskPlace | undefined): CountedRun | undefined {
 		const account = place && this.accountOf(place.job)
 		if (!account) return undefined
@@ -73,7 +73,7 @@
 		return { account, amount }
 	}
 
-	/** @returns the account of a job; undefined for one that belongs to none. */
+	/** @returns the account of a job; undefined for a job without account. */
 	accountOf({ account }: JobRecord): QuotaAccount | undefined {
 		if (!account) return undefined
 		const known = this.accounts.get(account.name) ?? new QuotaAccount(account)
@@ -82,24 +82,28 @@
 	}
 }
 
-/** @returns what a task of a step counts as against its account's quota: all it asks for, also what it takes of others' leftovers. @internal */
+/**
+ * @returns the resources that a task of a step uses of its account's quota: its whole need, including capacity that others
+ * leave unused.
+ * @internal
+ */
 export function quotaUsageOf(step: Step): Resources {
 	return step.need
 }
 
-/** What a run that is given up, and may still go on, counts as against its account's quota. @internal */
+/** The quota usage of an abandoned run that may still be running. @internal */
 export interface CountedRun {
 	readonly account: QuotaAccount
 	readonly amount: Resources
 }
 
 /**
- * A gang runs whole or not at all, so one that is beyond its account's quota never could.
+ * A gang runs as a whole or not at all, so a gang that exceeds its account's quota could never run.
  *
- * @param job - a job that is handed in.
- * @param terms - its account's.
- * @param tolerance - share of the quota by which a gang that runs by itself may go beyond it, besides one task.
- * @returns why it could never run; undefined when it could.
+ * @param job - the submitted job.
+ * @param terms - the terms of its account.
+ * @param tolerance - fraction by which a gang that runs alone may exceed the quota, in addition to one task.
+ * @returns why the job could never run; undefined if it can.
  * @internal
  */
 export function explainQuotaExcess(
@@ -108,16 +112,16 @@
 	tolerance: number
 ): string | undefined {
 	const number = job.steps.findIndex((step) => !canRunAlone(step, terms, tolerance))
-	return number < 0 ? undefined : `the gang of step ${number} is beyond the quota of its account`
+	return number < 0 ? undefined : `the gang of step ${number} exceeds the quota of its account`
 }
 
-/** Whether what a step begins at a time may run by itself; a single task always may. */
+/** @returns whether the task or gang that a step starts may run alone; a single task always may. */
 function canRunAlone(step: Step, { quota }: QuotaTerms, tolerance: number): boolean {
 	if (!step.gang || !quota) return true
 	return isWithin(times(quotaUsageOf(step), step.count - 1), scaled(quota, 1 + tolerance))
 }
 
-/** What a step begins at a time: one task, or all of a gang. */
+/** @returns the need of what a step starts at once: one task, or a whole gang. */
 function concurrentNeedOf(step: Step): Resources {
 	return step.gang ? times(quotaUsageOf(step), step.count) : quotaUsageOf(step)
 }
--- a/packages/jobs/src/lib/accounts/ClientAccount.test.ts
+++ b/packages/jobs/src/lib/accounts/ClientAccount.test.ts
@@ -1,4 +1,4 @@
-/** What is wrong with client accounts is told with its place, and without a key. */
+/** Validation of client accounts: findings name the path of the error and contain no key. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import { checkCellConfiguration, type CellConfiguration } from '../records/Cell'
@@ -15,13 +15,13 @@
 	return findings.map(({ place, message }) => `${place.path} ${message}`)
 }
 
-test('accounts with keys of their own are right, also without a quota or a key', () => {
+test('accounts with distinct keys are valid, also without a quota or a key', () => {
 	const rotating = accountNamed('town', { keyDigests: [digestOf('old'), digestOf('new')] })
 	const limited = accountNamed('city', { quota: { cpu: 1000, memory: undefined } })
 	assert.deepEqual(findingsOf(rotating, limited, accountNamed('gone', { keyDigests: [] })), [])
 })
 
-test('everything that is wrong is found, each with its place', () => {
+test('every error is found and reported with its path', () => {
 	const findings = findingsOf(
 		accountNamed('town', { weight: -1, quota: { cpu: Number.NaN } }),
 		accountNamed('town', { keyDigests: [digestOf('')] }),
@@ -29,11 +29,11 @@
 		accountNamed('', { keyDigests: [] })
 	)
 	assert.deepEqual(findings, [
-		'accounts[0].weight is not a number from 0',
-		'accounts[0].quota.cpu is not a number from 0',
-		'accounts[1] has the name of another account (town)',
-		'accounts[1].keys hold an empty key',
-		'accounts[2].keys hold one of town',
+		'accounts[0].weight is not a number of at least 0',
+		'accounts[0].quota.cpu is not a number of at least 0',
+		'accounts[1] has the same name as another account (town)',
+		'accounts[1].keys contains an empty key',
+		'accounts[2].keys contains a key of town',
 		'accounts[3] has no name',
 	])
 	assert.ok(!findings.join().includes(digestOf('TOWN')))
--- a/packages/jobs/src/lib/accounts/ClientAccount.ts
+++ b/packages/jobs/src/lib/accounts/ClientAccount.ts
@@ -1,29 +1,29 @@
-/** Client accounts: who may hand work in, and how much of the cell is theirs. */
+/** Client accounts: their keys, weights and quotas. */
 import { createHash } from 'node:crypto'
 import type { QuotaTerms } from '@rillrudder/scheduler'
 
 /**
- * A client account. Its weight is its part of the cell when all is full, and also the number of jobs a second that it
- * may send before the others' work goes first.
+ * A client account. Its weight determines its share of a full cell. It is also its rate: the number of jobs a second that
+ * it may submit before the work of other accounts takes precedence.
  *
  * @public
  */
 export interface ClientAccount extends QuotaTerms {
-	/** Digests of the keys that its callers show, see {@link digestOf}. */
+	/** Digests of its keys, see {@link digestOf}. */
 	readonly keyDigests: readonly string[]
 }
 
 /**
- * @param key - a key as a caller shows it.
- * @returns what stands for it everywhere but in the operator's document: SHA-256, in hex. Keys are long random texts,
- * so that a digest tells nothing of them.
+ * @param key - a key as a client sends it.
+ * @returns its SHA-256 digest in hex, which represents the key everywhere except in the operator's document. Keys are long
+ * random texts, so that a digest does not reveal them.
  * @public
  */
 export function digestOf(key: string): string {
 	return createHash('sha256').update(key).digest('hex')
 }
 
-/** @returns what is kept of an account with each of its jobs: all but its keys. @internal */
+/** @returns the terms of an account that are stored with each of its jobs: all but its keys. @internal */
 export function termsOf({ name, weight, quota }: ClientAccount): QuotaTerms {
 	return { name, weight, quota }
 }
@@ -31,8 +31,10 @@
 const EMPTY_KEY = digestOf('')
 
 /**
+ * Validates the accounts of a configuration.
+ *
  * @param accounts - the accounts of one configuration.
- * @param report - told of each thing that is wrong, with its path. No message holds a key or its digest.
+ * @param report - called for each finding with its path and message. No message contains a key or its digest.
  * @internal
  */
 export function checkAccounts(
@@ -45,17 +47,18 @@
 		const path = `accounts[${index}]`
 		const { name, weight, quota } = account
 		if (name === '') report(path, 'has no name')
-		if (names.has(name)) report(path, `has the name of another account (${name})`)
+		if (names.has(name)) report(path, `has the same name as another account (${name})`)
 		names.add(name)
-		if (!(weight >= 0)) report(`${path}.weight`, 'is not a number from 0')
+		if (!(weight >= 0)) report(`${path}.weight`, 'is not a number of at least 0')
 		for (const [resource, amount] of Object.entries(quota ?? {})) {
 			if (amount !== undefined && !(amount >= 0))
-				report(`${path}.quota.${resource}`, 'is not a number from 0')
+				report(`${path}.quota.${resource}`, 'is not a number of at least 0')
 		}
 		for (const digest of account.keyDigests) {
 			const holder = holders.get(digest)
-			if (digest === EMPTY_KEY) report(`${path}.keys`, 'hold an empty key')
-			if (holder !== undefined && holder !== name) report(`${path}.keys`, `hold one of ${holder}`)
+			if (digest === EMPTY_KEY) report(`${path}.keys`, 'contains an empty key')
+			if (holder !== undefined && holder !== name)
+				report(`${path}.keys`, `contains a key of ${holder}`)
 			holders.set(digest, name)
 		}
 	})
--- a/packages/jobs/src/lib/accounts/SubmissionRate.ts
+++ b/packages/jobs/src/lib/accounts/SubmissionRate.ts
@@ -1,19 +1,23 @@
-/** How fast each client account sends jobs: what is beyond its rate goes after the others' work. */
+/** Tracks how fast each client account submits jobs; jobs beyond its rate are ordered after the work of others. */
 import type { JobRecord } from '../state/JobRecord'
 
 /**
- * The jobs that accounts have sent of late. A new leader begins with none, which favours each account alike, unless it is told of them.
+ * The recent submissions of each account. A new leader starts without any, which favours all accounts alike, unless it
+ * restores them.
  *
  * @internal
  */
 export class SubmissionRate {
-	/** When jobs within the rate came, by account. */
+	/** Times of the recent submissions within the rate, by account. */
 	private readonly recentByAccount = new Map<string, number[]>()
 
-	/** @param window - milliseconds over which jobs are counted; a short burst within it is no offence. */
+	/** @param window - milliseconds over which jobs are counted; a short burst within it stays within the rate. */
 	constructor(private readonly window: number) {}
 
-	/** Takes up the jobs within their rates that an earlier leader took, so that its loss pardons nobody. */
+	/**
+	 * Restores the submissions within the rate that an earlier leader accepted, so that a change of leader does not reset
+	 * the rates.
+	 */
 	restore(jobs: Iterable<JobRecord>, now: number): void {
 		for (const { account, beyondRate, submitted } of jobs) {
 			if (!account || beyondRate || now - submitted >= this.window) continue
@@ -25,9 +29,9 @@
 	/**
 	 * Counts a job.
 	 *
-	 * @param account - name of the account that sends it.
-	 * @param rate - jobs a second that it may send, on the mean of any window.
-	 * @param now - milliseconds.
+	 * @param account - name of the account that submits it.
+	 * @param rate - jobs a second that it may submit, averaged over any window.
+	 * @param now - current time in milliseconds.
 	 * @returns whether the job is within the rate.
 	 */
 	take(account: string, rate: number, now: number): boolean {
--- a/packages/jobs/src/lib/accounts/listAccounts.ts
+++ b/packages/jobs/src/lib/accounts/listAccounts.ts
@@ -1,4 +1,4 @@
-/** Tells operators what each client account has and may have. */
+/** Lists the usage and limits of each client account for operators. */
 import type { Resources } from '@rillrudder/scheduler'
 import type { AccountSummary } from '../leader/callers/calls'
 import type { ServiceStanding } from '../shares/AccountShares'
@@ -8,17 +8,17 @@
 /** The work of all accounts. @internal */
 export interface AccountWork {
 	readonly jobs: Iterable<JobRecord>
-	/** Steps that wait for a place, by account name. */
+	/** Number of steps that wait for a worker, by account name. */
 	readonly waiting: ReadonlyMap<string, number>
 }
 
 /**
- * @param usage - what the accounts have reserved.
- * @param work - their jobs.
- * @param refusalCountOf - how many jobs of an account were refused.
- * @param total - what all workers offer.
- * @param standings - what accounts have of each service, where they have shares of it.
- * @returns a line for each account, by name.
+ * @param usage - the resources that the accounts have reserved.
+ * @param work - their jobs and waiting steps.
+ * @param refusalCountOf - returns the number of refused jobs of an account.
+ * @param total - the total capacity of all workers.
+ * @param standings - each account's use of each service, where accounts have shares.
+ * @returns a summary of each account, sorted by name.
  * @internal
  */
 export function listAccounts(
--- a/packages/jobs/src/lib/leader/callers/ClientCalls.test.ts
+++ b/packages/jobs/src/lib/leader/callers/ClientCalls.test.ts
@@ -1,4 +1,4 @@
-/** Keys and owners of jobs: who may hand in, see and cancel what. */
+/** Authentication and ownership: which callers may submit, see and cancel which jobs. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import { digestOf } from '../../accounts/ClientAccount'
@@ -9,7 +9,7 @@
 const ID = '00000000000000aa'
 const OPEN = { name: 'open', prefix: '/open/', open: true }
 
-/** A cell of two accounts, with a closed queue and an open one. */
+/** A cell with two accounts, a queue that requires a key and an open one. */
 function subjectWithAccounts(): LeaderSubject {
 	const subject = new LeaderSubject()
 	subject.accounts = [accountNamed('town'), accountNamed('city')]
@@ -27,13 +27,13 @@
 	return subject.call({ kind: 'cancel', to: { queue, id: ID, keyDigest } })!.kind
 }
 
-test('a cell without accounts asks for no key', () => {
+test('a cell without accounts requires no key', () => {
 	const subject = new LeaderSubject()
 	assert.equal(subject.submit(ID, jobOf({}))?.kind, 'accepted')
 	assert.equal(show(subject, 'ANY'), 'state')
 })
 
-test('a call without a key that an account holds is not served, and its job never runs', () => {
+test('a call without a valid key is unauthorized, and its job never runs', () => {
 	const subject = subjectWithAccounts()
 	subject.heartbeat('w1')
 	for (const key of [undefined, '', 'town', 'STRANGER']) {
@@ -45,12 +45,12 @@
 	assert.equal(cancel(subject), 'unauthorized')
 })
 
-test('a queue that is not there is told before the key is looked at', () => {
+test('an unknown queue is reported before the key is checked', () => {
 	const subject = subjectWithAccounts()
 	assert.equal(subject.submit(ID, jobOf({}), 'nowhere')?.kind, 'no-such-queue')
 })
 
-test('a job is shown to its account and cancelled by it, and by no other', () => {
+test('a job can be shown and cancelled by its own account only', () => {
 	const subject = subjectWithAccounts()
 	assert.equal(subject.submit(ID, jobOf({}), QUEUE.name, 'TOWN')?.kind, 'accepted')
 	assert.equal(show(subject, 'TOWN'), 'state')
@@ -60,21 +60,21 @@
 	assert.equal(cancel(subject, 'TOWN'), 'noted')
 })
 
-test('an open queue shows no job of a closed one', () => {
+test('an open queue gives no access to the jobs of a queue with accounts', () => {
 	const subject = subjectWithAccounts()
 	subject.submit(ID, jobOf({}), QUEUE.name, 'TOWN')
 	assert.equal(show(subject, undefined, OPEN.name), 'no-such-job')
 	assert.equal(cancel(subject, undefined, OPEN.name), 'no-such-job')
 })
 
-test("an open queue's jobs belong to no account", () => {
+test('jobs of an open queue belong to no account', () => {
 	const subject = subjectWithAccounts()
 	assert.equal(subject.submit(ID, jobOf({}), OPEN.name)?.kind, 'accepted')
 	assert.equal(subject.state.jobs.find(ID)?.account, undefined)
 	assert.equal(show(subject, undefined, OPEN.name), 'state')
 })
 
-test('an id is taken for all accounts but the one whose job it names', () => {
+test('the id of a job is taken for all accounts but its own', () => {
 	const subject = subjectWithAccounts()
 	subject.proposals.held = true
 	subject.submit(ID, jobOf({}), QUEUE.name, 'TOWN')
@@ -86,7 +86,7 @@
 	assert.equal(subject.state.jobs.find(ID)?.account?.name, 'town')
 })
 
-test('keys come and go with the configuration; a job stays with its account, also under a new leader', () => {
+test('keys change with the configuration; a job stays with its account, also under a new leader', () => {
 	const subject = subjectWithAccounts()
 	subject.submit(ID, jobOf({}), QUEUE.name, 'TOWN')
 	subject.accounts = [accountNamed('town', { keyDigests: [digestOf('FRESH')] })]
@@ -99,7 +99,7 @@
 	assert.equal(show(subject, 'FRESH'), 'state')
 })
 
-test('jobs that an account sends beyond its rate are marked for good', () => {
+test('jobs that an account submits beyond its rate stay marked', () => {
 	const subject = subjectWithAccounts()
 	subject.accounts = [accountNamed('town', { weight: 1 })]
 	subject.configure({})
@@ -111,7 +111,7 @@
 	assert.deepEqual(marks, [false, true, false])
 })
 
-test('a gang that is beyond its quota whatever else runs is refused at once', () => {
+test('a gang that exceeds its quota even when it runs alone is refused at once', () => {
 	const subject = new LeaderSubject()
 	subject.accounts = [accountNamed('town', { quota: { cpu: 2000 } })]
 	subject.configure({})
@@ -121,7 +121,7 @@
 	assert.equal(subject.submit(ID, gang(3), QUEUE.name, 'TOWN')?.kind, 'accepted')
 })
 
-test('in a full cell what an account sends beyond its rate begins after what the others sent later', () => {
+test('in a full cell jobs beyond the rate of their account start after later jobs of other accounts', () => {
 	const subject = new LeaderSubject()
 	subject.accounts = [accountNamed('town', { weight: 1 }), accountNamed('city', { weight: 1 })]
 	subject.configure({})
@@ -131,14 +131,14 @@
 	subject.submit('00000000000000bb', whole, QUEUE.name, 'TOWN')
 	subject.submit('00000000000000cc', whole, QUEUE.name, 'CITY')
 	subject.run(200, 'w1')
-	const begun: string[] = []
+	const started: string[] = []
 	for (let round = 0; round < 3; round++) {
 		const [{ task }] = subject.worker('w1').running
-		begun.push(task.split('.')[0])
+		started.push(task.split('.')[0])
 		subject.worker('w1').end(task, 'done')
 		subject.run(1500, 'w1')
 	}
-	assert.deepEqual(begun, [ID, '00000000000000cc', '00000000000000bb'])
+	assert.deepEqual(started, [ID, '00000000000000cc', '00000000000000bb'])
 })
 
 const CALL = { instance: 'entry', number: 7 }
@@ -148,7 +148,7 @@
 	return subject.call({ kind: 'submit', to, job: jobOf({}), call })
 }
 
-test('an earlier try of a refused call, which comes after the refusal, is refused too, though it could be taken by now', () => {
+test('an earlier try of a refused call that arrives after the refusal is refused too, although it could be accepted by then', () => {
 	const subject = subjectWithAccounts()
 	const refusal = { kind: 'settled', refusal: { kind: 'unauthorized' } }
 	assert.deepEqual(submitNamed(subject, 'VILLAGE'), refusal)
@@ -159,7 +159,7 @@
 	assert.equal(submitNamed(subject, 'VILLAGE', { ...CALL, number: 8 })?.kind, 'accepted')
 })
 
-test('a refusal settles nothing where an earlier try was taken, whose key has gone since', () => {
+test('a refusal is not final where an earlier try was accepted and its key was removed since', () => {
 	const subject = subjectWithAccounts()
 	assert.equal(submitNamed(subject, 'TOWN')?.kind, 'accepted')
 	subject.accounts = [accountNamed('city')]
--- a/packages/jobs/src/lib/leader/callers/ClientCalls.ts
+++ b/packages/jobs/src/lib/leader/callers/ClientCalls.ts
@@ -1,4 +1,4 @@
-/** What clients ask of the leader: to take a job, to show its state, to cancel it. */
+/** Handles the calls of clients on the leader: submit a job, show its state, cancel it. */
 import { Access, canAccessJob, type Caller } from '../../accounts/Access'
 import { explainQuotaExcess } from '../../accounts/AccountUsage'
 import { termsOf } from '../../accounts/ClientAccount'
@@ -16,31 +16,32 @@
 import { QueueTable, type ResolvedDestination } from './QueueTable'
 import { RefusedCalls } from './RefusedCalls'
 
-/** Jobs that may be kept at a time; bounds the leader's memory and its snapshots. */
+/** Maximum number of jobs that are kept; bounds the leader's memory and its snapshots. */
 const MAX_JOBS = 20_000
-/** Tasks of all kept jobs together, for the same reason: at about 100 bytes each, a sixth of the heap. */
+/** Maximum number of tasks of all kept jobs, for the same reason: at about 100 bytes each, a sixth of the heap. */
 const MAX_TASKS = 300_000
-/** Milliseconds after which a refused submission may come again. */
+/** Milliseconds after which a client may retry a refused submission. */
 const RETRY_AFTER_MS = 1000
 
 type Reply = (reply: CellReply) => void
-/** A call that hands a job in. */
+/** A call that submits a job. */
 type Submission = Extract<CellCall, { readonly kind: 'submit' }>
 
-/** A submission that waits to be committed. */
+/** A submission whose command is not committed yet. */
 interface PendingSubmission {
-	/** Name of the account that it comes from; undefined for none. */
+	/** Name of the submitting account; undefined for none. */
 	readonly account: string | undefined
 	readonly replies: Reply[]
 }
 
-/** A call whose queue and caller are known. */
+/** A call with its resolved queue and authenticated caller. */
 interface AdmittedCall extends ResolvedDestination {
 	readonly caller: Caller
 }
 
 /**
- * The calls of clients. The leader checks keys itself: it alone knows that no newer configuration is in force.
+ * Handles client calls. The leader checks keys itself, because only the leader is certain to have the newest
+ * configuration.
  *
  * @internal
  */
@@ -50,20 +51,20 @@
 	private readonly rate: SubmissionRate
 	private readonly submitting = new Map<string, PendingSubmission>()
 	private readonly refusedCalls = new RefusedCalls()
-	/** Jobs refused by account name. */
+	/** Number of refused jobs by account name. */
 	private readonly refusals = new Map<string, number>()
 	private readonly pending: PendingCounts
 
 	/**
-	 * @param context - what the parts of the leader share.
-	 * @param hasBegun - whether a task of a running job has begun at a worker.
+	 * @param context - the state and ports of the leadership.
+	 * @param hasStarted - whether a task of a running job has started on a worker.
 	 */
 	constructor(
 		private readonly context: LeaderContext,
-		hasBegun: (job: JobRecord) => boolean
+		hasStarted: (job: JobRecord) => boolean
 	) {
 		const { clock, state } = context
-		this.pending = new PendingCounts(clock, () => state.jobs.all(), hasBegun)
+		this.pending = new PendingCounts(clock, () => state.jobs.all(), hasStarted)
 		this.rate = new SubmissionRate(context.timing.rateWindow)
 		if (context.policy.overload) {
 			this.rate.restore(context.state.jobs.all(), epochTimeOf(context))
@@ -72,24 +73,24 @@
 		this.access = new Access(context.state.configuration)
 	}
 
-	/** A configuration is in force from now on. */
+	/** Applies a new configuration. */
 	onConfigured(configuration: CellConfiguration): void {
 		this.queues = new QueueTable(configuration)
 		this.access = new Access(configuration)
 	}
 
-	/** @returns how many jobs of an account were refused since this leadership began. */
+	/** @returns the number of jobs of an account that this leadership has refused. */
 	refusalCountOf(account: string): number {
 		return this.refusals.get(account) ?? 0
 	}
 
-	/** Takes a job; the same id again from the same account remains one job. */
+	/** Submits a job. Submitting the same id again from the same account is idempotent. */
 	submit({ to, job, call }: Submission, reply: Reply): void {
 		if (!call) this.trySubmit(to, job, reply)
 		else this.submitWithCallId(call, to, job, reply)
 	}
 
-	/** Takes a job by a call that may have been tried before: a refusal holds for all its tries. */
+	/** Submits a job by a call that may be retried: once refused, the call is refused for all its tries. */
 	private submitWithCallId(call: CallId, to: Destination, job: JobRequest, reply: Reply): void {
 		const { clock } = this.context
 		const refused = this.refusedCalls.find(call, clock.now())
@@ -104,7 +105,7 @@
 		})
 	}
 
-	/** Whether an earlier try may have handed a job of the id in; its key or queue may have gone since. */
+	/** Whether an earlier try may have submitted the job; its key or queue may have been removed since. */
 	private mayBeAccepted(to: Destination): boolean {
 		const id = idOf(to)
 		return this.submitting.has(id) || this.context.state.jobs.find(id) !== undefined
@@ -121,7 +122,7 @@
 		else this.submitAdmitted(admitted, job, reply)
 	}
 
-	/** Shows a job's state, or how many jobs of a queue wait. */
+	/** @returns a job's state, or the number of pending jobs of a queue. */
 	show(to: Destination): CellReply {
 		const admitted = this.admit(to)
 		if ('kind' in admitted) return admitted
@@ -157,7 +158,7 @@
 		return job && canAccessJob(admitted.caller, admitted.queue, job) ? job : NO_SUCH_JOB
 	}
 
-	/** Finds the queue of a call, and who calls. */
+	/** Resolves the queue of a call and authenticates its caller. */
 	private admit(to: Destination): AdmittedCall | CellReply {
 		const addressed = this.queues.find(to)
 		if (!addressed) return { kind: 'no-such-queue' }
@@ -213,7 +214,7 @@
 		reply(refusal)
 	}
 
-	/** @returns why a job is not taken; undefined when it is. */
+	/** @returns why a job cannot be accepted; undefined if it can. */
 	private refusalOf(caller: Caller, job: JobRequest): CellReply | undefined {
 		if (caller.kind === 'account') {
 			const reason = explainQuotaExcess(job, caller.account, this.context.timing.quotaTolerance)
@@ -249,7 +250,7 @@
 
 const NO_SUCH_JOB: CellReply = { kind: 'no-such-job' }
 
-/** The id of the job that a call is about; the last part of its path. */
+/** @returns the id of the job that a call addresses; for a path its last segment. */
 function idOf(to: Destination): string {
 	return 'path' in to ? to.path.slice(to.path.lastIndexOf('/') + 1) : to.id
 }
--- a/packages/jobs/src/lib/leader/callers/PendingCounts.test.ts
+++ b/packages/jobs/src/lib/leader/callers/PendingCounts.test.ts
@@ -1,4 +1,4 @@
-/** What callers are told of how many jobs have not begun. */
+/** The number of pending jobs that is returned to clients. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import { LeaderSubject } from '../../testing/LeaderSubject'
@@ -12,7 +12,7 @@
 	return reply.count
 }
 
-test('a job waits until it has a worker, and no more once it runs there', () => {
+test('a job is pending until it runs on a worker', () => {
 	const subject = new LeaderSubject()
 	subject.submit(ID, jobOf({}))
 	assert.equal(pendingOf(subject), 1)
@@ -21,8 +21,8 @@
 	assert.equal(pendingOf(subject), 0)
 })
 
-// Guards against a count that says that nothing waits while starts are decided and reach no worker.
-test('a job whose start has reached no worker still waits', () => {
+// Guards against a count of zero while starts are decided but reach no worker.
+test('a job whose start has not reached a worker is still pending', () => {
 	const subject = new LeaderSubject()
 	subject.heartbeat('w1')
 	subject.run(500, 'w1')
@@ -32,7 +32,7 @@
 	assert.equal(pendingOf(subject), 1)
 })
 
-test('a job that has begun counts as such under the next leader too', () => {
+test('a job that has started does not become pending again under the next leader', () => {
 	const subject = new LeaderSubject()
 	subject.heartbeat('w1')
 	subject.submit(ID, jobOf({ count: 2 }))
--- a/packages/jobs/src/lib/leader/callers/PendingCounts.ts
+++ b/packages/jobs/src/lib/leader/callers/PendingCounts.ts
@@ -1,13 +1,16 @@
-/** How many accepted jobs of each queue have not begun. */
+/** Counts the accepted jobs of each queue that have not started. */
 import type { Clock } from '@rillrudder/utils'
 import { JobState } from '../../records/Job'
 import type { JobRecord } from '../../state/JobRecord'
 
-/** Milliseconds for which a count serves; callers may be told one that is 2 s old, and ask hundreds of times a second. */
+/**
+ * Maximum age of the counts in milliseconds. Clients ask hundreds of times a second and may be given a count that is up
+ * to 2 s old.
+ */
 const MAX_AGE_MS = 250
 
 /**
- * The counts of jobs that have not begun.
+ * Caches the number of pending jobs of each queue.
  *
  * @internal
  */
@@ -16,16 +19,16 @@
 	private countedAt = Number.NEGATIVE_INFINITY
 
 	/**
-	 * @param jobs - all jobs that are kept.
-	 * @param hasBegun - whether a task of a running job has begun at a worker.
+	 * @param jobs - returns all jobs that are kept.
+	 * @param hasStarted - whether a task of a running job has started on a worker.
 	 */
 	constructor(
 		private readonly clock: Clock,
 		private readonly jobs: () => Iterable<JobRecord>,
-		private readonly hasBegun: (job: JobRecord) => boolean
+		private readonly hasStarted: (job: JobRecord) => boolean
 	) {}
 
-	/** @returns how many jobs of a queue have not begun. */
+	/** @returns the number of jobs of a queue that have not started. */
 	countOf(queue: string): number {
 		const now = this.clock.now()
 		if (now - this.countedAt >= MAX_AGE_MS) this.recount(now)
@@ -41,9 +44,9 @@
 		}
 	}
 
-	/** A job is shown as running once the beginning of a task is decided; its worker may not have been reached yet. */
+	/** A job is in state running once the start of a task is decided, although no worker may have received it yet. */
 	private isPending(job: JobRecord): boolean {
 		if (job.state === JobState.Queued) return true
-		return job.state === JobState.Running && !this.hasBegun(job)
+		return job.state === JobState.Running && !this.hasStarted(job)
 	}
 }
--- a/packages/jobs/src/lib/leader/callers/QueueTable.ts
+++ b/packages/jobs/src/lib/leader/callers/QueueTable.ts
@@ -1,8 +1,8 @@
-/** Finds the queue of a request by its host and path. */
+/** Resolves the queue of a request by its host and path, or by its name. */
 import type { CellConfiguration, Queue } from '../../records/Cell'
 import type { Destination } from './calls'
 
-/** A queue and the rest of the path behind its prefix. @public */
+/** A queue and the rest of the path after its prefix. @public */
 export interface ResolvedDestination {
 	readonly queue: Queue
 	/** The job's id; empty for the queue itself. */
@@ -10,7 +10,7 @@
 }
 
 /**
- * The queues of one configuration, by host.
+ * The queues of one configuration, indexed by host and by name.
  *
  * @public
  */
@@ -31,7 +31,7 @@
 		}
 	}
 
-	/** @returns the queue of that name, or the one with the longest prefix that begins the path. */
+	/** @returns the queue of the given name, or the one with the longest prefix of the path; undefined if there is none. */
 	find(to: Destination): ResolvedDestination | undefined {
 		if ('queue' in to) {
 			const queue = this.byName.get(to.queue)
--- a/packages/jobs/src/lib/leader/callers/RefusedCalls.ts
+++ b/packages/jobs/src/lib/leader/callers/RefusedCalls.ts
@@ -1,12 +1,16 @@
 /**
- * Submissions that were refused, so that no earlier try of the same call is taken afterwards. A try that got no answer may still be on its way
- * to this leader: one that comes after its call was refused gets the same refusal, and so "not run" stays true.
+ * Remembers refused submissions, so that no earlier try of the same call is accepted afterwards. A try without an answer
+ * may still be in transit to this leader. If it arrives after the call was refused, it gets the same refusal, so that an
+ * answer of "not run" stays true.
  */
 import type { CallId, JobRefusal } from './calls'
 
-/** Milliseconds for which refusals are kept. Links that are silent for a second are closed, and what they held is lost with them. */
+/**
+ * Milliseconds for which refusals are kept. Links without traffic for a second are closed and lose the messages in
+ * transit, so a delayed try arrives well before this or not at all.
+ */
 const RETENTION_MS = 60_000
-/** Refusals that are kept at most; bounds the leader's memory at about 10 MB. */
+/** Maximum number of refusals that are kept; bounds their memory at about 10 MB. */
 const MAX_REFUSALS = 50_000
 
 interface RefusedCall {
@@ -20,19 +24,19 @@
  * @internal
  */
 export class RefusedCalls {
-	/** By instance and number, the oldest first. */
+	/** Refused calls by instance and number, oldest first. */
 	private readonly refused = new Map<string, RefusedCall>()
 
 	/**
-	 * @param now - the moment, on the leader's clock.
-	 * @returns how a call was refused; undefined when it was not.
+	 * @param now - the time on the leader's clock, in milliseconds.
+	 * @returns the refusal of a call; undefined if it was not refused or the refusal was evicted.
 	 */
 	find(call: CallId, now: number): JobRefusal | undefined {
 		this.evictExpired(now)
 		return this.refused.get(keyOf(call))?.refusal
 	}
 
-	/** A call is refused. */
+	/** Records the refusal of a call. */
 	add(call: CallId, refusal: JobRefusal, now: number): void {
 		this.evictExpired(now)
 		this.refused.set(keyOf(call), { refusal, at: now })
--- a/packages/jobs/src/lib/leader/callers/calls.ts
+++ b/packages/jobs/src/lib/leader/callers/calls.ts
@@ -1,133 +1,134 @@
-/** What can be asked of the leader of a cell, and what it answers. */
+/** The calls to the leader of a cell, and its replies. */
 import type { QuotaTerms, Resources } from '@rillrudder/scheduler'
 import type { CellConfiguration, Heartbeat } from '../../records/Cell'
 import type { JobRequest, JobState } from '../../records/Job'
 import type { Suspicion } from '../../state/TaskCrashes'
 import type { AdviceQuestion } from '../ports'
 
-/** Where a call is addressed: by host and path, as callers do, or by the queue's name. @public */
+/** The queue or job that a call addresses: by host and path, as client calls do, by queue name, or by job id. @public */
 export type Destination =
 	| { readonly host: string; readonly path: string; readonly keyDigest?: string }
 	| { readonly queue: string; readonly id: string; readonly keyDigest?: string }
-	/** Only for a job that is known, and from operators, who need no key. */
+	/** Only for an existing job, and from operators, who need no key. */
 	| { readonly id: string }
 
-/** What an account has and may have. @public */
+/** Usage and limits of an account. @public */
 export interface AccountSummary extends QuotaTerms {
-	/** Largest share of any resource that it has reserved, against its weight. */
+	/** Its dominant share: the largest share of any resource that it has reserved, divided by its weight. */
 	readonly share: number
 	readonly used: Resources
-	/** Its jobs that have not ended. */
+	/** Number of its jobs that have not ended. */
 	readonly jobs: number
-	/** Of those, how many came beyond its rate. */
+	/** Number of those jobs that were submitted beyond its rate. */
 	readonly beyondRate: number
-	/** Its steps with tasks that could begin and have no place. */
+	/** Number of its steps with startable tasks that have no worker. */
 	readonly waiting: number
-	/** Its jobs refused since this leadership began. */
+	/** Number of its jobs that this leadership has refused. */
 	readonly refused: number
-	/** What it has of each service; empty where accounts have no shares. */
+	/** Its use of each service; empty where accounts have no shares. */
 	readonly services?: readonly ServiceUse[]
 }
 
-/** What an account has of a service; shares are of the largest resource, from 0 to 1. @public */
+/** An account's use of a service; each share is that of the dominant resource, from 0 to 1. @public */
 export interface ServiceUse {
 	readonly service: string
-	/** What it may count on while others wait. */
+	/** The share that it is entitled to while others wait. */
 	readonly share: number
+	/** The share that it holds now. */
 	readonly held: number
-	/** What it had on the mean of late. */
+	/** The share that it held on average recently. */
 	readonly had: number
-	/** Whether its waiting work goes behind that of others. */
+	/** Whether it exceeds its share, so that its waiting work is ordered after that of others. */
 	readonly over: boolean
 }
 
-/** Which jobs a list shows. @public */
+/** Selects the jobs of a list. @public */
 export interface JobFilter {
 	readonly queue?: string
 	readonly state?: string
-	/** Most jobs that are listed, the newest first. */
+	/** Maximum number of jobs to list, newest first. */
 	readonly most: number
 }
 
-/** A line of a list of jobs. @public */
+/** A job in a list. @public */
 export interface JobSummary {
 	readonly id: string
 	readonly queue: string
-	/** Name of the account that it belongs to; empty for none. */
+	/** Name of the account that owns it; empty for none. */
 	readonly account: string
 	readonly state: JobState
-	/** Milliseconds since the epoch. */
+	/** Time of submission, in milliseconds since the epoch. */
 	readonly submitted: number
-	/** The same; 0 while it has not ended. */
+	/** Time of its end, in milliseconds since the epoch; 0 while it has not ended. */
 	readonly ended: number
 	readonly tasks: number
 	readonly done: number
 }
 
-/** A task that has lost workers. @public */
+/** A task whose workers crashed or were lost while they ran it. @public */
 export interface LossSummary {
 	/** Its index in the step. */
 	readonly index: number
 	readonly suspicion: Suspicion
-	/** Workers that crashed under it. */
+	/** Workers that crashed while they ran it. */
 	readonly crashed: readonly string[]
-	/** Workers that fell silent under it, of which is not known whether they crashed. */
+	/** Workers that became unreachable while they ran it; whether they crashed is unknown. */
 	readonly silent: readonly string[]
 }
 
-/** What is known of one step of a job, and why it waits. @public */
+/** The state of one step of a job, and the reason why it waits. @public */
 export interface StepExplanation {
 	readonly step: string
 	readonly tasks: number
 	readonly done: number
 	readonly placed: number
 	readonly waiting: number
-	/** Runs that failed so far. */
+	/** Number of failed runs so far. */
 	readonly failures: number
-	/** Tasks that have lost workers. */
+	/** Tasks whose workers crashed or were lost. */
 	readonly losses: readonly LossSummary[]
-	/** For each worker how many of its tasks are there. */
+	/** Number of its tasks on each worker. */
 	readonly workers: { readonly [worker: string]: number }
-	/** Why its tasks wait, for people; empty when none does. */
+	/** Why its tasks wait, as text for operators; empty if none waits. */
 	readonly reason: string
 }
 
-/** What is known of a job. @public */
+/** The state of a job and its steps. @public */
 export interface JobExplanation extends JobSummary {
-	/** The instance that leads, and its term. */
+	/** Term of the leader that answered. */
 	readonly term: number
 	/** Version of the configuration in force. */
 	readonly configuration: number
 	readonly steps: readonly StepExplanation[]
 }
 
-/** A worker that another instance has heard. @public */
+/** A heartbeat that another instance received and relays to the leader. @public */
 export interface RelayedHeartbeat {
-	/** Its id. */
+	/** Id of the worker. */
 	readonly worker: string
-	/** Number of its heartbeat. */
+	/** Sequence number of the heartbeat. */
 	readonly sequence: number
-	/** Milliseconds on its own steady clock. */
+	/** Time on the worker's own monotonic clock, in milliseconds. */
 	readonly clock?: number
-	/** Milliseconds since it was heard. */
+	/** Milliseconds since the instance received it. */
 	readonly age: number
 }
 
-/** Names a call of an instance through all its tries. @public */
+/** Identifies a call of an instance across its retries. @public */
 export interface CallId {
-	/** One life of the instance. */
+	/** Incarnation of the instance. */
 	readonly instance: string
-	/** Counts its calls. */
+	/** Sequence number of the call within the incarnation. */
 	readonly number: number
 }
 
-/** What an instance asks of the leader, or the leader of an instance. @public */
+/** A call of an instance to the leader, or of the leader to an instance. @public */
 export type CellCall =
 	| {
 			readonly kind: 'submit'
 			readonly to: Destination
 			readonly job: JobRequest
-			/** Names the call through all its tries; absent where it is tried once. */
+			/** Identifies the call across its retries; absent where it is not retried. */
 			readonly call?: CallId
 	  }
 	| { readonly kind: 'show'; readonly to: Destination }
@@ -138,46 +139,46 @@
 	| { readonly kind: 'configure'; readonly configuration: CellConfiguration }
 	| { readonly kind: 'read-configuration' }
 	| { readonly kind: 'heartbeat'; readonly heartbeat: Heartbeat }
-	/** Heartbeats that brought nothing new to another instance. */
+	/** Heartbeats that another instance received and that changed nothing but the time of the latest heartbeat. */
 	| { readonly kind: 'heartbeats'; readonly heard: readonly RelayedHeartbeat[] }
 	| { readonly kind: 'leave'; readonly worker: string }
-	/** From the leader to any instance: ask for advice on its behalf. */
+	/** From the leader to any instance: request advice on its behalf. */
 	| { readonly kind: 'advise'; readonly question: AdviceQuestion }
 
-/** What the leader answers. @public */
+/** A reply to a call. @public */
 export type CellReply =
-	/** The job is accepted and kept, now or earlier. */
+	/** The job is accepted and stored, by this submission or an earlier one. */
 	| { readonly kind: 'accepted' }
-	/** Taken note of, for good. */
+	/** The call is recorded durably. */
 	| { readonly kind: 'noted' }
 	| { readonly kind: 'state'; readonly state: JobState }
-	/** Jobs of the queue of which no task has begun. */
+	/** Number of jobs of the queue of which no task has started. */
 	| { readonly kind: 'pending'; readonly count: number }
 	| { readonly kind: 'jobs'; readonly jobs: readonly JobSummary[] }
 	| { readonly kind: 'explanation'; readonly explanation: JobExplanation }
 	| { readonly kind: 'accounts'; readonly accounts: readonly AccountSummary[] }
-	/** The caller shows no key, or one that no account holds: nothing was done. */
+	/** The call carries no key, or one of no account; nothing was done. */
 	| { readonly kind: 'unauthorized' }
-	/** Another account has a job of that id: nothing was done. */
+	/** Another account has a job with this id; nothing was done. */
 	| { readonly kind: 'id-taken' }
-	/** The job was not accepted and never could run, for people. */
+	/** The job was not accepted because it could never run; `reason` is text for people. */
 	| { readonly kind: 'impossible'; readonly reason: string }
 	| { readonly kind: 'no-such-queue' }
 	| { readonly kind: 'no-such-job' }
 	| { readonly kind: 'configuration'; readonly configuration: CellConfiguration }
-	/** Not run, and never will be by this call: it may come again after `retryAfter` milliseconds. */
+	/** The call was not carried out and will not be; the client may retry after `retryAfter` milliseconds. */
 	| { readonly kind: 'not-run'; readonly reason: string; readonly retryAfter: number }
-	/** The submission was not taken, and no earlier try of its call has been or will be. */
+	/** The submission was not accepted, and no earlier try of its call has been or will be accepted. */
 	| { readonly kind: 'settled'; readonly refusal: JobRefusal }
-	/** Nothing was done, since the instance that was asked does not lead, or leads another term. */
+	/** Nothing was done, because the called instance is not leader, or leads another term. */
 	| { readonly kind: 'not-leader' }
-	/** Nothing is known of what became of it: it may have been done. */
+	/** The outcome is unknown: the call may have been carried out. */
 	| { readonly kind: 'unknown'; readonly reason: string }
-	/** The answer to `advise`; undefined tickets when none came. */
+	/** The answer to `advise`: pairs of a worker's id and its ticket. */
 	| { readonly kind: 'advice'; readonly tickets: readonly (readonly [string, string])[] }
 	| { readonly kind: 'advice-busy' }
 
-/** A reply that says that a job was not taken. @public */
+/** A reply to a submission that was not accepted. @public */
 export type JobRefusal = Extract<
 	CellReply,
 	{ readonly kind: 'unauthorized' | 'no-such-queue' | 'id-taken' | 'impossible' | 'not-run' }
@@ -191,7 +192,7 @@
 	'not-run': true,
 }
 
-/** @returns whether a reply to a submission says that the job was not taken. @public */
+/** @returns whether a reply to a submission means that the job was not accepted. @public */
 export function isJobRefusal(reply: CellReply): reply is JobRefusal {
 	return Object.hasOwn(REFUSALS, reply.kind)
 }
