--- a/packages/jobs/src/index.ts
+++ b/packages/jobs/src/index.ts
@@ -1,4 +1,4 @@
-/** Jobs of a cell: replicated records, and the leader's controller that places them. */
+/** The job scheduler of a cell: the replicated state, and the leader's controller that places tasks on workers. */
 export {
 	COMMAND_VERSION,
 	decodeCommands,
--- a/packages/jobs/src/lib/testing/LeaderSubject.ts
+++ b/packages/jobs/src/lib/testing/LeaderSubject.ts
@@ -1,4 +1,4 @@
-/** A controller with a log that commits at once, and workers that answer as the test says. */
+/** Test harness: a controller with a log that commits at once, and fake workers that tests configure. */
 import { Ledger, WorkerHealth } from '@rillrudder/scheduler'
 import { Log, Meter } from '@rillrudder/telemetry'
 import { ManualClock, Random } from '@rillrudder/utils'
@@ -34,7 +34,7 @@
 const CLOCK_OFFSET_MS = 50_000
 const ORDER_TIMEOUT_MS = 400
 
-/** What one worker of a test does and has seen. */
+/** A fake worker: its configurable behaviour, its runs, and the orders that it received. */
 export class FakeWorker {
 	readonly starts: StartOrder[] = []
 	readonly stops: StopOrder[] = []
@@ -42,37 +42,37 @@
 	readonly polls: PollOrder[] = []
 	running: ListedRun[] = []
 	ended: ListedEnd[] = []
-	/** Set to make it silent: orders get no answer and are not carried out. */
+	/** Makes the worker unresponsive: orders get no answer and are not carried out. */
 	silent = false
-	/** Set once another incarnation is at its address. */
+	/** Set when another incarnation runs at its address. */
 	replaced = false
-	/** How many of the next polls get no answer. */
+	/** Number of following polls that get no answer. */
 	lostPolls = 0
-	/** Milliseconds that a stop takes. */
+	/** Milliseconds that it takes to stop a run. */
 	stopDelay = 0
-	/** Percent by which what it runs gets on from one poll to the next; 0 to let it stand still. */
+	/** Percent by which its runs progress from one poll to the next; 0 for stalled runs. */
 	progressPerPoll = 3
-	/** What the next starts are answered with in turn, in place of being carried out. */
+	/** Results of the following starts, one each, which are not carried out. */
 	startResults: OrderResult[] = []
-	/** How many of the next polls are not carried. */
+	/** Number of following polls with the result `not-carried`. */
 	notCarried = 0
-	/** What the next starts are answered with, in place of being carried out. */
+	/** Result of all following starts, which are not carried out; undefined to carry them out. */
 	startResult: OrderResult | undefined
-	/** When it started, milliseconds since the epoch; undefined where workers do not say. */
+	/** When it started, in milliseconds since the epoch; undefined where workers do not report it. */
 	born: number | undefined
-	/** Where it is, if orders to elsewhere are to reach nobody. */
+	/** Its address, if polls of other addresses must get no answer; undefined to accept any address. */
 	address: string | undefined
-	/** Milliseconds by which answers to polls are held up on their way; they come although it has crashed meanwhile. */
+	/** Milliseconds by which answers to polls are delayed in transit; they arrive even if it has crashed meanwhile. */
 	answerDelay = 0
-	/** What its clock shows beyond that of the others. */
+	/** Milliseconds by which its clock is ahead of those of other workers. */
 	clockOffset = 0
-	/** Number of its latest heartbeat. */
+	/** Sequence number of its latest heartbeat. */
 	sequence = 0
-	/** Set to make it keep ends that it is told were seen before it has had so many. */
+	/** Makes it ignore acknowledgements of more ends than it has had, and keep its ends. */
 	keepsUnacknowledgedEnds = false
 	private endCount = 0
 
-	/** It starts anew, and knows nothing of before. */
+	/** Restarts as a new incarnation without any state. */
 	restart(born: number): void {
 		this.born = born
 		this.running = []
@@ -82,13 +82,13 @@
 		this.clockOffset = -20_000
 	}
 
-	/** It is told that ends up to a number were seen. */
+	/** Forgets the ends up to an acknowledged number. */
 	forget(seen: number): void {
 		if (this.keepsUnacknowledgedEnds && seen > this.endCount) return
 		this.ended = this.ended.filter((end) => end.number > seen)
 	}
 
-	/** What it runs gets on a little. */
+	/** Advances the progress of its runs. */
 	work(): void {
 		const { progressPerPoll: pace } = this
 		this.running = this.running.map((run) => ({
@@ -97,7 +97,7 @@
 		}))
 	}
 
-	/** A run of it ends. */
+	/** Ends one of its runs. */
 	end(task: string, how: ListedEnd['how'], checkpoint = ''): void {
 		const run = this.running.find((one) => one.task === task)
 		this.running = this.running.filter((one) => one.task !== task)
@@ -120,7 +120,7 @@
 		fake.starts.push(order)
 		if (fake.silent) return this.lose(done)
 		const next = fake.startResults.shift()
-		// An answer never comes before the orders that are given together have all gone out.
+		// An answer never arrives before all orders of the same batch are sent.
 		if (next) return void this.subject.clock.after(1, () => done(next))
 		if (fake.startResult) return done(fake.startResult)
 		const { task, attempt, checkpoint } = order
@@ -161,7 +161,7 @@
 		}
 		fake.forget(order.endsSeen)
 		const answer = (): void => {
-			// A worker that has crashed meanwhile answers nothing that it was asked before.
+			// A worker that has crashed since the poll does not answer it.
 			if (fake.silent) return this.lose(done)
 			fake.work()
 			const { running, ended, born } = fake
@@ -204,11 +204,11 @@
 }
 
 class InstantProposals extends Proposals {
-	/** Everything that was committed. */
+	/** All committed commands. */
 	readonly committed: CellCommand[] = []
 	private readonly queue: { command: CellCommand; done?: () => void }[] = []
 	private applying = false
-	/** While true nothing is committed. */
+	/** Defers commits while true. */
 	held = false
 
 	constructor(private readonly subject: LeaderSubject) {
@@ -220,7 +220,7 @@
 		this.commit()
 	}
 
-	/** Commits what waits. */
+	/** Commits and applies the queued commands. */
 	commit(): void {
 		if (this.applying || this.held) return
 		this.applying = true
@@ -233,36 +233,36 @@
 	}
 }
 
-/** A controller under test. */
+/** A controller under test with its fake environment. */
 export class LeaderSubject {
 	readonly clock = new ManualClock()
 	readonly state = new CellState()
 	readonly proposals = new InstantProposals(this)
 	readonly questions: { readonly via: string; readonly question: AdviceQuestion }[] = []
 	isAllowed: (worker: string) => boolean = () => true
-	/** Milliseconds that an answer takes; infinite for one that does not come. */
+	/** Milliseconds until advice is answered; infinite for an answer that never arrives. */
 	adviceDelay: (question: AdviceQuestion) => number = () => 30
-	/** Instances that can ask. */
+	/** Ids of the instances that can request advice. */
 	instances: readonly string[] = ['self', 'other', 'third']
 	deposed = false
 	/** Log lines of all leaderships. */
 	readonly logLines: string[] = []
 	readonly meter = new Meter()
-	/** The room of the workers, as the present leadership counts it. */
+	/** The ledger of the current leadership with the free capacity of the workers. */
 	ledger!: Ledger
-	/** Client accounts of the configurations that follow; undefined for a cell without. */
+	/** Client accounts of the following configurations; undefined for a cell without accounts. */
 	accounts: readonly ClientAccount[] | undefined
 	controller!: JobController
 	private readonly workers = new Map<string, FakeWorker>()
 	private term = 0
 
-	/** @param queue - changes of the one queue. */
+	/** @param queue - overrides of the only queue. */
 	constructor(queue: Partial<Queue> = {}) {
 		this.lead()
 		this.configure(queue)
 	}
 
-	/** Replaces the configuration by one of a queue for each set of changes. */
+	/** Replaces the configuration by one with a queue for each set of overrides. */
 	configure(...changes: Partial<Queue>[]): void {
 		const version = (this.state.configuration?.version ?? 0) + 1
 		const queues = changes.map((queue) => ({ ...QUEUE, ...queue }))
@@ -272,26 +272,26 @@
 		this.call({ kind: 'configure', configuration })
 	}
 
-	/** What all workers' clocks show. */
+	/** Time on the workers' clocks without offset, in milliseconds. */
 	get workerClock(): number {
 		return Math.floor(this.clock.now() + CLOCK_OFFSET_MS)
 	}
 
-	/** What a worker's own clock shows. */
+	/** @returns the time on a worker's own clock, in milliseconds. */
 	clockOf({ clockOffset: clockAhead }: FakeWorker): number {
 		return this.workerClock + clockAhead
 	}
 
-	/** A worker ends without a word and starts again under its id, at once; its first heartbeat comes. */
+	/** Crashes a worker, restarts it at once under its id, and delivers its first heartbeat. */
 	restart(id: string): void {
 		this.worker(id).restart(this.clock.date().getTime())
 		this.heartbeat(id)
 	}
 
-	/** What the next leadership is asked for; settings give it, as a leadership begins. */
+	/** Policy of the following leaderships. */
 	policy: LeaderPolicy = DEFAULT_LEADER_POLICY
 
-	/** Begins a leadership, after another one where there was one. */
+	/** Starts a new leadership, which replaces the current one if there is one. */
 	lead(): void {
 		this.state.observer = undefined
 		const random = new Random(7)
@@ -315,7 +315,7 @@
 		this.state.observer = (change) => this.controller.onChange(change)
 	}
 
-	/** Makes a call. @returns the reply, if it came at once. */
+	/** Makes a call. @returns the reply, if it arrived at once. */
 	call(call: CellCall): CellReply | undefined {
 		let reply: CellReply | undefined
 		this.controller.call(call, (value) => (reply = value))
@@ -323,19 +323,19 @@
 		return reply
 	}
 
-	/** Hands a job in, with a key where one is given. */
+	/** Submits a job, with the given key if there is one. */
 	submit(id: string, job: JobRequest, queue = QUEUE.name, key?: string): CellReply | undefined {
 		const keyDigest = key === undefined ? undefined : digestOf(key)
 		return this.call({ kind: 'submit', to: { queue, id, keyDigest }, job })
 	}
 
-	/** A heartbeat of a worker comes. */
+	/** Delivers a heartbeat of a worker. */
 	heartbeat(id: string, changes: Partial<Worker> = {}, draining = false, remaining?: number): void {
 		const heartbeat = this.nextHeartbeat(id, changes, draining, remaining)
 		this.call({ kind: 'heartbeat', heartbeat })
 	}
 
-	/** @returns a worker's next heartbeat, which is on its way. */
+	/** @returns a worker's next heartbeat, which is not delivered yet. */
 	nextHeartbeat(
 		id: string,
 		changes: Partial<Worker> = {},
@@ -351,7 +351,7 @@
 		return { worker, sequence, draining, remaining, clock: this.clockOf(fake) }
 	}
 
-	/** @returns the worker behind an id, whichever life of it. */
+	/** @returns the worker with an id, whatever its incarnation. */
 	worker(id: string): FakeWorker {
 		const name = workerNameOf(id)
 		let worker = this.workers.get(name)
@@ -362,7 +362,7 @@
 		return worker
 	}
 
-	/** Lets time pass, with heartbeats of these workers once a second. */
+	/** Advances the clock by a number of milliseconds, with a heartbeat of each given worker every second. */
 	run(span: number, ...alive: string[]): void {
 		for (let spent = 0; spent < span; spent += TICK_MS) {
 			if (spent % 1000 === 0) for (const id of alive) this.heartbeat(id)
@@ -371,7 +371,7 @@
 		}
 	}
 
-	/** How many starts were ordered. */
+	/** Number of start orders that the workers received. */
 	get startCount(): number {
 		return [...this.workers.values()].reduce((sum, { starts }) => sum + starts.length, 0)
 	}
--- a/packages/jobs/src/lib/testing/samples.ts
+++ b/packages/jobs/src/lib/testing/samples.ts
@@ -1,9 +1,9 @@
-/** Jobs, queues and workers for tests. */
+/** Sample jobs, queues, accounts and workers for tests. */
 import { digestOf, type ClientAccount } from '../accounts/ClientAccount'
 import type { Queue, Worker } from '../records/Cell'
 import { PLAIN_STEP, type JobRequest, type Step } from '../records/Job'
 
-/** A queue without advice. */
+/** A queue that requires no advice. */
 export const QUEUE: Queue = {
 	name: 'checks',
 	host: 'city.example',
@@ -16,24 +16,24 @@
 	timeout: 3000,
 }
 
-/** @returns an account with one key, its name in capitals. */
+/** @returns an account with one key: its name in upper case. */
 export function accountNamed(name: string, changes: Partial<ClientAccount> = {}): ClientAccount {
 	return { name, keyDigests: [digestOf(name.toUpperCase())], weight: 100, ...changes }
 }
 
-/** A plain step of one small task, which takes as long as a test may last. */
+/** A step of one small task that runs longer than a test does. */
 export const STEP: Step = {
 	...PLAIN_STEP,
 	need: { cpu: 1000, memory: 512, accelerators: 0 },
 	expectedTime: 30_000,
 }
 
-/** @returns a job of the steps given, each plain but for what is said. */
+/** @returns a job with a {@link STEP} for each set of overrides. */
 export function jobOf(...steps: Partial<Step>[]): JobRequest {
 	return { spec: 'text', steps: steps.map((step) => ({ ...STEP, ...step })) }
 }
 
-/** @returns a worker of 4 processors. */
+/** @returns a worker with 4 processors and 8 slots. */
 export function workerNamed(id: string, changes: Partial<Worker> = {}): Worker {
 	return {
 		id,
