--- a/packages/jobs/src/lib/leader/JobController.test.ts
+++ b/packages/jobs/src/lib/leader/JobController.test.ts
@@ -1,4 +1,4 @@
-/** What the leader's controller decides, with workers that misbehave. */
+/** Decisions of the leader's controller, with workers that fail or misbehave. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import { checkJob } from '../records/checkJob'
@@ -19,7 +19,7 @@
 	return subject.state.jobs.find(id)?.state
 }
 
-test('a run is committed before its worker is told, and its end before the worker may forget it', () => {
+test('a run is committed before it is ordered, and its end before the worker may forget it', () => {
 	const subject = new LeaderSubject()
 	subject.heartbeat('w1')
 	subject.submit(ID, jobOf({}))
@@ -32,7 +32,7 @@
 	assert.equal(subject.worker('w1').polls[0].endsSeen, 0)
 })
 
-test('no worker is given more than it has', () => {
+test('no worker is given more than its capacity', () => {
 	const subject = new LeaderSubject()
 	subject.heartbeat('w1')
 	subject.submit(ID, jobOf({ count: 9 }))
@@ -53,7 +53,7 @@
 	assert.deepEqual([...new Set(starts.map((order) => order.attempt))], [1])
 })
 
-test('an order that was not carried goes out again at once, and says nothing of its worker', () => {
+test('an order that was not carried is sent again at once, and is no evidence against its worker', () => {
 	const subject = new LeaderSubject()
 	subject.heartbeat('w1')
 	subject.worker('w1').startResults = [{ kind: 'not-carried' }]
@@ -68,7 +68,7 @@
 	assert.equal(starts.length, 3)
 })
 
-test('after an order that was not carried, a refusal is no proof that the run will not begin there', () => {
+test('after an order that was not carried, a refusal does not prove that the run will not start there', () => {
 	const subject = new LeaderSubject()
 	subject.heartbeat('w1')
 	const unwell = { kind: 'refused', reason: Refusal.Unhealthy } as const
@@ -77,13 +77,13 @@
 	subject.submit(ID, jobOf({}))
 	subject.heartbeat('w2')
 	subject.run(1500, 'w1', 'w2')
-	// The order that the carrier may still let go is void once the worker has been told to stop the run.
+	// The carrying instance may still deliver the order; it is void once the worker has been ordered to stop the run.
 	assert.equal(subject.worker('w1').stops.length, 1)
 	const starts = ['w1', 'w2'].flatMap((id) => subject.worker(id).starts)
 	assert.equal(starts.filter((order) => order.attempt === 2).length, 1)
 })
 
-test('a run that is cancelled while its start is in doubt is stopped, though the copy that was sent again is refused', () => {
+test('a run that is cancelled while its start is unconfirmed is stopped, although the repeated order is refused', () => {
 	const subject = new LeaderSubject()
 	subject.heartbeat('w1')
 	const { starts, stops } = subject.worker('w1')
@@ -108,7 +108,7 @@
 	assert.ok(polls.length >= before + 2)
 })
 
-test('runs of a silent worker begin elsewhere only once its lease is certainly over', () => {
+test('runs of an unreachable worker start elsewhere only after its lease has certainly expired', () => {
 	const subject = new LeaderSubject()
 	subject.heartbeat('w1')
 	subject.submit(ID, jobOf({}))
@@ -121,7 +121,7 @@
 	assert.equal(subject.worker('w2').starts[0].attempt, 2)
 })
 
-test('a silent worker is not renewed, and is polled again although nothing is left there', () => {
+test('the lease of an unreachable worker is not renewed, and the worker is polled again although no run is left on it', () => {
 	const subject = new LeaderSubject()
 	subject.heartbeat('w1')
 	subject.submit(ID, jobOf({}))
@@ -146,12 +146,12 @@
 	assert.equal(subject.state.workers.find('w1'), undefined)
 })
 
-test('a heartbeat that comes after its sender was replaced ends nothing at that address', () => {
+test('a heartbeat that arrives after its sender was replaced ends nothing at that address', () => {
 	const subject = new LeaderSubject()
 	subject.heartbeat('new', { address: 'h:1' })
 	subject.submit(ID, jobOf({}))
 	subject.run(100, 'new')
-	// Held back by a cut: the leader has never heard of its sender.
+	// Delayed by a network partition: the leader does not know its sender.
 	subject.heartbeat('old', { address: 'h:1' })
 	subject.run(3000, 'new')
 	assert.notEqual(subject.state.workers.find('new'), undefined)
@@ -160,7 +160,7 @@
 	assert.ok(subject.state.workers.isGone('old'))
 })
 
-test('while nobody answers at an address, neither of two incarnations there counts as ended', () => {
+test('while an address does not answer, neither of two incarnations there counts as ended', () => {
 	const subject = new LeaderSubject()
 	subject.heartbeat('w1', { address: 'h:1' })
 	subject.submit(ID, jobOf({}))
@@ -173,7 +173,7 @@
 	assert.equal(subject.startCount, 1)
 })
 
-test('with one worker of a data centre silent, the others get nothing until they have answered', () => {
+test('when a worker of a data centre is unreachable, the others get no work until they have answered', () => {
 	const subject = new LeaderSubject()
 	for (const id of ['w1', 'w2', 'w3']) subject.heartbeat(id)
 	subject.heartbeat('far', { dataCentre: 'isani' })
@@ -183,7 +183,7 @@
 	const [busy] = ['w1', 'w2', 'w3'].filter((id) => subject.worker(id).starts.length > 0)
 	const idle = ['w1', 'w2', 'w3'].filter((id) => id !== busy)
 	for (const id of [busy, ...idle]) subject.worker(id).silent = true
-	// Only the busy one is polled; nothing else tells of the idle ones.
+	// Only the busy worker is polled, so there is no other news of the idle ones.
 	subject.run(1000)
 	subject.submit(OTHER, jobOf({ count: 4 }))
 	subject.run(100)
@@ -196,7 +196,7 @@
 	assert.ok(idle.some((id) => subject.worker(id).starts.length > 0))
 })
 
-test('a step that allows copies begins elsewhere at once', () => {
+test('a step that allows copies starts elsewhere at once', () => {
 	const subject = new LeaderSubject()
 	subject.heartbeat('w1')
 	subject.submit(ID, jobOf({ copies: true }))
@@ -207,7 +207,7 @@
 	assert.equal(subject.worker('w2').starts.length, 1)
 })
 
-test('a single lost answer is no reason to begin a copy elsewhere', () => {
+test('a single lost answer does not start a copy elsewhere', () => {
 	const subject = new LeaderSubject()
 	subject.heartbeat('w1')
 	subject.submit(ID, jobOf({ copies: true }))
@@ -219,7 +219,7 @@
 	assert.equal(subject.worker('w2').starts.length, 0)
 })
 
-test('a new leader asks its many workers a few at a time', () => {
+test('a new leader polls a large number of workers in small batches', () => {
 	const subject = new LeaderSubject()
 	const ids = Array.from({ length: 200 }, (_, number) => `w${number}`)
 	for (const id of ids) subject.heartbeat(id)
@@ -231,20 +231,20 @@
 	assert.equal(asked(), ids.length)
 })
 
-test('workers that are known are all polled in the same tick', () => {
+test('workers whose state is known are all polled in the same tick', () => {
 	const subject = new LeaderSubject()
 	const ids = Array.from({ length: 700 }, (_, number) => `w${number}`)
 	for (const id of ids) subject.heartbeat(id)
 	subject.submit(ID, jobOf({ count: 700, mostPerWorker: 1 }))
 	subject.run(1000, ...ids)
 	const before = ids.map((id) => subject.worker(id).polls.length)
-	// All of their polls end without news at the same moment.
+	// All of their polls time out at the same moment.
 	subject.run(DEFAULT_LEADER_TIMING.longPollWait + 20, ...ids)
 	const again = ids.filter((id, number) => subject.worker(id).polls.length > before[number])
 	assert.equal(again.length, ids.length)
 })
 
-test('polls wait longer where there are many workers', () => {
+test('polls wait longer in a cell of many workers', () => {
 	const waitAmong = (count: number): number | undefined => {
 		const subject = new LeaderSubject()
 		for (let number = 0; number < count; number++) subject.heartbeat(`w${number}`)
@@ -257,7 +257,7 @@
 	assert.equal(waitAmong(100), DEFAULT_LEADER_TIMING.longPollWait)
 })
 
-test('a new leader orders nothing where it does not know what runs', () => {
+test('a new leader sends no orders to a worker whose runs it does not know', () => {
 	const subject = new LeaderSubject({ advice: { base: 20, each: 1, valid: 5000 } })
 	subject.heartbeat('w1')
 	subject.submit(ID, jobOf({}))
@@ -270,7 +270,7 @@
 	assert.equal(worker.starts.length, 1)
 	worker.silent = false
 	subject.run(600, 'w1')
-	// It never began, and the ticket went with the earlier leader: it is placed anew.
+	// It never started, and its ticket was lost with the earlier leader, so it is placed again.
 	assert.deepEqual(
 		worker.starts.map((order) => [order.attempt, order.ticket]),
 		[
@@ -280,7 +280,7 @@
 	)
 })
 
-test('a worker whose run was given up gets nothing before it has stopped that run', () => {
+test('a worker whose run was abandoned gets no work before it has stopped that run', () => {
 	const large = { cpu: 3000, memory: 10, accelerators: 0 }
 	const subject = new LeaderSubject()
 	subject.heartbeat('w1')
@@ -290,7 +290,7 @@
 	subject.worker('w1').silent = true
 	subject.heartbeat('w2')
 	subject.run(1800, 'w2')
-	// It answers again, and the order is carried out late: not listed at first, then it runs.
+	// It answers again and carries out the order late: the run is not listed at first, then it is.
 	subject.worker('w1').running = []
 	subject.worker('w1').silent = false
 	const before = subject.worker('w1').starts.length
@@ -306,7 +306,7 @@
 	assert.equal(subject.worker('w1').running.length, 1)
 })
 
-test('a refusal frees the room, and nothing needs to be stopped when it was the only order', () => {
+test('a refusal frees the capacity, and nothing is stopped when it was the only order', () => {
 	const subject = new LeaderSubject()
 	subject.heartbeat('w1')
 	subject.worker('w1').startResult = { kind: 'refused', reason: Refusal.Invalid }
@@ -318,7 +318,7 @@
 	assert.equal(subject.worker('w1').stops.length, 0)
 })
 
-test('a task that failed begins again on another worker, although the first one has more room', () => {
+test('a failed task starts again on another worker, also if the first one has more free capacity', () => {
 	const subject = new LeaderSubject()
 	subject.heartbeat('w1')
 	subject.submit(ID, jobOf({}))
@@ -337,12 +337,12 @@
 	assert.equal(subject.deposed, true)
 })
 
-test('a new leader takes up what runs, orders what is not listed again, and nothing twice', () => {
+test('a new leader adopts the running tasks, orders again those that are not listed, and none twice', () => {
 	const subject = new LeaderSubject()
 	subject.heartbeat('w1')
 	subject.submit(ID, jobOf({ count: 2 }))
 	subject.run(100, 'w1')
-	// One of the two never began.
+	// One of the two never started.
 	subject.worker('w1').running = subject.worker('w1').running.slice(0, 1)
 	const before = [...subject.worker('w1').starts]
 	subject.lead()
@@ -355,7 +355,7 @@
 	assert.ok(before.every((order) => order.fence < again[0].fence))
 })
 
-test('a new leader does not order again what its worker lists as ended, while that is being committed', () => {
+test('a new leader does not order a run again while the end that its worker lists is being committed', () => {
 	const subject = new LeaderSubject()
 	subject.heartbeat('w1')
 	subject.submit(ID, jobOf({}))
@@ -371,7 +371,7 @@
 	assert.equal(stateOf(subject), 'completed')
 })
 
-test('a run that nobody counts closes its worker until it is gone, also under a new leader', () => {
+test('a worker with an unexpected run gets no work until the run has stopped, also under a new leader', () => {
 	const subject = new LeaderSubject()
 	subject.heartbeat('w1')
 	const worker = subject.worker('w1')
@@ -390,7 +390,7 @@
 	assert.equal(subject.startCount, 1)
 })
 
-test('work of lower priority leaves room to urgent work', () => {
+test('work of lower priority leaves capacity for urgent work', () => {
 	const subject = new LeaderSubject()
 	subject.configure({ priority: 2 }, URGENT)
 	subject.heartbeat('w1')
@@ -402,7 +402,7 @@
 	assert.equal(subject.startCount, 4)
 })
 
-test('urgent work without room stops runs that go on from a checkpoint, and no more than it needs', () => {
+test('urgent work without free capacity preempts runs that can resume from a checkpoint, and no more than it needs', () => {
 	const subject = new LeaderSubject()
 	subject.configure({ priority: 2 }, URGENT)
 	subject.heartbeat('w1')
@@ -421,7 +421,7 @@
 	])
 })
 
-test('runs without checkpoints are not stopped for urgent work', () => {
+test('runs without checkpoints are not preempted for urgent work', () => {
 	const subject = new LeaderSubject({ priority: 2 })
 	subject.heartbeat('w1')
 	const half = { cpu: 1500, memory: 512, accelerators: 0 }
@@ -433,7 +433,7 @@
 	assert.equal(subject.worker('w1').stops.length, 0)
 })
 
-test('a draining worker gets nothing new; lasting work leaves it at once', () => {
+test('a draining worker gets no new work, and its lasting work is moved at once', () => {
 	const subject = new LeaderSubject()
 	subject.heartbeat('w1')
 	subject.submit(ID, jobOf({ lasting: true }))
@@ -447,7 +447,7 @@
 	assert.equal(subject.worker('w2').starts[0].task, `${ID}.0.0.0`)
 })
 
-test('a cancelled job is stopped everywhere and begins nowhere', () => {
+test('a cancelled job is stopped on all workers and not started again', () => {
 	const subject = new LeaderSubject()
 	subject.heartbeat('w1')
 	subject.submit(ID, jobOf({ count: 6 }))
@@ -460,7 +460,7 @@
 	assert.equal(subject.worker('w1').starts.length, count)
 })
 
-test('a gang begins whole or not at all', () => {
+test('a gang starts as a whole or not at all', () => {
 	const subject = new LeaderSubject()
 	subject.heartbeat('w1')
 	subject.submit(ID, jobOf({ count: 6, gang: true }))
@@ -471,7 +471,7 @@
 	assert.equal(subject.startCount, 6)
 })
 
-test('a gang that wants one rack takes one that has room', () => {
+test('a gang that requires a single rack is placed on one with enough capacity', () => {
 	const subject = new LeaderSubject()
 	subject.heartbeat('w1', { rack: 'r1' })
 	subject.heartbeat('w2', { rack: 'r2' })
@@ -482,7 +482,7 @@
 	assert.equal(subject.startCount, 6)
 })
 
-test('labels, spread limits and the rack of the data are kept', () => {
+test('labels, spread limits and the rack of the data are respected', () => {
 	const subject = new LeaderSubject()
 	subject.heartbeat('w1', { labels: ['a', 'r1'] })
 	subject.heartbeat('w2', { labels: ['b', 'r2'], rack: 'r2' })
@@ -497,7 +497,7 @@
 	assert.deepEqual([of('w1', THIRD), of('w2', THIRD)], [0, 1])
 })
 
-test('a step with advice begins only on workers that are allowed, with their tickets', () => {
+test('a step with advice starts only on allowed workers, with their tickets', () => {
 	const subject = new LeaderSubject({ advice: { base: 20, each: 1, valid: 2500 } })
 	subject.isAllowed = (id) => id === 'w2'
 	for (const id of ['w1', 'w2', 'w3']) subject.heartbeat(id)
@@ -508,7 +508,7 @@
 	assert.equal(subject.worker('w2').starts[0].ticket, 'ticket-w2')
 })
 
-test('advice for the next step is asked once the first task of this one is done', () => {
+test('advice for the next step is requested when the first task of this one is done', () => {
 	const subject = new LeaderSubject({ advice: { base: 20, each: 1, valid: 2500 } })
 	subject.heartbeat('w1')
 	subject.submit(ID, jobOf({ count: 2 }, { dependsOn: [0] }))
@@ -519,7 +519,7 @@
 	assert.equal(subject.worker('w1').starts.length, 2)
 })
 
-test('best-effort work is slowed down where it disturbs, and let go on', () => {
+test('best-effort work is throttled while it harms tail latency, and resumed afterwards', () => {
 	const subject = new LeaderSubject()
 	subject.heartbeat('w1')
 	subject.submit(ID, jobOf({ lasting: true, latencyTarget: 100 }))
@@ -539,7 +539,7 @@
 	assert.equal(subject.worker('w1').paces.at(-1)?.percent, 100)
 })
 
-test('repeats begin when they are due, each for itself', () => {
+test('each repeat starts when it is due', () => {
 	const subject = new LeaderSubject()
 	subject.heartbeat('w1')
 	const first = subject.clock.date().getTime() + 1000
@@ -555,7 +555,7 @@
 	assert.equal(subject.worker('w1').starts.at(-1)?.task, `${ID}.1.0.0`)
 })
 
-test('what is kept is bounded by jobs and by tasks, whatever is handed in', () => {
+test('the number of kept jobs and tasks is bounded, whatever is submitted', () => {
 	const findings = checkJob({
 		...jobOf({ count: 2000 }, { count: 2000 }),
 		repeat: { count: 1000, first: 0, interval: 1 },
@@ -577,7 +577,7 @@
 	assert.equal(copy.jobs.taskCount, 300_000)
 })
 
-test('the list and the explanation of jobs say why a step waits', () => {
+test('the explanation of a job states why its steps wait, and lists show the job', () => {
 	const subject = new LeaderSubject()
 	subject.submit(ID, jobOf({ requires: 'none' }, { dependsOn: [0] }))
 	const reply = subject.call({ kind: 'explain-job', id: ID })
@@ -588,7 +588,7 @@
 	assert.ok(list?.kind === 'jobs' && list.jobs.length === 1)
 })
 
-test('a step that no worker may run says so, and is asked about again only for workers that join', () => {
+test('a step that no worker may run reports so, and advice is requested again only for workers that join', () => {
 	const subject = new LeaderSubject({ advice: { base: 20, each: 1, valid: 2000 } })
 	subject.isAllowed = (worker) => worker === 'w3'
 	for (const id of ['w1', 'w2']) subject.heartbeat(id)
@@ -605,7 +605,7 @@
 	assert.equal(subject.worker('w3').starts.length, 1)
 })
 
-test('a run of a cancelled job that shows up later is stopped by whoever leads then', () => {
+test('a run of a cancelled job that appears later is stopped by the leader at that time', () => {
 	const subject = new LeaderSubject()
 	subject.heartbeat('w1')
 	subject.submit(OTHER, jobOf({}))
@@ -622,7 +622,7 @@
 	assert.equal(subject.worker('w1').running.length, 1)
 })
 
-test('a lasting task without a run begins again at once, however full the service is', () => {
+test('a lasting task without a run starts again at once, however full the service is', () => {
 	const subject = new LeaderSubject()
 	const whole = { cpu: 4000, memory: 512, accelerators: 0 }
 	subject.heartbeat('w1')
--- a/packages/jobs/src/lib/leader/behindWithStarts.test.ts
+++ b/packages/jobs/src/lib/leader/behindWithStarts.test.ts
@@ -1,6 +1,7 @@
 /**
- * Callers of a cell whose instances had half the processor that their load needs waited for seconds, and 504s came back: every start was ordered at
- * once, orders waited behind each other until they counted as lost, and were ordered again.
+ * Limit of concurrent starts. Guards against clients that wait for seconds and get 504 replies when the instances have
+ * half the processor time that their load needs: if all starts are ordered at once, orders queue behind each other until
+ * they count as lost, and are sent again.
  */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
@@ -13,7 +14,7 @@
 const TASKS_EACH = 4
 const NOT_CARRIED = { kind: 'not-carried' } as const
 
-/** A cell that is behind: its workers have not confirmed what they were ordered a second ago. */
+/** @returns a cell that is behind: its workers have not confirmed the starts ordered a second ago. */
 function subjectBehind(): LeaderSubject {
 	const subject = new LeaderSubject()
 	subject.configure({ priority: 2, latencyTarget: 1000 }, URGENT)
@@ -25,29 +26,29 @@
 	return subject
 }
 
-// Guards against starts that are ordered faster than they are confirmed, time out on their way and are ordered again.
-test('a cell that is behind with its starts decides no more of them than it can confirm', () => {
+// Guards against starts that are ordered faster than they are confirmed, time out in transit and are ordered again.
+test('a cell that is behind with its starts decides no more starts than it can confirm', () => {
 	const subject = subjectBehind()
-	const before = begunIn(subject)
+	const before = startedInAll(subject)
 	subject.submit('00000000000000a2', jobOf({ count: WORKERS.length * TASKS_EACH - 30 }))
 	subject.run(1000, ...WORKERS)
-	assert.equal(begunIn(subject), before)
+	assert.equal(startedInAll(subject), before)
 	assert.ok(subject.logLines.some((line) => line.includes('start-window-changed')))
 })
 
-test('once it confirms them what waits begins, the most urgent first', () => {
+test('when the starts are confirmed, waiting work starts, the most urgent first', () => {
 	const subject = subjectBehind()
 	subject.submit('00000000000000a2', jobOf({ count: 100 }), QUEUE.name)
 	subject.submit('00000000000000a3', jobOf({ count: 8 }), URGENT.name)
 	for (const id of WORKERS) subject.worker(id).startResults = []
-	while (begun(subject, 'a2') === 0 && subject.clock.now() < 60_000) subject.run(20, ...WORKERS)
-	assert.equal(begun(subject, 'a3'), 8)
+	while (startedOf(subject, 'a2') === 0 && subject.clock.now() < 60_000) subject.run(20, ...WORKERS)
+	assert.equal(startedOf(subject, 'a3'), 8)
 	subject.run(10_000, ...WORKERS)
-	assert.equal(begun(subject, 'a2'), 100)
+	assert.equal(startedOf(subject, 'a2'), 100)
 })
 
-// Guards against starts on workers that were cut off, which nobody can confirm, and which must not keep others from beginning until leases are over.
-test('starts on workers that have fallen silent hold nothing up elsewhere', () => {
+// Guards against starts on disconnected workers, which cannot be confirmed, blocking other starts until the leases expire.
+test('starts on unreachable workers do not delay starts on others', () => {
 	const subject = new LeaderSubject()
 	for (const id of WORKERS) subject.heartbeat(id)
 	subject.run(1000, ...WORKERS)
@@ -58,7 +59,7 @@
 	for (const id of WORKERS.slice(WORKERS.length / 2)) endAll(subject, id)
 	subject.submit('00000000000000a2', jobOf({ count: 60 }))
 	subject.run(2000, ...WORKERS.slice(WORKERS.length / 2))
-	assert.equal(begun(subject, 'a2'), 60)
+	assert.equal(startedOf(subject, 'a2'), 60)
 })
 
 function endAll(subject: LeaderSubject, id: string): void {
@@ -66,11 +67,11 @@
 	for (const { task } of worker.running) worker.end(task, RunEnd.Done)
 }
 
-function begun({ state }: LeaderSubject, id: string): number {
+function startedOf({ state }: LeaderSubject, id: string): number {
 	const { tasks } = state.jobs.find(id.padStart(16, '0'))!.repeats[0][0]
 	return tasks.filter(({ attempt }) => attempt > 0).length
 }
 
-function begunIn(subject: LeaderSubject): number {
-	return [...subject.state.jobs.all()].reduce((sum, { id }) => sum + begun(subject, id), 0)
+function startedInAll(subject: LeaderSubject): number {
+	return [...subject.state.jobs.all()].reduce((sum, { id }) => sum + startedOf(subject, id), 0)
 }
--- a/packages/jobs/src/lib/leader/otherWriters.test.ts
+++ b/packages/jobs/src/lib/leader/otherWriters.test.ts
@@ -1,6 +1,7 @@
 /**
- * Entries of other writers that can be read and name no worker to use: of a service that no queue knows, at an address where nobody is. They are
- * taken in, since a service may come with the next configuration, and nothing else may come of them.
+ * Heartbeats that other programs write and that name no usable worker: for a service of no queue, at an address where
+ * nothing answers. They are accepted, because the next configuration may define the service, and must have no other
+ * effect.
  */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
@@ -9,7 +10,7 @@
 
 const JOB = '00000000000000aa'
 
-test('an entry of an unknown service at an address where nobody is keeps no work from its neighbours', () => {
+test('an entry of an unknown service at an address that does not answer withholds no work from other workers', () => {
 	for (const born of [undefined, 7]) {
 		const subject = new LeaderSubject()
 		const stranger = subject.worker('stranger')
--- a/packages/jobs/src/lib/leader/quota.test.ts
+++ b/packages/jobs/src/lib/leader/quota.test.ts
@@ -1,4 +1,4 @@
-/** No account has more running than its quota, whatever happens to its runs and to their leader. */
+/** No account exceeds its quota, whatever happens to its runs and to the leader. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import { RunEnd } from '../records/Job'
@@ -9,10 +9,10 @@
 const ID = '00000000000000aa'
 const OTHER = '00000000000000bb'
 const LEASE_OVER = DEFAULT_LEADER_TIMING.lease * 1.03 + 1000
-/** Room for two tasks of one processor. */
+/** A quota of two tasks of one processor. */
 const TWO = { cpu: 2000 }
 
-/** Two workers of four processors, and an account that may have two of them. */
+/** Two workers of four processors, and an account with a quota of two processors. */
 function subjectWithQuota(quota = TWO): LeaderSubject {
 	const subject = new LeaderSubject()
 	subject.accounts = [accountNamed('town', { quota }), accountNamed('city')]
@@ -26,7 +26,7 @@
 	return ['w1', 'w2'].reduce((sum, id) => sum + subject.worker(id).running.length, 0)
 }
 
-test('an account begins no more than its quota, and another one is not held up by that', () => {
+test('an account starts no more than its quota, which does not delay another account', () => {
 	const subject = subjectWithQuota()
 	subject.submit(ID, jobOf({ count: 5 }), QUEUE.name, 'TOWN')
 	subject.submit(OTHER, jobOf({ count: 3 }), QUEUE.name, 'CITY')
@@ -34,7 +34,7 @@
 	assert.equal(runningOf(subject), 5)
 })
 
-test('what has ended makes room in the quota', () => {
+test('a run that has ended frees its part of the quota', () => {
 	const subject = subjectWithQuota()
 	subject.submit(ID, jobOf({ count: 3 }), QUEUE.name, 'TOWN')
 	subject.run(300, 'w1', 'w2')
@@ -47,7 +47,7 @@
 	assert.equal(runningOf(subject), 2)
 })
 
-test('a new leader counts what runs before it orders anything', () => {
+test('a new leader counts the runs of the account before it orders any start', () => {
 	const subject = subjectWithQuota()
 	subject.submit(ID, jobOf({ count: 5 }), QUEUE.name, 'TOWN')
 	subject.run(300, 'w1', 'w2')
@@ -56,7 +56,7 @@
 	assert.equal(subject.startCount, 2)
 })
 
-test('runs on a silent worker count until its lease is certainly over', () => {
+test('runs on an unreachable worker count until its lease has certainly expired', () => {
 	const subject = subjectWithQuota()
 	subject.submit(ID, jobOf({ count: 3, mostPerWorker: 1 }), QUEUE.name, 'TOWN')
 	subject.run(300, 'w1', 'w2')
@@ -68,7 +68,7 @@
 	assert.equal(subject.worker('w3').starts.length, 1)
 })
 
-test('a copy that was given up counts while it may still run', () => {
+test('an abandoned copy counts while it may still run', () => {
 	const subject = subjectWithQuota({ cpu: 1000 })
 	subject.submit(ID, jobOf({ copies: true }), QUEUE.name, 'TOWN')
 	subject.run(300, 'w1', 'w2')
@@ -80,7 +80,7 @@
 	assert.equal(subject.worker(sound).starts.length, 1)
 })
 
-test('a quota cut below what runs stops nothing and begins nothing', () => {
+test('a quota reduced below the current use stops no runs and starts none', () => {
 	const subject = subjectWithQuota({ cpu: 4000 })
 	subject.submit(ID, jobOf({ count: 6 }), QUEUE.name, 'TOWN')
 	subject.run(300, 'w1', 'w2')
@@ -101,7 +101,7 @@
 	assert.equal(runningOf(subject), 2)
 })
 
-test('a gang begins only when its quota has room for all of it', () => {
+test('a gang starts only when the quota allows all of its members', () => {
 	const subject = subjectWithQuota({ cpu: 3000 })
 	subject.submit(ID, jobOf({}), QUEUE.name, 'TOWN')
 	subject.submit(OTHER, jobOf({ count: 3, gang: true }), QUEUE.name, 'TOWN')
@@ -112,14 +112,14 @@
 	assert.equal(runningOf(subject), 3)
 })
 
-test('a task that is larger than the whole quota runs by itself', () => {
+test('a task that is larger than the whole quota runs alone', () => {
 	const subject = subjectWithQuota({ cpu: 500 })
 	subject.submit(ID, jobOf({ count: 2 }), QUEUE.name, 'TOWN')
 	subject.run(1000, 'w1', 'w2')
 	assert.equal(runningOf(subject), 1)
 })
 
-test('work that waits for the quota says so', () => {
+test('work that waits for the quota reports that reason', () => {
 	const subject = subjectWithQuota()
 	subject.submit(ID, jobOf({ count: 3 }), QUEUE.name, 'TOWN')
 	subject.run(500, 'w1', 'w2')
@@ -132,7 +132,7 @@
 	assert.deepEqual([town?.used.cpu, town?.jobs, town?.waiting], [2000, 1, 1])
 })
 
-test('a copy that an earlier leader gave up counts while it may still run', () => {
+test('a copy that an earlier leader abandoned counts while it may still run', () => {
 	const subject = subjectWithQuota({ cpu: 1000 })
 	subject.submit(ID, jobOf({ copies: true }), QUEUE.name, 'TOWN')
 	subject.run(300, 'w1', 'w2')
--- a/packages/jobs/src/lib/leader/restartedWorker.test.ts
+++ b/packages/jobs/src/lib/leader/restartedWorker.test.ts
@@ -1,13 +1,11 @@
 /**
- * Workers that crash and start again under the id that they had. A cell whose workers did so, a third of them every twelve
- * seconds, ran tasks again that had ended as done, and never began others for which there was room.
+ * Workers that crash and start again under the same id. Guards against tasks that run again although they ended as done,
+ * and others that never start although there is capacity.
  *
- * A worker numbers the ends of its runs from 1 in each life, and the leader kept the highest number that it had taken by the
- * worker's id. So the first ends of the new life counted as taken: they were never committed, and once they were noted
- * their runs were in no list any more, were given up as lost and began again; until then the leader waited for them. The log proved
- * it: no end of such a worker for seven seconds, then three runs lost at once, one of which had ended as done and been
- * noted; and at the end 252 runs that the leader believed in, in an idle cell. Its heartbeats, numbered from 1 too, counted as late
- * ones, so it got nothing for as long as its earlier life had lived.
+ * A worker numbers the ends of its runs and its heartbeats from 1 in each incarnation. A leader that keeps the highest
+ * number by the worker's id, across incarnations, takes the first ends of the new one for known: it never commits them,
+ * waits for their runs, and after the worker has forgotten the ends it abandons the runs as lost and starts them again.
+ * The heartbeats count as late too, so the worker gets no work for as long as its earlier incarnation lasted.
  */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
@@ -18,7 +16,7 @@
 const AFTER = '00000000000000bb'
 const WORKER = 'w1'
 
-/** A cell of one worker that has ended four runs and then started again. */
+/** @returns a cell with one worker that has ended four runs and then restarted. */
 function restartedCell(): LeaderSubject {
 	const subject = new LeaderSubject()
 	subject.heartbeat(WORKER)
@@ -34,13 +32,13 @@
 	return subject
 }
 
-/** All that the worker runs ends as done. */
+/** Ends all runs of the worker as done. */
 function endAll(subject: LeaderSubject): void {
 	const worker = subject.worker(WORKER)
 	for (const { task } of [...worker.running]) worker.end(task, 'done')
 }
 
-test('a task that is done on a worker which has started again does not begin again', () => {
+test('a task that is done on a restarted worker does not run again', () => {
 	const subject = restartedCell()
 	subject.submit(AFTER, jobOf({ count: 2 }))
 	subject.run(10_000, WORKER)
@@ -52,7 +50,7 @@
 	assert.equal(subject.state.jobs.find(AFTER)?.state, 'completed')
 })
 
-test('a step begins after one that was done on a worker which has started again', () => {
+test('a step starts after one that was done on a restarted worker', () => {
 	const subject = restartedCell()
 	subject.worker(WORKER).keepsUnacknowledgedEnds = true
 	subject.submit(AFTER, jobOf({ count: 2 }, { dependsOn: [0] }))
--- a/packages/jobs/src/lib/leader/shrunkenRoom.test.ts
+++ b/packages/jobs/src/lib/leader/shrunkenCapacity.test.ts
@@ -1,6 +1,6 @@
 /**
- * What a worker says of its room may fall and rise while it runs. Nothing is started into room that is gone, and what runs there
- * goes on.
+ * The capacity that a worker reports may shrink and grow while it runs. Nothing is started beyond the reduced capacity,
+ * and running tasks continue.
  */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
@@ -17,7 +17,7 @@
 	return subject.worker(worker).starts.filter(({ task }) => task.startsWith(job)).length
 }
 
-test('a worker whose room has shrunk below what it runs gets nothing and loses nothing', () => {
+test('a worker whose capacity has shrunk below its use gets no work and keeps its runs', () => {
 	const subject = new LeaderSubject()
 	subject.heartbeat('w1')
 	subject.submit(FIRST, jobOf({ count: 3 }))
@@ -33,7 +33,7 @@
 	assert.equal(startsOf(subject, 'w1', SECOND), 1)
 })
 
-test('an instance that takes over leadership takes up a worker that runs more than it has room for', () => {
+test('a new leader adopts the runs of a worker that runs more than its capacity', () => {
 	const subject = new LeaderSubject()
 	subject.heartbeat('w1')
 	subject.submit(FIRST, jobOf({ count: 4 }))
@@ -48,7 +48,7 @@
 	assert.equal(startsOf(subject, 'w1', SECOND), 0)
 })
 
-test('a start that got no answer is not sent again into room that is gone', () => {
+test('a start without an answer is not sent again to a worker whose capacity is gone', () => {
 	const subject = new LeaderSubject()
 	subject.heartbeat('w1')
 	subject.worker('w1').startResults = [{ kind: 'not-carried' }]
@@ -65,11 +65,11 @@
 	assert.equal(subject.worker('w2').running.length, 1)
 })
 
-test('a gang of which one member has lost its room is not begun in part', () => {
+test('a gang is not started in part when the worker of one member has lost its capacity', () => {
 	const subject = new LeaderSubject()
 	for (const id of ['w1', 'w2']) {
 		subject.heartbeat(id)
-		// Members get on only once all of them are there.
+		// Members make progress only after all of them are present.
 		subject.worker(id).progressPerPoll = 0
 	}
 	subject.worker('w2').silent = true
@@ -89,7 +89,7 @@
 	)
 })
 
-test('a heartbeat that comes late does not bring back room that is gone, also under another leader', () => {
+test('a late heartbeat does not restore capacity that is gone, also under another leader', () => {
 	for (const change of [() => undefined, (subject: LeaderSubject) => subject.lead()]) {
 		const subject = new LeaderSubject()
 		subject.heartbeat('w1')
@@ -103,7 +103,7 @@
 	}
 })
 
-test('a large task keeps room on a worker that has none for now', () => {
+test('a large task keeps its claim on a worker whose capacity is too small for now', () => {
 	const subject = new LeaderSubject()
 	subject.heartbeat('w1')
 	subject.heartbeat('w1', { capacity: HALF })
@@ -115,7 +115,7 @@
 	assert.equal(startsOf(subject, 'w1', FIRST), 1)
 })
 
-test('a worker of which only a heartbeat that was held back has come gets nothing new', () => {
+test('a worker whose only recent heartbeat was delayed in transit gets no new work', () => {
 	const subject = new LeaderSubject()
 	subject.heartbeat('w1')
 	subject.submit(SECOND, jobOf({}))
@@ -131,7 +131,7 @@
 	assert.equal(startsOf(subject, 'w1', FIRST), 1)
 })
 
-test('the next leader knows whose heartbeats stay away, and gives those workers nothing before it has heard them', () => {
+test('the next leader knows which workers lack heartbeats, and gives them no work before their next heartbeat', () => {
 	const subject = new LeaderSubject()
 	subject.heartbeat('w1')
 	subject.run(3000)
--- a/packages/jobs/src/lib/testing/LeaderSubject.ts
+++ b/packages/jobs/src/lib/testing/LeaderSubject.ts
@@ -278,8 +278,8 @@
 	}
 
 	/** @returns the time on a worker's own clock, in milliseconds. */
-	clockOf({ clockOffset: clockAhead }: FakeWorker): number {
-		return this.workerClock + clockAhead
+	clockOf({ clockOffset }: FakeWorker): number {
+		return this.workerClock + clockOffset
 	}
 
 	/** Crashes a worker, restarts it at once under its id, and delivers its first heartbeat. */
