--- a/packages/jobs/src/lib/leader/JobController.test.ts
+++ b/packages/jobs/src/lib/leader/JobController.test.ts
@@ -224,11 +224,11 @@
 	const ids = Array.from({ length: 200 }, (_, number) => `w${number}`)
 	for (const id of ids) subject.heartbeat(id)
 	subject.lead()
-	const asked = (): number => ids.filter((id) => subject.worker(id).polls.length > 0).length
+	const polled = (): number => ids.filter((id) => subject.worker(id).polls.length > 0).length
 	subject.run(20)
-	assert.ok(asked() > 0 && asked() <= 20, `${asked()} at once`)
+	assert.ok(polled() > 0 && polled() <= 20, `${polled()} at once`)
 	subject.run(400)
-	assert.equal(asked(), ids.length)
+	assert.equal(polled(), ids.length)
 })
 
 test('workers whose state is known are all polled in the same tick', () => {
@@ -299,7 +299,7 @@
 	subject.worker('w1').running = [...running]
 	subject.run(20, 'w1', 'w2')
 	const cpu = subject.worker('w1').running.length * large.cpu
-	assert.ok(cpu <= 4000, `${cpu} of 4000 taken`)
+	assert.ok(cpu <= 4000, `${cpu} of 4000 used`)
 	subject.run(3000, 'w1', 'w2')
 	assert.ok(subject.worker('w1').stops.some((order) => order.task.startsWith(ID)))
 	assert.ok(subject.worker('w1').starts.length > before)
--- a/packages/jobs/src/lib/leader/JobController.ts
+++ b/packages/jobs/src/lib/leader/JobController.ts
@@ -256,8 +256,10 @@
 	private listAccounts(): AccountSummary[] {
 		const { state, ledger } = this.context
 		const work = { jobs: state.jobs.all(), waiting: this.steps.waitingByAccount() }
-		const refused = (name: string): number => this.clients.refusalCountOf(name)
-		return listAccounts(this.accounts, work, refused, ledger.total, [...this.shares.rooms.all()])
+		const refusalCountOf = (name: string): number => this.clients.refusalCountOf(name)
+		return listAccounts(this.accounts, work, refusalCountOf, ledger.total, [
+			...this.shares.rooms.all(),
+		])
 	}
 
 	private configure(configuration: CellConfiguration, reply: Reply): void {
--- a/packages/jobs/src/lib/testing/LeaderSubject.ts
+++ b/packages/jobs/src/lib/testing/LeaderSubject.ts
@@ -90,10 +90,10 @@
 
 	/** Advances the progress of its runs. */
 	work(): void {
-		const { progressPerPoll: pace } = this
+		const { progressPerPoll } = this
 		this.running = this.running.map((run) => ({
 			...run,
-			percent: Math.min(99, run.percent + pace),
+			percent: Math.min(99, run.percent + progressPerPoll),
 		}))
 	}
 
@@ -198,8 +198,8 @@
 		this.subject.questions.push({ via, question })
 		const good = question.workers.filter((id) => this.subject.isAllowed(id))
 		const tickets = new Map(good.map((id) => [id, `ticket-${id}`]))
-		const takes = this.subject.adviceDelay(question)
-		this.subject.clock.after(takes, () => done({ kind: 'answered', tickets }))
+		const delay = this.subject.adviceDelay(question)
+		this.subject.clock.after(delay, () => done({ kind: 'answered', tickets }))
 	}
 }
 
@@ -345,8 +345,8 @@
 		const known = this.state.workers.named(id)?.worker
 		const fake = this.worker(id)
 		const { born } = fake
-		const life = { id: formatIncarnation({ name: id, born }), born }
-		const worker = { ...(known ?? workerNamed(id)), ...life, ...changes }
+		const incarnation = { id: formatIncarnation({ name: id, born }), born }
+		const worker = { ...(known ?? workerNamed(id)), ...incarnation, ...changes }
 		const sequence = ++fake.sequence
 		return { worker, sequence, draining, remaining, clock: this.clockOf(fake) }
 	}
