--- a/packages/jobs/src/lib/accounts/ClientAccount.ts
+++ b/packages/jobs/src/lib/accounts/ClientAccount.ts
@@ -56,9 +56,8 @@
 		}
 		for (const digest of account.keyDigests) {
 			const holder = holders.get(digest)
-			if (digest === EMPTY_KEY) report(`${path}.keys`, 'contains an empty key')
-			if (holder !== undefined && holder !== name)
-				report(`${path}.keys`, `contains a key of ${holder}`)
+			if (digest === EMPTY_KEY) report(`${path}.keys`, 'hold an empty key')
+			if (holder !== undefined && holder !== name) report(`${path}.keys`, `hold one of ${holder}`)
 			holders.set(digest, name)
 		}
 	})
