--- a/packages/jobs/src/lib/gangs/gangs.test.ts
+++ b/packages/jobs/src/lib/gangs/gangs.test.ts
@@ -115,9 +115,9 @@
 	subject.submit(OTHER, jobOf({ lasting: true }))
 	subject.run(1500, ...WORKERS)
 	const [flaps] = WORKERS.filter((id) => runningOf(subject, [id], OTHER) > 0)
-	subject.worker(flaps).silent = true
+	subject.worker(flaps).isUnresponsive = true
 	subject.run(1500, ...WORKERS)
-	subject.worker(flaps).silent = false
+	subject.worker(flaps).isUnresponsive = false
 	subject.run(3000, ...WORKERS)
 	subject.submit(GANG, jobOf(gangOf(16)))
 	subject.run(3000, ...WORKERS)
--- a/packages/jobs/src/lib/leader/JobController.test.ts
+++ b/packages/jobs/src/lib/leader/JobController.test.ts
@@ -43,10 +43,10 @@
 test('an order without an answer is sent again under the same attempt', () => {
 	const subject = new LeaderSubject()
 	subject.heartbeat('w1')
-	subject.worker('w1').silent = true
+	subject.worker('w1').isUnresponsive = true
 	subject.submit(ID, jobOf({}))
 	subject.run(500, 'w1')
-	subject.worker('w1').silent = false
+	subject.worker('w1').isUnresponsive = false
 	subject.run(1000, 'w1')
 	const { starts } = subject.worker('w1')
 	assert.ok(starts.length >= 2)
@@ -114,7 +114,7 @@
 	subject.submit(ID, jobOf({}))
 	subject.run(100, 'w1')
 	subject.heartbeat('w2')
-	subject.worker('w1').silent = true
+	subject.worker('w1').isUnresponsive = true
 	subject.run(DEFAULT_LEADER_TIMING.lease - 200, 'w1', 'w2')
 	assert.equal(subject.worker('w2').starts.length, 0)
 	subject.run(LEASE_OVER, 'w1', 'w2')
@@ -126,7 +126,7 @@
 	subject.heartbeat('w1')
 	subject.submit(ID, jobOf({}))
 	subject.run(100, 'w1')
-	subject.worker('w1').silent = true
+	subject.worker('w1').isUnresponsive = true
 	subject.run(LEASE_OVER * 2, 'w1')
 	assert.equal(subject.worker('w1').polls.at(-1)?.leaseUntil, undefined)
 	const polls = subject.worker('w1').polls.length
@@ -165,7 +165,7 @@
 	subject.heartbeat('w1', { address: 'h:1' })
 	subject.submit(ID, jobOf({}))
 	subject.run(100, 'w1')
-	subject.worker('w1').silent = true
+	subject.worker('w1').isUnresponsive = true
 	subject.heartbeat('w2', { address: 'h:1' })
 	subject.run(1000)
 	assert.notEqual(subject.state.workers.find('w1'), undefined)
@@ -182,14 +182,14 @@
 	subject.run(100, 'w1', 'w2', 'w3', 'far')
 	const [busy] = ['w1', 'w2', 'w3'].filter((id) => subject.worker(id).starts.length > 0)
 	const idle = ['w1', 'w2', 'w3'].filter((id) => id !== busy)
-	for (const id of [busy, ...idle]) subject.worker(id).silent = true
+	for (const id of [busy, ...idle]) subject.worker(id).isUnresponsive = true
 	// Only the busy worker is polled, so there is no other news of the idle ones.
 	subject.run(1000)
 	subject.submit(OTHER, jobOf({ count: 4 }))
 	subject.run(100)
 	for (const id of idle) assert.equal(subject.worker(id).starts.length, 0)
 	assert.equal(stateOf(subject, OTHER), 'running')
-	for (const id of idle) subject.worker(id).silent = false
+	for (const id of idle) subject.worker(id).isUnresponsive = false
 	subject.run(1000, ...idle, 'far')
 	subject.submit(THIRD, jobOf({ count: 4 }))
 	subject.run(100, ...idle, 'far')
@@ -201,7 +201,7 @@
 	subject.heartbeat('w1')
 	subject.submit(ID, jobOf({ copies: true }))
 	subject.run(100, 'w1')
-	subject.worker('w1').silent = true
+	subject.worker('w1').isUnresponsive = true
 	subject.heartbeat('w2')
 	subject.run(2000, 'w2')
 	assert.equal(subject.worker('w2').starts.length, 1)
@@ -264,11 +264,11 @@
 	subject.run(100, 'w1')
 	const worker = subject.worker('w1')
 	worker.running = []
-	worker.silent = true
+	worker.isUnresponsive = true
 	subject.lead()
 	subject.run(600, 'w1')
 	assert.equal(worker.starts.length, 1)
-	worker.silent = false
+	worker.isUnresponsive = false
 	subject.run(600, 'w1')
 	// It never started, and its ticket was lost with the earlier leader, so it is placed again.
 	assert.deepEqual(
@@ -287,12 +287,12 @@
 	subject.submit(ID, jobOf({ copies: true, need: large }))
 	subject.run(100, 'w1')
 	const { running } = subject.worker('w1')
-	subject.worker('w1').silent = true
+	subject.worker('w1').isUnresponsive = true
 	subject.heartbeat('w2')
 	subject.run(1800, 'w2')
 	// It answers again and carries out the order late: the run is not listed at first, then it is.
 	subject.worker('w1').running = []
-	subject.worker('w1').silent = false
+	subject.worker('w1').isUnresponsive = false
 	const before = subject.worker('w1').starts.length
 	subject.submit(OTHER, jobOf({ count: 4, need: large }))
 	subject.run(20, 'w1', 'w2')
--- a/packages/jobs/src/lib/leader/behindWithStarts.test.ts
+++ b/packages/jobs/src/lib/leader/behindWithStarts.test.ts
@@ -53,7 +53,7 @@
 	for (const id of WORKERS) subject.heartbeat(id)
 	subject.run(1000, ...WORKERS)
 	const cut = WORKERS.slice(0, WORKERS.length / 2)
-	for (const id of cut) subject.worker(id).silent = true
+	for (const id of cut) subject.worker(id).isUnresponsive = true
 	subject.submit('00000000000000a1', jobOf({ count: WORKERS.length * TASKS_EACH }))
 	subject.run(1500, ...WORKERS.slice(WORKERS.length / 2))
 	for (const id of WORKERS.slice(WORKERS.length / 2)) endAll(subject, id)
--- a/packages/jobs/src/lib/leader/callers/PendingCounts.test.ts
+++ b/packages/jobs/src/lib/leader/callers/PendingCounts.test.ts
@@ -26,7 +26,7 @@
 	const subject = new LeaderSubject()
 	subject.heartbeat('w1')
 	subject.run(500, 'w1')
-	subject.worker('w1').silent = true
+	subject.worker('w1').isUnresponsive = true
 	subject.submit(ID, jobOf({}))
 	subject.run(300)
 	assert.equal(pendingOf(subject), 1)
--- a/packages/jobs/src/lib/leader/crashingTask.test.ts
+++ b/packages/jobs/src/lib/leader/crashingTask.test.ts
@@ -49,10 +49,10 @@
 		const worker = subject.worker(id)
 		this.crashed += 1
 		this.alive.delete(id)
-		worker.silent = true
+		worker.isUnresponsive = true
 		worker.running = []
 		subject.clock.after(RESTART_DELAY_MS, () => {
-			worker.silent = false
+			worker.isUnresponsive = false
 			worker.replaced = true
 			worker.startResult = { kind: 'other-incarnation' }
 			this.startWorker(address)
@@ -108,13 +108,13 @@
 	subject.submit(POISON, jobOf({ copies: true }))
 	worker.answerDelay = 1500
 	subject.run(1100, 'w1')
-	worker.silent = true
+	worker.isUnresponsive = true
 	subject.submit(INNOCENT, jobOf({}))
 	subject.run(800)
 	const { task } = subject.state.jobs.locate(`${POISON}.0.0.0`)!
 	assert.equal(task.silent?.length, 1, 'its run was abandoned')
 	subject.run(1200)
-	worker.silent = false
+	worker.isUnresponsive = false
 	worker.replaced = true
 	subject.run(1000)
 	assert.deepEqual(
--- a/packages/jobs/src/lib/leader/otherWriters.test.ts
+++ b/packages/jobs/src/lib/leader/otherWriters.test.ts
@@ -14,7 +14,7 @@
 	for (const born of [undefined, 7]) {
 		const subject = new LeaderSubject()
 		const stranger = subject.worker('stranger')
-		stranger.silent = true
+		stranger.isUnresponsive = true
 		stranger.born = born
 		subject.run(2000, 'w1', 'w2')
 		subject.heartbeat('stranger', { service: 'unheard-of' })
--- a/packages/jobs/src/lib/leader/quota.test.ts
+++ b/packages/jobs/src/lib/leader/quota.test.ts
@@ -60,7 +60,7 @@
 	const subject = subjectWithQuota()
 	subject.submit(ID, jobOf({ count: 3, mostPerWorker: 1 }), QUEUE.name, 'TOWN')
 	subject.run(300, 'w1', 'w2')
-	subject.worker('w1').silent = true
+	subject.worker('w1').isUnresponsive = true
 	subject.heartbeat('w3')
 	subject.run(2500, 'w2', 'w3')
 	assert.equal(subject.worker('w3').starts.length, 0)
@@ -73,7 +73,7 @@
 	subject.submit(ID, jobOf({ copies: true }), QUEUE.name, 'TOWN')
 	subject.run(300, 'w1', 'w2')
 	const [silent, sound] = subject.worker('w1').running.length > 0 ? ['w1', 'w2'] : ['w2', 'w1']
-	subject.worker(silent).silent = true
+	subject.worker(silent).isUnresponsive = true
 	subject.run(2500, sound)
 	assert.equal(subject.worker(sound).starts.length, 0)
 	subject.run(LEASE_OVER, sound)
@@ -137,7 +137,7 @@
 	subject.submit(ID, jobOf({ copies: true }), QUEUE.name, 'TOWN')
 	subject.run(300, 'w1', 'w2')
 	const [silent, sound] = subject.worker('w1').running.length > 0 ? ['w1', 'w2'] : ['w2', 'w1']
-	subject.worker(silent).silent = true
+	subject.worker(silent).isUnresponsive = true
 	subject.run(2000, sound)
 	subject.lead()
 	subject.run(1500, sound)
--- a/packages/jobs/src/lib/leader/runs/WastedWork.test.ts
+++ b/packages/jobs/src/lib/leader/runs/WastedWork.test.ts
@@ -82,7 +82,7 @@
 
 test('a run whose worker falls silent for good is lost', () => {
 	const subject = atWork()
-	subject.worker('w1').silent = true
+	subject.worker('w1').isUnresponsive = true
 	subject.run(12_000)
 	const [{ cause, wasted }] = endsOf(subject)
 	assert.equal(cause, 'lost')
--- a/packages/jobs/src/lib/leader/runs/gangAttempt.test.ts
+++ b/packages/jobs/src/lib/leader/runs/gangAttempt.test.ts
@@ -110,7 +110,7 @@
 
 test('a member whose worker says nothing holds the others up no longer than they may wait', () => {
 	const subject = threeWorkers()
-	subject.worker('w2').silent = true
+	subject.worker('w2').isUnresponsive = true
 	subject.submit(ID, jobOf(GANG))
 	subject.run(DEFAULT_LEADER_TIMING.gangWait, ...WORKERS)
 	assert.deepEqual(stopped(subject), OTHERS)
@@ -159,11 +159,11 @@
 
 test('the end of a member that was there stops the one whose start is under way', () => {
 	const subject = threeWorkers()
-	subject.worker('w2').silent = true
+	subject.worker('w2').isUnresponsive = true
 	subject.submit(ID, jobOf(GANG))
 	subject.run(100, ...WORKERS)
 	subject.worker('w1').end(`${ID}.0.0.0`, 'failed')
-	subject.worker('w2').silent = false
+	subject.worker('w2').isUnresponsive = false
 	subject.run(1500, ...WORKERS)
 	assert.ok(stopped(subject).includes('w2'))
 })
--- a/packages/jobs/src/lib/leader/shrunkenCapacity.test.ts
+++ b/packages/jobs/src/lib/leader/shrunkenCapacity.test.ts
@@ -53,10 +53,10 @@
 	subject.heartbeat('w1')
 	subject.worker('w1').startResults = [{ kind: 'not-carried' }]
 	subject.worker('w1').notCarried = 1
-	subject.worker('w1').silent = true
+	subject.worker('w1').isUnresponsive = true
 	subject.submit(FIRST, jobOf({}))
 	subject.run(100, 'w1')
-	subject.worker('w1').silent = false
+	subject.worker('w1').isUnresponsive = false
 	subject.heartbeat('w1', { capacity: NOTHING_LEFT })
 	const before = startsOf(subject, 'w1', FIRST)
 	subject.heartbeat('w2')
@@ -72,10 +72,10 @@
 		// Members make progress only after all of them are present.
 		subject.worker(id).progressPerPoll = 0
 	}
-	subject.worker('w2').silent = true
+	subject.worker('w2').isUnresponsive = true
 	subject.submit(FIRST, jobOf({ count: 6, gang: true }))
 	subject.run(100, 'w1', 'w2')
-	subject.worker('w2').silent = false
+	subject.worker('w2').isUnresponsive = false
 	subject.heartbeat('w2', { capacity: NOTHING_LEFT })
 	subject.run(3000, 'w1', 'w2')
 	assert.equal(subject.worker('w1').running.length, 0)
--- a/packages/jobs/src/lib/leader/workers/LifeChanges.test.ts
+++ b/packages/jobs/src/lib/leader/workers/LifeChanges.test.ts
@@ -80,10 +80,10 @@
 	worker.end(TASK, 'done')
 	subject.run(2000, WORKER, OTHER)
 	assert.ok(worker.polls.some(({ endsSeen }) => endsSeen === 1))
-	worker.silent = true
+	worker.isUnresponsive = true
 	subject.run(1000, WORKER, OTHER)
 	const before = worker.polls.length
-	worker.silent = false
+	worker.isUnresponsive = false
 	subject.run(300, WORKER, OTHER)
 	assert.equal(worker.polls[before].endsSeen, 0)
 })
@@ -145,7 +145,7 @@
 	subject.run(16_000, WORKER, OTHER)
 	worker.restart(FIRST + 5000)
 	subject.run(20)
-	worker.silent = true
+	worker.isUnresponsive = true
 	subject.run(3000, OTHER)
 	assert.equal(other.running.length, 0)
 	subject.run(4000, OTHER)
@@ -158,7 +158,7 @@
 	subject.restart(WORKER)
 	subject.run(2000, WORKER)
 	assert.equal(worker.running.length, 1)
-	worker.silent = true
+	worker.isUnresponsive = true
 	subject.run(7000, OTHER)
 	assert.equal(other.running.length, 0)
 	subject.run(3000, OTHER)
--- a/packages/jobs/src/lib/testing/LeaderSubject.ts
+++ b/packages/jobs/src/lib/testing/LeaderSubject.ts
@@ -43,7 +43,7 @@
 	running: ListedRun[] = []
 	ended: ListedEnd[] = []
 	/** Makes the worker unresponsive: orders get no answer and are not carried out. */
-	silent = false
+	isUnresponsive = false
 	/** Set when another incarnation runs at its address. */
 	replaced = false
 	/** Number of following polls that get no answer. */
@@ -118,7 +118,7 @@
 	): void {
 		const fake = this.subject.worker(worker.id)
 		fake.starts.push(order)
-		if (fake.silent) return this.lose(done)
+		if (fake.isUnresponsive) return this.lose(done)
 		const next = fake.startResults.shift()
 		// An answer never arrives before all orders of the same batch are sent.
 		if (next) return void this.subject.clock.after(1, () => done(next))
@@ -133,7 +133,7 @@
 	override stop(worker: OrderTarget, order: StopOrder, done: (result: OrderResult) => void): void {
 		const fake = this.subject.worker(worker.id)
 		fake.stops.push(order)
-		if (fake.silent) return this.lose(done)
+		if (fake.isUnresponsive) return this.lose(done)
 		if (fake.running.some((one) => one.task === order.task)) this.end(fake, order.task)
 		done({ kind: 'done', clock: this.subject.clockOf(fake) })
 	}
@@ -148,7 +148,7 @@
 		const fake = this.subject.worker(worker.id)
 		fake.polls.push(order)
 		const isThere = fake.address === undefined || fake.address === worker.address
-		if (fake.silent || !isThere) return this.lose(done)
+		if (fake.isUnresponsive || !isThere) return this.lose(done)
 		if (fake.replaced) return done({ kind: 'other-incarnation' })
 		if (fake.notCarried > 0) {
 			fake.notCarried -= 1
@@ -162,7 +162,7 @@
 		fake.forget(order.endsSeen)
 		const answer = (): void => {
 			// A worker that has crashed since the poll does not answer it.
-			if (fake.silent) return this.lose(done)
+			if (fake.isUnresponsive) return this.lose(done)
 			fake.work()
 			const { running, ended, born } = fake
 			const clock = this.subject.clockOf(fake)
