--- a/packages/jobs/src/index.ts
+++ b/packages/jobs/src/index.ts
@@ -1,4 +1,7 @@
-/** The job scheduler of a cell: the replicated state, and the leader's controller that places tasks on workers. */
+/**
+ * The job scheduler of a cell: the replicated state, and the leader's controller that places tasks
+ * on workers.
+ */
 export {
 	COMMAND_VERSION,
 	decodeCommands,
--- a/packages/jobs/src/lib/accounts/Access.ts
+++ b/packages/jobs/src/lib/accounts/Access.ts
@@ -39,8 +39,8 @@
 }
 
 /**
- * A job belongs to its account until it is forgotten. A job of an open queue belongs to no account and is accessible to
- * all callers of its queue.
+ * A job belongs to its account until it is forgotten. A job of an open queue belongs to no account
+ * and is accessible to all callers of its queue.
  *
  * @returns whether a caller that addresses a queue may see and cancel a job.
  * @internal
--- a/packages/jobs/src/lib/accounts/AccountUsage.ts
+++ b/packages/jobs/src/lib/accounts/AccountUsage.ts
@@ -14,8 +14,9 @@
 import type { ClientAccount } from './ClientAccount'
 
 /**
- * The accounts of a cell and the resources that they have reserved. A run counts from the decision to start it until its
- * end is committed, so that runs on unreachable workers and runs that are being stopped count too.
+ * The accounts of a cell and the resources that they have reserved. A run counts from the decision
+ * to start it until its end is committed, so that runs on unreachable workers and runs that are
+ * being stopped count too.
  *
  * @internal
  */
@@ -38,7 +39,10 @@
 		return this.accounts.values()
 	}
 
-	/** Applies the accounts of a new configuration. A removed account keeps its terms for its remaining jobs. */
+	/**
+	 * Applies the accounts of a new configuration. A removed account keeps its terms for its
+	 * remaining jobs.
+	 */
 	configure(accounts: readonly ClientAccount[]): void {
 		for (const terms of accounts) {
 			const known = this.accounts.get(terms.name)
@@ -47,7 +51,10 @@
 		}
 	}
 
-	/** @returns whether the quota allows a step to start its next task or gang; one larger than the quota may run alone. */
+	/**
+	 * @returns whether the quota allows a step to start its next task or gang; one larger than the
+	 * quota may run alone.
+	 */
 	canStart(account: QuotaAccount | undefined, step: Step): boolean {
 		if (!account || account.allows(concurrentNeedOf(step))) return true
 		return isIdle(account) && canRunAlone(step, account.terms, this.tolerance)
@@ -64,7 +71,10 @@
 		return isWithin(others, account.terms.quota)
 	}
 
-	/** Counts an abandoned run that may still be running, or a run on a worker where none is expected. */
+	/**
+	 * Counts an abandoned run that may still be running, or a run on a worker where none is
+	 * expected.
+	 */
 	countAbandonedRun(place: TaskPlace | undefined): CountedRun | undefined {
 		const account = place && this.accountOf(place.job)
 		if (!account) return undefined
@@ -83,8 +93,8 @@
 }
 
 /**
- * @returns the resources that a task of a step uses of its account's quota: its whole need, including capacity that others
- * leave unused.
+ * @returns the resources that a task of a step uses of its account's quota: its whole need,
+ * including capacity that others leave unused.
  * @internal
  */
 export function quotaUsageOf(step: Step): Resources {
@@ -102,7 +112,8 @@
  *
  * @param job - the submitted job.
  * @param terms - the terms of its account.
- * @param tolerance - fraction by which a gang that runs alone may exceed the quota, in addition to one task.
+ * @param tolerance - fraction by which a gang that runs alone may exceed the quota, in addition to
+ * one task.
  * @returns why the job could never run; undefined if it can.
  * @internal
  */
--- a/packages/jobs/src/lib/accounts/ClientAccount.ts
+++ b/packages/jobs/src/lib/accounts/ClientAccount.ts
@@ -3,8 +3,8 @@
 import type { QuotaTerms } from '@rillrudder/scheduler'
 
 /**
- * A client account. Its weight determines its share of a full cell. It is also its rate: the number of jobs a second that
- * it may submit before the work of other accounts takes precedence.
+ * A client account. Its weight determines its share of a full cell. It is also its rate: the number
+ * of jobs a second that it may submit before the work of other accounts takes precedence.
  *
  * @public
  */
@@ -15,15 +15,18 @@
 
 /**
  * @param key - a key as a client sends it.
- * @returns its SHA-256 digest in hex, which represents the key everywhere except in the operator's document. Keys are long
- * random texts, so that a digest does not reveal them.
+ * @returns its SHA-256 digest in hex, which represents the key everywhere except in the operator's
+ * document. Keys are long random texts, so that a digest does not reveal them.
  * @public
  */
 export function digestOf(key: string): string {
 	return createHash('sha256').update(key).digest('hex')
 }
 
-/** @returns the terms of an account that are stored with each of its jobs: all but its keys. @internal */
+/**
+ * @returns the terms of an account that are stored with each of its jobs: all but its keys.
+ * @internal
+ */
 export function termsOf({ name, weight, quota }: ClientAccount): QuotaTerms {
 	return { name, weight, quota }
 }
@@ -34,7 +37,8 @@
  * Validates the accounts of a configuration.
  *
  * @param accounts - the accounts of one configuration.
- * @param report - called for each finding with its path and message. No message contains a key or its digest.
+ * @param report - called for each finding with its path and message. No message contains a key or
+ * its digest.
  * @internal
  */
 export function checkAccounts(
--- a/packages/jobs/src/lib/accounts/SubmissionRate.ts
+++ b/packages/jobs/src/lib/accounts/SubmissionRate.ts
@@ -1,9 +1,12 @@
-/** Tracks how fast each client account submits jobs; jobs beyond its rate are ordered after the work of others. */
+/**
+ * Tracks how fast each client account submits jobs; jobs beyond its rate are ordered after the work
+ * of others.
+ */
 import type { JobRecord } from '../state/JobRecord'
 
 /**
- * The recent submissions of each account. A new leader starts without any, which favours all accounts alike, unless it
- * restores them.
+ * The recent submissions of each account. A new leader starts without any, which favours all
+ * accounts alike, unless it restores them.
  *
  * @internal
  */
@@ -11,12 +14,15 @@
 	/** Times of the recent submissions within the rate, by account. */
 	private readonly recentByAccount = new Map<string, number[]>()
 
-	/** @param window - milliseconds over which jobs are counted; a short burst within it stays within the rate. */
+	/**
+	 * @param window - milliseconds over which jobs are counted; a short burst within it stays within
+	 * the rate.
+	 */
 	constructor(private readonly window: number) {}
 
 	/**
-	 * Restores the submissions within the rate that an earlier leader accepted, so that a change of leader does not reset
-	 * the rates.
+	 * Restores the submissions within the rate that an earlier leader accepted, so that a change of
+	 * leader does not reset the rates.
 	 */
 	restore(jobs: Iterable<JobRecord>, now: number): void {
 		for (const { account, beyondRate, submitted } of jobs) {
--- a/packages/jobs/src/lib/leader/JobController.test.ts
+++ b/packages/jobs/src/lib/leader/JobController.test.ts
@@ -77,7 +77,8 @@
 	subject.submit(ID, jobOf({}))
 	subject.heartbeat('w2')
 	subject.run(1500, 'w1', 'w2')
-	// The carrying instance may still deliver the order; it is void once the worker has been ordered to stop the run.
+	// The carrying instance may still deliver the order; it is void once the worker has been ordered
+	// to stop the run.
 	assert.equal(subject.worker('w1').stops.length, 1)
 	const starts = ['w1', 'w2'].flatMap((id) => subject.worker(id).starts)
 	assert.equal(starts.filter((order) => order.attempt === 2).length, 1)
--- a/packages/jobs/src/lib/leader/JobController.ts
+++ b/packages/jobs/src/lib/leader/JobController.ts
@@ -64,7 +64,10 @@
 	private forgetDue = 0
 	private isPlacing = false
 
-	/** @param context - the state as of the start of this leadership, and the ports of the controller. */
+	/**
+	 * @param context - the state as of the start of this leadership, and the ports of the
+	 * controller.
+	 */
 	constructor(private readonly context: LeaderContext) {
 		const { state, log, term } = context
 		this.startDelays = new StartDelays(context.clock.now())
@@ -119,7 +122,10 @@
 		this.speeds.measure()
 	}
 
-	/** Handles a call. `reply` is called at once, or after the command that the call requires is committed. */
+	/**
+	 * Handles a call. `reply` is called at once, or after the command that the call requires is
+	 * committed.
+	 */
 	call(call: CellCall, reply: Reply): void {
 		switch (call.kind) {
 			case 'submit':
@@ -217,8 +223,8 @@
 	}
 
 	/**
-	 * Adjusts the limit of concurrent starts. A cell is behind when half of its starts take longer than the shortest
-	 * latency target of its queues, which bounds a whole job.
+	 * Adjusts the limit of concurrent starts. A cell is behind when half of its starts take longer
+	 * than the shortest latency target of its queues, which bounds a whole job.
 	 */
 	private updateStartWindow(now: number): void {
 		const { runs, startWindow: window, context } = this
@@ -317,7 +323,10 @@
 		this.runs.stopJob(job)
 	}
 
-	/** Logs the crash of a worker that ran the task, and the abandoned task once the suspicion is proven. */
+	/**
+	 * Logs the crash of a worker that ran the task, and the abandoned task once the suspicion is
+	 * proven.
+	 */
 	private onCrashCounted({ task: name, worker, crashed }: CrashCounted): void {
 		const { log, meter } = this.context
 		const task = formatTaskName(name)
@@ -346,7 +355,10 @@
 	}
 }
 
-/** @returns the shortest latency target of the queues, in milliseconds; the default where none has one. */
+/**
+ * @returns the shortest latency target of the queues, in milliseconds; the default where none has
+ * one.
+ */
 function shortestTarget(queues: readonly Queue[]): number {
 	const targets = queues.map(({ latencyTarget }) => latencyTarget).filter((target) => target > 0)
 	return targets.length > 0 ? Math.min(...targets) : DEFAULT_LATENCY_TARGET_MS
--- a/packages/jobs/src/lib/leader/LeaderTiming.ts
+++ b/packages/jobs/src/lib/leader/LeaderTiming.ts
@@ -1,10 +1,15 @@
 /** Durations and margins of the controller, in milliseconds unless stated otherwise. */
 
-/** Durations and margins of a cell, in milliseconds unless stated otherwise; the platform's settings set some of them. @public */
+/**
+ * Durations and margins of a cell, in milliseconds unless stated otherwise; the platform's settings
+ * set some of them.
+ *
+ * @public
+ */
 export interface LeaderTiming {
 	/** Duration of a worker's lease from its renewal. */
 	readonly lease: number
-	/** Longest lease that a worker accepts, whatever lease an order carries. */
+	/** Maximum time for which a worker keeps its runs, whatever lease an order grants. */
 	readonly maxLease: number
 	/** Largest relative error by which a worker's clock may run slow; a fraction, not a duration. */
 	readonly clockDrift: number
@@ -21,8 +26,8 @@
 	/** How long the state of an ended job is kept. */
 	readonly endedJobRetention: number
 	/**
-	 * A worker without heartbeat for this long is recorded as such for the next leader. The next leader relies on workers
-	 * that are not recorded for the rest of `heartbeatTimeout`.
+	 * A worker without heartbeat for this long is recorded as such for the next leader. The next
+	 * leader relies on workers that are not recorded for the rest of `heartbeatTimeout`.
 	 */
 	readonly heartbeatOverdue: number
 	/** A worker without heartbeat for this long gets no new work. */
@@ -33,11 +38,13 @@
 	readonly gangWait: number
 	/** How long before its ticket expires a start must be decided. */
 	readonly ticketMargin: number
-	/** How long before a leaving worker ends its runs are moved. */
+	/** How long before its end the runs of a leaving worker are moved. */
 	readonly leaveMargin: number
 	/** Window over which an account's submissions are counted against its rate. */
 	readonly rateWindow: number
-	/** Fraction by which an account's gang that runs by itself may exceed the quota; not a duration. */
+	/**
+	 * Fraction by which an account's gang that runs by itself may exceed the quota; not a duration.
+	 */
 	readonly quotaTolerance: number
 }
 
@@ -57,12 +64,13 @@
 	endedJobRetention: 150_000,
 	// One missed heartbeat, at an interval of 1.5 s, and one that is late.
 	heartbeatOverdue: 2500,
-	// Two missed heartbeats at an interval of 1.5 s. A reduced capacity must take effect within 3 s plus one heartbeat
-	// (4.5 s), which leaves half a second.
+	// Two missed heartbeats at an interval of 1.5 s. A reduced capacity must take effect within 3 s
+	// plus one heartbeat (4.5 s), which leaves half a second.
 	heartbeatTimeout: 4000,
 	idleWorkerRetention: 60_000,
 	gangWait: 3000,
-	// A commit (sync of 9 ms) and the delivery of the order to the worker, with a reserve for a slow disk.
+	// A commit (sync of 9 ms) and the delivery of the order to the worker, with a reserve for a slow
+	// disk.
 	ticketMargin: 300,
 	leaveMargin: 700,
 	rateWindow: 1000,
--- a/packages/jobs/src/lib/leader/behindWithStarts.test.ts
+++ b/packages/jobs/src/lib/leader/behindWithStarts.test.ts
@@ -1,7 +1,7 @@
 /**
- * Limit of concurrent starts. Guards against clients that wait for seconds and get 504 replies when the instances have
- * half the processor time that their load needs: if all starts are ordered at once, orders queue behind each other until
- * they count as lost, and are sent again.
+ * Limit of concurrent starts. Guards against clients that wait for seconds and get 504 replies when
+ * the instances have half the processor time that their load needs: if all starts are ordered at
+ * once, orders queue behind each other until they count as lost, and are sent again.
  */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
@@ -26,7 +26,8 @@
 	return subject
 }
 
-// Guards against starts that are ordered faster than they are confirmed, time out in transit and are ordered again.
+// Guards against starts that are ordered faster than they are confirmed, time out in transit and
+// are ordered again.
 test('a cell that is behind with its starts decides no more starts than it can confirm', () => {
 	const subject = subjectBehind()
 	const before = startedInAll(subject)
@@ -47,7 +48,8 @@
 	assert.equal(startedOf(subject, 'a2'), 100)
 })
 
-// Guards against starts on disconnected workers, which cannot be confirmed, blocking other starts until the leases expire.
+// Guards against starts on disconnected workers, which cannot be confirmed, blocking other starts
+// until the leases expire.
 test('starts on unreachable workers do not delay starts on others', () => {
 	const subject = new LeaderSubject()
 	for (const id of WORKERS) subject.heartbeat(id)
--- a/packages/jobs/src/lib/leader/callers/ClientCalls.ts
+++ b/packages/jobs/src/lib/leader/callers/ClientCalls.ts
@@ -18,7 +18,10 @@
 
 /** Maximum number of jobs that are kept; bounds the leader's memory and its snapshots. */
 const MAX_JOBS = 20_000
-/** Maximum number of tasks of all kept jobs, for the same reason: at about 100 bytes each, a sixth of the heap. */
+/**
+ * Maximum number of tasks of all kept jobs, for the same reason: at about 100 bytes each, a sixth
+ * of the heap.
+ */
 const MAX_TASKS = 300_000
 /** Milliseconds after which a client may retry a refused submission. */
 const RETRY_AFTER_MS = 1000
@@ -40,8 +43,8 @@
 }
 
 /**
- * Handles client calls. The leader checks keys itself, because only the leader is certain to have the newest
- * configuration.
+ * Handles client calls. The leader checks keys itself, because only the leader is certain to have
+ * the newest configuration.
  *
  * @internal
  */
@@ -90,7 +93,10 @@
 		else this.submitWithCallId(call, to, job, reply)
 	}
 
-	/** Submits a job by a call that may be retried: once refused, the call is refused for all its tries. */
+	/**
+	 * Submits a job by a call that may be retried: once refused, the call is refused for all its
+	 * tries.
+	 */
 	private submitWithCallId(call: CallId, to: Destination, job: JobRequest, reply: Reply): void {
 		const { clock } = this.context
 		const refused = this.refusedCalls.find(call, clock.now())
@@ -99,14 +105,17 @@
 			return
 		}
 		this.trySubmit(to, job, (answer) => {
-			if (!isJobRefusal(answer) || this.mayBeAccepted(to)) return reply(answer)
+			if (!isJobRefusal(answer) || this.mayBeSubmitted(to)) return reply(answer)
 			this.refusedCalls.add(call, answer, clock.now())
 			reply({ kind: 'settled', refusal: answer })
 		})
 	}
 
-	/** Whether an earlier try may have submitted the job; its key or queue may have been removed since. */
-	private mayBeAccepted(to: Destination): boolean {
+	/**
+	 * Whether an earlier try may have submitted the job; its key or queue may have been removed
+	 * since.
+	 */
+	private mayBeSubmitted(to: Destination): boolean {
 		const id = idOf(to)
 		return this.submitting.has(id) || this.context.state.jobs.find(id) !== undefined
 	}
--- a/packages/jobs/src/lib/leader/callers/PendingCounts.ts
+++ b/packages/jobs/src/lib/leader/callers/PendingCounts.ts
@@ -4,8 +4,8 @@
 import type { JobRecord } from '../../state/JobRecord'
 
 /**
- * Maximum age of the counts in milliseconds. Clients ask hundreds of times a second and may be given a count that is up
- * to 2 s old.
+ * Maximum age of the counts in milliseconds. Clients ask hundreds of times a second and may be
+ * given a count that is up to 2 s old.
  */
 const MAX_AGE_MS = 250
 
@@ -44,7 +44,10 @@
 		}
 	}
 
-	/** A job is in state running once the start of a task is decided, although no worker may have received it yet. */
+	/**
+	 * A job is in state running once the start of a task is decided, although no worker may have
+	 * received it yet.
+	 */
 	private isPending(job: JobRecord): boolean {
 		if (job.state === JobState.Queued) return true
 		return job.state === JobState.Running && !this.hasStarted(job)
--- a/packages/jobs/src/lib/leader/callers/QueueTable.ts
+++ b/packages/jobs/src/lib/leader/callers/QueueTable.ts
@@ -31,7 +31,10 @@
 		}
 	}
 
-	/** @returns the queue of the given name, or the one with the longest prefix of the path; undefined if there is none. */
+	/**
+	 * @returns the queue of the given name, or the one with the longest prefix of the path;
+	 * undefined if there is none.
+	 */
 	find(to: Destination): ResolvedDestination | undefined {
 		if ('queue' in to) {
 			const queue = this.byName.get(to.queue)
--- a/packages/jobs/src/lib/leader/callers/RefusedCalls.ts
+++ b/packages/jobs/src/lib/leader/callers/RefusedCalls.ts
@@ -1,13 +1,13 @@
 /**
- * Remembers refused submissions, so that no earlier try of the same call is accepted afterwards. A try without an answer
- * may still be in transit to this leader. If it arrives after the call was refused, it gets the same refusal, so that an
- * answer of "not run" stays true.
+ * Remembers refused submissions, so that no earlier try of the same call is accepted afterwards. A
+ * try without an answer may still be in transit to this leader. If it arrives after the call was
+ * refused, it gets the same refusal, so that an answer of "not run" stays true.
  */
 import type { CallId, JobRefusal } from './calls'
 
 /**
- * Milliseconds for which refusals are kept. Links without traffic for a second are closed and lose the messages in
- * transit, so a delayed try arrives well before this or not at all.
+ * Milliseconds for which refusals are kept. Links without traffic for a second are closed and lose
+ * the messages in transit, so a delayed try arrives well before this or not at all.
  */
 const RETENTION_MS = 60_000
 /** Maximum number of refusals that are kept; bounds their memory at about 10 MB. */
--- a/packages/jobs/src/lib/leader/callers/calls.ts
+++ b/packages/jobs/src/lib/leader/callers/calls.ts
@@ -5,7 +5,12 @@
 import type { Suspicion } from '../../state/TaskCrashes'
 import type { AdviceQuestion } from '../ports'
 
-/** The queue or job that a call addresses: by host and path, as client calls do, by queue name, or by job id. @public */
+/**
+ * The queue or job that a call addresses: by host and path, as client calls do, by queue name, or
+ * by job id.
+ *
+ * @public
+ */
 export type Destination =
 	| { readonly host: string; readonly path: string; readonly keyDigest?: string }
 	| { readonly queue: string; readonly id: string; readonly keyDigest?: string }
@@ -14,7 +19,10 @@
 
 /** Usage and limits of an account. @public */
 export interface AccountSummary extends QuotaTerms {
-	/** Its dominant share: the largest share of any resource that it has reserved, divided by its weight. */
+	/**
+	 * Its dominant share: the largest share of any resource that it has reserved, divided by its
+	 * weight.
+	 */
 	readonly share: number
 	readonly used: Resources
 	/** Number of its jobs that have not ended. */
@@ -29,7 +37,11 @@
 	readonly services?: readonly ServiceUse[]
 }
 
-/** An account's use of a service; each share is that of the dominant resource, from 0 to 1. @public */
+/**
+ * An account's use of a service; each share is that of the dominant resource, from 0 to 1.
+ *
+ * @public
+ */
 export interface ServiceUse {
 	readonly service: string
 	/** The share that it is entitled to while others wait. */
@@ -139,7 +151,10 @@
 	| { readonly kind: 'configure'; readonly configuration: CellConfiguration }
 	| { readonly kind: 'read-configuration' }
 	| { readonly kind: 'heartbeat'; readonly heartbeat: Heartbeat }
-	/** Heartbeats that another instance received and that changed nothing but the time of the latest heartbeat. */
+	/**
+	 * Heartbeats that another instance received and that changed nothing but the time of the latest
+	 * heartbeat.
+	 */
 	| { readonly kind: 'heartbeats'; readonly heard: readonly RelayedHeartbeat[] }
 	| { readonly kind: 'leave'; readonly worker: string }
 	/** From the leader to any instance: request advice on its behalf. */
@@ -166,9 +181,14 @@
 	| { readonly kind: 'no-such-queue' }
 	| { readonly kind: 'no-such-job' }
 	| { readonly kind: 'configuration'; readonly configuration: CellConfiguration }
-	/** The call was not carried out and will not be; the client may retry after `retryAfter` milliseconds. */
+	/**
+	 * The call was not carried out and will not be; the client may retry after `retryAfter`
+	 * milliseconds.
+	 */
 	| { readonly kind: 'not-run'; readonly reason: string; readonly retryAfter: number }
-	/** The submission was not accepted, and no earlier try of its call has been or will be accepted. */
+	/**
+	 * The submission was not accepted, and no earlier try of its call has been or will be accepted.
+	 */
 	| { readonly kind: 'settled'; readonly refusal: JobRefusal }
 	/** Nothing was done, because the called instance is not leader, or leads another term. */
 	| { readonly kind: 'not-leader' }
--- a/packages/jobs/src/lib/leader/crashingTask.test.ts
+++ b/packages/jobs/src/lib/leader/crashingTask.test.ts
@@ -1,9 +1,10 @@
 /**
- * Guards against a task that crashes each worker that starts it and is started again without bound: such a task took half
- * of a cell's workers down (34 starts, 194 where its step allowed copies), while they were away for seconds after each
- * crash. A crashed worker reports no end, so the run ends as `lost`, and a count of runs that ended as failed does not
- * bound the attempts. A count of known crashes alone comes too late for copies: the next copy starts 0.3 s after the
- * worker stops answering, 3 s before the crash is known.
+ * Guards against a task that crashes each worker that starts it and is started again without bound:
+ * such a task took half of a cell's workers down (34 starts, 194 where its step allowed copies),
+ * while they were away for seconds after each crash. A crashed worker reports no end, so the run
+ * ends as `lost`, and a count of runs that ended as failed does not bound the attempts. A count of
+ * known crashes alone comes too late for copies: the next copy starts 0.3 s after the worker stops
+ * answering, 3 s before the crash is known.
  */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
@@ -29,7 +30,10 @@
 		for (let number = 0; number < workers; number++) this.startWorker(`host-${number}:80`)
 	}
 
-	/** Advances the clock by `span` milliseconds, with a change of leader every `leaderPeriod` milliseconds. */
+	/**
+	 * Advances the clock by `span` milliseconds, with a change of leader every `leaderPeriod`
+	 * milliseconds.
+	 */
 	run(span: number, leaderPeriod = Number.POSITIVE_INFINITY): void {
 		for (let spent = 0; spent < span; spent += TICK_MS) {
 			this.subject.run(TICK_MS)
@@ -99,8 +103,8 @@
 	assert.ok(place.tasks.every((task) => task.worker !== ''))
 })
 
-// Guards against a crash that is not counted because a poll result from before it, which arrived after the run was
-// abandoned, was taken as proof that the worker answers.
+// Guards against a crash that is not counted because a poll result from before it, which arrived
+// after the run was abandoned, was taken as proof that the worker answers.
 test('a poll result from before a crash that arrives after the runs were abandoned does not clear their tasks', () => {
 	const subject = new LeaderSubject()
 	const worker = subject.worker('w1')
--- a/packages/jobs/src/lib/leader/explainJob.ts
+++ b/packages/jobs/src/lib/leader/explainJob.ts
@@ -62,7 +62,8 @@
 }
 
 /**
- * @returns the shape of a job for its log line: steps, tasks, the largest needs of a task, and whether it has a gang.
+ * @returns the shape of a job for its log line: steps, tasks, the largest needs of a task, and
+ * whether it has a gang.
  * @internal
  */
 export function shapeOf(request: JobRequest): JobShape {
--- a/packages/jobs/src/lib/leader/otherWriters.test.ts
+++ b/packages/jobs/src/lib/leader/otherWriters.test.ts
@@ -1,7 +1,7 @@
 /**
- * Heartbeats that other programs write and that name no usable worker: for a service of no queue, at an address where
- * nothing answers. They are accepted, because the next configuration may define the service, and must have no other
- * effect.
+ * Heartbeats that other programs write and that name no usable worker: for a service of no queue,
+ * at an address where nothing answers. They are accepted, because the next configuration may define
+ * the service, and must have no other effect.
  */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
--- a/packages/jobs/src/lib/leader/ports.ts
+++ b/packages/jobs/src/lib/leader/ports.ts
@@ -18,11 +18,17 @@
 	readonly spec: string
 	/** End of the worker's lease in milliseconds, on the worker's own clock. */
 	readonly leaseUntil: number
-	/** Fencing token: the term of the leader. A worker that has obeyed a higher one refuses the order. */
+	/**
+	 * Fencing token: the term of the leader. A worker that has obeyed a higher one refuses the
+	 * order.
+	 */
 	readonly fence: number
 	/** Checkpoint to resume from; empty to start from the beginning. */
 	readonly checkpoint: string
-	/** Proof that the queue's policy allows this worker to run the step; empty where the policy requires none. */
+	/**
+	 * Proof that the queue's policy allows this worker to run the step; empty where the policy
+	 * requires none.
+	 */
 	readonly ticket: string
 }
 
@@ -80,8 +86,8 @@
 	/** No complete answer arrived: the order may have been carried out, or may still be. */
 	| { readonly kind: 'unknown'; readonly message: string }
 	/**
-	 * The instance that should have carried the order reported no result: the order may have been carried out, or may
-	 * still be. This is no evidence about the worker.
+	 * The instance that should have carried the order reported no result: the order may have been
+	 * carried out, or may still be. This is no evidence about the worker.
 	 */
 	| { readonly kind: 'not-carried' }
 
@@ -92,7 +98,10 @@
 	readonly checkpoint: string
 	/** Progress, from 0 to 100. */
 	readonly percent: number
-	/** For a lasting task that serves requests, its tail latency in milliseconds; for others, thousandths of a core in use. */
+	/**
+	 * For a lasting task that serves requests, its tail latency in milliseconds; for others,
+	 * thousandths of a core in use.
+	 */
 	readonly measure: number
 }
 
@@ -111,7 +120,10 @@
 	| {
 			readonly kind: 'done'
 			readonly clock: number
-			/** When the worker that answers started, milliseconds since the epoch; absent where workers do not report it. */
+			/**
+			 * When the worker that answers started, milliseconds since the epoch; absent where workers
+			 * do not report it.
+			 */
 			readonly born?: number
 			readonly running: readonly ListedRun[]
 			readonly ended: readonly ListedEnd[]
@@ -120,7 +132,10 @@
 
 /** Carries orders to workers. @public */
 export abstract class WorkerOrders {
-	/** Maximum number of polls that the leader should send in one tick to workers whose state is unknown. */
+	/**
+	 * Maximum number of polls that the leader should send in one tick to workers whose state is
+	 * unknown.
+	 */
 	get maxProbesPerTick(): number {
 		return MAX_PROBES_PER_TICK
 	}
@@ -147,7 +162,8 @@
 	| { readonly kind: 'unknown'; readonly message: string }
 
 /**
- * Requests advice through the instances of the cell, because the service answers only one call at a time from each.
+ * Requests advice through the instances of the cell, because the service answers only one call at a
+ * time from each.
  *
  * @public
  */
--- a/packages/jobs/src/lib/leader/restartedWorker.test.ts
+++ b/packages/jobs/src/lib/leader/restartedWorker.test.ts
@@ -1,11 +1,12 @@
 /**
- * Workers that crash and start again under the same id. Guards against tasks that run again although they ended as done,
- * and others that never start although there is capacity.
+ * Workers that crash and start again under the same id. Guards against tasks that run again
+ * although they ended as done, and others that never start although there is capacity.
  *
- * A worker numbers the ends of its runs and its heartbeats from 1 in each incarnation. A leader that keeps the highest
- * number by the worker's id, across incarnations, takes the first ends of the new one for known: it never commits them,
- * waits for their runs, and after the worker has forgotten the ends it abandons the runs as lost and starts them again.
- * The heartbeats count as late too, so the worker gets no work for as long as its earlier incarnation lasted.
+ * A worker numbers the ends of its runs and its heartbeats from 1 in each incarnation. A leader
+ * that keeps the highest number by the worker's id, across incarnations, takes the first ends of
+ * the new one for known: it never commits them, waits for their runs, and after the worker has
+ * forgotten the ends it abandons the runs as lost and starts them again. The heartbeats count as
+ * late too, so the worker gets no work for as long as its earlier incarnation lasted.
  */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
--- a/packages/jobs/src/lib/leader/shrunkenCapacity.test.ts
+++ b/packages/jobs/src/lib/leader/shrunkenCapacity.test.ts
@@ -1,6 +1,6 @@
 /**
- * The capacity that a worker reports may shrink and grow while it runs. Nothing is started beyond the reduced capacity,
- * and running tasks continue.
+ * The capacity that a worker reports may shrink and grow while it runs. Nothing is started beyond
+ * the reduced capacity, and running tasks continue.
  */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
--- a/packages/jobs/src/lib/testing/LeaderSubject.ts
+++ b/packages/jobs/src/lib/testing/LeaderSubject.ts
@@ -1,4 +1,7 @@
-/** Test harness: a controller with a log that commits at once, and fake workers that tests configure. */
+/**
+ * Test harness: a controller with a log that commits at once, and fake workers that tests
+ * configure.
+ */
 import { Ledger, WorkerHealth } from '@rillrudder/scheduler'
 import { Log, Meter } from '@rillrudder/telemetry'
 import { ManualClock, Random } from '@rillrudder/utils'
@@ -60,9 +63,14 @@
 	startResult: OrderResult | undefined
 	/** When it started, in milliseconds since the epoch; undefined where workers do not report it. */
 	born: number | undefined
-	/** Its address, if polls of other addresses must get no answer; undefined to accept any address. */
+	/**
+	 * Its address, if polls of other addresses must get no answer; undefined to accept any address.
+	 */
 	address: string | undefined
-	/** Milliseconds by which answers to polls are delayed in transit; they arrive even if it has crashed meanwhile. */
+	/**
+	 * Milliseconds by which answers to polls are delayed in transit; they arrive even if it has
+	 * crashed meanwhile.
+	 */
 	answerDelay = 0
 	/** Milliseconds by which its clock is ahead of those of other workers. */
 	clockOffset = 0
@@ -362,7 +370,10 @@
 		return worker
 	}
 
-	/** Advances the clock by a number of milliseconds, with a heartbeat of each given worker every second. */
+	/**
+	 * Advances the clock by a number of milliseconds, with a heartbeat of each given worker every
+	 * second.
+	 */
 	run(span: number, ...alive: string[]): void {
 		for (let spent = 0; spent < span; spent += TICK_MS) {
 			if (spent % 1000 === 0) for (const id of alive) this.heartbeat(id)
