--- a/packages/runs/src/lib/jobs/missedWork.test.ts
+++ b/packages/runs/src/lib/jobs/missedWork.test.ts
@@ -30,7 +30,7 @@
 ]
 
 const SCHEDULER = jobsClass('leader/steps', 'StepScheduler')
-const BLIND: Breakage = [SCHEDULER, 'lookAgain', () => () => []]
+const BLIND: Breakage = [SCHEDULER, 'reconcile', () => () => []]
 
 function silenced({ method }: WakeUp): Breakage {
 	return [SCHEDULER, method, () => () => undefined]
