--- a/packages/jobs/src/index.ts
+++ b/packages/jobs/src/index.ts
@@ -1,4 +1,7 @@
-/** Jobs of a cell: replicated records, and the leader's controller that places them. */
+/**
+ * The job scheduler of a cell: the replicated state, and the leader's controller that places tasks
+ * on workers.
+ */
 export {
 	COMMAND_VERSION,
 	decodeCommands,
@@ -13,7 +16,7 @@
 export * from './lib/leader/callers/calls'
 export type { LeaderContext } from './lib/leader/LeaderContext'
 export { LeaderEvent } from './lib/leader/LeaderEvent'
-export { PLAIN_POLICY, type LeaderPolicy } from './lib/leader/LeaderPolicy'
+export { DEFAULT_LEADER_POLICY, type LeaderPolicy } from './lib/leader/LeaderPolicy'
 export { DEFAULT_LEADER_TIMING, type LeaderTiming } from './lib/leader/LeaderTiming'
 export { JobController } from './lib/leader/JobController'
 export * from './lib/leader/ports'
--- a/packages/jobs/src/lib/gangs/gangs.test.ts
+++ b/packages/jobs/src/lib/gangs/gangs.test.ts
@@ -18,7 +18,7 @@
 
 function subjectWith(workers: readonly string[], advice = SHORT): LeaderSubject {
 	const subject = new LeaderSubject({ advice, latencyTarget: 60_000 })
-	subject.answerTakes = ({ workers: named }) => advice.base + advice.each * named.length
+	subject.adviceDelay = ({ workers: named }) => advice.base + advice.each * named.length
 	subject.instances = Array.from({ length: 8 }, (_, number) => `instance-${number}`)
 	for (const id of workers) subject.heartbeat(id)
 	return subject
@@ -62,7 +62,7 @@
 	const subject = subjectWith(['w1', 'w2'])
 	// Full workers whose runs end after twenty seconds.
 	subject.configure({ advice: SHORT, latencyTarget: 60_000 }, { name: 'plain', prefix: '/plain/' })
-	for (const id of ['w1', 'w2']) subject.worker(id).pace = 2
+	for (const id of ['w1', 'w2']) subject.worker(id).progressPerPoll = 2
 	subject.submit(OTHER, jobOf({ count: 8, expectedTime: 25_000 }), 'plain')
 	subject.run(500, 'w1', 'w2')
 	subject.submit(GANG, jobOf(gangOf(8)))
@@ -79,7 +79,7 @@
 test('a lost answer is requested through another instance, and the gang starts', () => {
 	const subject = subjectWith(WORKERS)
 	let lost = 2
-	subject.answerTakes = ({ workers }) =>
+	subject.adviceDelay = ({ workers }) =>
 		lost-- > 0 ? Number.POSITIVE_INFINITY : SHORT.base + SHORT.each * workers.length
 	subject.submit(GANG, jobOf(gangOf(12)))
 	subject.run(8000, ...WORKERS)
@@ -88,7 +88,7 @@
 
 test('an adviser that is twice as slow as declared delays a gang and does not prevent its start', () => {
 	const subject = subjectWith(WORKERS)
-	subject.answerTakes = ({ workers }) => 2 * (SHORT.base + SHORT.each * workers.length)
+	subject.adviceDelay = ({ workers }) => 2 * (SHORT.base + SHORT.each * workers.length)
 	subject.submit(GANG, jobOf(gangOf(12)))
 	subject.run(5000, ...WORKERS)
 	assert.equal(runningOf(subject, WORKERS, GANG), 12)
@@ -121,9 +121,9 @@
 	subject.submit(OTHER, jobOf({ lasting: true }))
 	subject.run(1500, ...WORKERS)
 	const [flaps] = WORKERS.filter((id) => runningOf(subject, [id], OTHER) > 0)
-	subject.worker(flaps).silent = true
+	subject.worker(flaps).isUnresponsive = true
 	subject.run(1500, ...WORKERS)
-	subject.worker(flaps).silent = false
+	subject.worker(flaps).isUnresponsive = false
 	subject.run(3000, ...WORKERS)
 	subject.submit(GANG, jobOf(gangOf(16)))
 	subject.run(3000, ...WORKERS)
--- a/packages/jobs/src/lib/leader/JobController.ts
+++ b/packages/jobs/src/lib/leader/JobController.ts
@@ -1,4 +1,4 @@
-/** The controller of a cell's leader: answers calls, and decides what runs where. */
+/** The leader's controller of a cell: answers calls and decides which task runs on which worker. */
 import { Measure } from '@rillrudder/telemetry'
 import { exhaustive } from '@rillrudder/utils'
 import type { CellConfiguration, Heartbeat, Queue } from '../records/Cell'
@@ -14,7 +14,7 @@
 import { listAccounts } from '../accounts/listAccounts'
 import type { AccountSummary, CellCall, CellReply } from './callers/calls'
 import { ClientCalls } from './callers/ClientCalls'
-import { epochOf, type LeaderContext } from './LeaderContext'
+import { epochTimeOf, type LeaderContext } from './LeaderContext'
 import { LeaderEvent } from './LeaderEvent'
 import { explainJob, listJobs } from './explainJob'
 import { Reconciliation } from './Reconciliation'
@@ -25,20 +25,20 @@
 import { WorkerRegistry } from './workers/WorkerRegistry'
 import { SpeedMonitor } from '../speeds/SpeedMonitor'
 
-/** Milliseconds after which a configuration that is not there yet may be read again. */
-const RETRY_AFTER = 1000
-/** Milliseconds between two passes over steps for which nothing has come free. */
-const FULL_PASS = 100
-/** Milliseconds that a start may take where no queue has a latency target. */
-const PLAIN_TARGET = 1000
-/** Milliseconds between two looks for jobs that may be forgotten. */
-const FORGET_PERIOD = 5000
+/** Milliseconds after which a client may retry reading a configuration that does not exist yet. */
+const RETRY_AFTER_MS = 1000
+/** Milliseconds between full passes, which also try steps for which no capacity has become free. */
+const FULL_PASS_PERIOD_MS = 100
+/** Bound on the delay of starts, in milliseconds, where no queue has a latency target. */
+const DEFAULT_LATENCY_TARGET_MS = 1000
+/** Milliseconds between two searches for ended jobs whose retention is over. */
+const FORGET_PERIOD_MS = 5000
 
 type CrashCounted = Extract<Change, { readonly kind: 'crash-counted' }>
 type Reply = (reply: CellReply) => void
 
 /**
- * The controller of a cell's leader. It lives as long as one leadership.
+ * The leader's controller of a cell. One instance serves one leadership.
  *
  * @example
  * ```ts
@@ -62,9 +62,12 @@
 	private readonly speeds: SpeedMonitor
 	private fullPassDue = 0
 	private forgetDue = 0
-	private placing = false
+	private isPlacing = false
 
-	/** @param context - the state as of the beginning of this leadership, and the world around it. */
+	/**
+	 * @param context - the state as of the start of this leadership, and the ports of the
+	 * controller.
+	 */
 	constructor(private readonly context: LeaderContext) {
 		const { state, log, term } = context
 		this.startDelays = new StartDelays(context.clock.now())
@@ -99,7 +102,7 @@
 		)
 		this.clients = new ClientCalls(context, (job) => this.runs.hasStarted(job))
 		this.reconciliation = new Reconciliation(context, this.steps)
-		for (const job of state.jobs.all()) this.takeUp(job)
+		for (const job of state.jobs.all()) this.restoreJob(job)
 		log.info(LeaderEvent.LeadershipGained, {
 			term,
 			jobs: state.jobs.size,
@@ -108,7 +111,7 @@
 		})
 	}
 
-	/** Sets the gauges of what the controller has on it. */
+	/** Updates the gauges of runs, configuration, steps, shares, workers and speeds. */
 	measure(): void {
 		const { meter, state } = this.context
 		meter.gauge(Measure.Runs, this.runs.size)
@@ -119,7 +122,10 @@
 		this.speeds.updateMetrics()
 	}
 
-	/** Answers a call, at once or once what it asks is committed. */
+	/**
+	 * Handles a call. `reply` is called at once, or after the command that the call requires is
+	 * committed.
+	 */
 	call(call: CellCall, reply: Reply): void {
 		switch (call.kind) {
 			case 'submit':
@@ -146,21 +152,21 @@
 			case 'leave':
 				return this.workers.onWorkerLeaving(call.worker, () => reply({ kind: 'noted' }))
 			case 'advise':
-				return reply({ kind: 'unknown', reason: 'a leader asks others for advice' })
+				return reply({ kind: 'unknown', reason: 'a leader does not answer requests for advice' })
 			default:
 				return exhaustive(call)
 		}
 	}
 
-	/** Takes in what a committed command has changed. */
-	changed(change: Change): void {
+	/** Applies a change of the replicated state, made by a committed command, to the controller. */
+	onChange(change: Change): void {
 		switch (change.kind) {
 			case 'configured':
-				return this.configured(change.configuration)
+				return this.onConfigured(change.configuration)
 			case 'job-accepted':
 				return this.steps.accept(change.job)
 			case 'job-ended':
-				return this.jobEnded(change.job)
+				return this.onJobEnded(change.job)
 			case 'run-begun':
 				this.steps.begun(change.task, change.worker)
 				return this.runs.onStartCommitted(change.task, change.attempt, change.worker)
@@ -171,7 +177,7 @@
 				this.runs.onEnded(change.task, change.attempt, change.worker, change.how)
 				return this.steps.ended(change.task, change.worker, change.how)
 			case 'crash-counted':
-				return this.crashCounted(change)
+				return this.onCrashCounted(change)
 			case 'task-cleared':
 				return this.steps.reconsider(change.task)
 			case 'task-done':
@@ -189,7 +195,7 @@
 		}
 	}
 
-	/** Does what time has made due; to be called every few tens of milliseconds. */
+	/** Runs periodic work and timeouts; to be called every few tens of milliseconds. */
 	tick(): void {
 		const now = this.context.clock.now()
 		this.workers.tick(now)
@@ -198,26 +204,29 @@
 		this.reconciliation.tick(now)
 		this.speeds.tick(now)
 		this.shares.tick(now)
-		this.judgeStarts(now)
-		if (now >= this.forgetDue) this.forgetOld(now)
+		this.updateStartWindow(now)
+		if (now >= this.forgetDue) this.forgetEndedJobs(now)
 		this.place()
 	}
 
-	/** Begins what can begin; to be called after every batch of events. */
+	/** Starts the tasks that can start; to be called after every batch of events. */
 	place(): void {
-		if (this.placing) return
-		this.placing = true
+		if (this.isPlacing) return
+		this.isPlacing = true
 		const now = this.context.clock.now()
 		const full = now >= this.fullPassDue
-		if (full) this.fullPassDue = now + FULL_PASS
+		if (full) this.fullPassDue = now + FULL_PASS_PERIOD_MS
 		this.steps.place(now, full)
 		const { clock, meter } = this.context
 		meter.observe(Measure.PassTime, clock.now() - now, { full: String(full) })
-		this.placing = false
+		this.isPlacing = false
 	}
 
-	/** A cell is behind when half of its starts take longer than its most urgent queue allows a whole job. */
-	private judgeStarts(now: number): void {
+	/**
+	 * Adjusts the limit of concurrent starts. A cell is behind when half of its starts take longer
+	 * than the shortest latency target of its queues, which bounds a whole job.
+	 */
+	private updateStartWindow(now: number): void {
 		const { runs, startWindow: window, context } = this
 		const delay = this.startDelays.takeMedian(now, () => runs.unconfirmedStartAges())
 		if (delay === undefined) return
@@ -237,7 +246,7 @@
 		context.meter.gauge(Measure.StartWindow, most ?? 0)
 	}
 
-	private takeUp(job: JobRecord): void {
+	private restoreJob(job: JobRecord): void {
 		this.workers.restoreAbandonedRuns(job)
 		this.runs.restoreJob(job)
 		if (isActive(job)) this.steps.accept(job)
@@ -253,8 +262,8 @@
 	private listAccounts(): AccountSummary[] {
 		const { state, ledger } = this.context
 		const work = { jobs: state.jobs.all(), waiting: this.steps.waitingByAccount() }
-		const refused = (name: string): number => this.clients.refusedOf(name)
-		return listAccounts(this.accounts, work, refused, ledger.total, [
+		const refusalCountOf = (name: string): number => this.clients.refusalCountOf(name)
+		return listAccounts(this.accounts, work, refusalCountOf, ledger.total, [
 			...this.shares.capacityShares.standings(),
 		])
 	}
@@ -273,7 +282,7 @@
 	private readConfiguration(): CellReply {
 		const { configuration } = this.context.state
 		if (!configuration) {
-			return { kind: 'not-run', reason: 'no configuration yet', retryAfter: RETRY_AFTER }
+			return { kind: 'not-run', reason: 'no configuration yet', retryAfter: RETRY_AFTER_MS }
 		}
 		return { kind: 'configuration', configuration }
 	}
@@ -281,14 +290,19 @@
 	private heartbeat(heartbeat: Heartbeat, reply: Reply): void {
 		this.workers.handleHeartbeat(heartbeat, (noted) =>
 			reply(
-				noted ? { kind: 'noted' } : { kind: 'unknown', reason: 'another worker is known there' }
+				noted
+					? { kind: 'noted' }
+					: {
+							kind: 'unknown',
+							reason: 'another worker is known under this name or at this address',
+						}
 			)
 		)
 	}
 
-	private configured(configuration: CellConfiguration): void {
+	private onConfigured(configuration: CellConfiguration): void {
 		const { version, queues, accounts } = configuration
-		this.clients.configured(configuration)
+		this.clients.onConfigured(configuration)
 		this.accounts.configure(accounts ?? [])
 		this.precedence.configured(queues, this.context.clock.now())
 		this.context.log.info(LeaderEvent.ConfigurationApplied, {
@@ -298,7 +312,7 @@
 		})
 	}
 
-	private jobEnded(job: JobRecord): void {
+	private onJobEnded(job: JobRecord): void {
 		const took = job.ended - job.submitted
 		const { log, meter } = this.context
 		const objective = Math.round(objectiveOf(job.request, job.queue))
@@ -309,8 +323,11 @@
 		this.runs.stopJob(job)
 	}
 
-	/** One line for each crash under a task, and one when the task is given up. */
-	private crashCounted({ task: name, worker, crashed }: CrashCounted): void {
+	/**
+	 * Logs the crash of a worker that ran the task, and the abandoned task once the suspicion is
+	 * proven.
+	 */
+	private onCrashCounted({ task: name, worker, crashed }: CrashCounted): void {
 		const { log, meter } = this.context
 		const task = formatTaskName(name)
 		const evidence = crashed.find((lost) => lost.worker === worker)?.evidence ?? 'none'
@@ -326,10 +343,10 @@
 		})
 	}
 
-	private forgetOld(now: number): void {
-		this.forgetDue = now + FORGET_PERIOD
+	private forgetEndedJobs(now: number): void {
+		this.forgetDue = now + FORGET_PERIOD_MS
 		const { state, proposals, timing } = this.context
-		const before = epochOf(this.context) - timing.keepEnded
+		const before = epochTimeOf(this.context) - timing.endedJobRetention
 		const jobs: string[] = []
 		for (const job of state.jobs.all()) {
 			if (!isActive(job) && job.ended < before) jobs.push(job.id)
@@ -338,8 +355,11 @@
 	}
 }
 
-/** @returns the shortest latency target of a queue, in milliseconds. */
+/**
+ * @returns the shortest latency target of the queues, in milliseconds; the default where none has
+ * one.
+ */
 function shortestTarget(queues: readonly Queue[]): number {
 	const targets = queues.map(({ latencyTarget }) => latencyTarget).filter((target) => target > 0)
-	return targets.length > 0 ? Math.min(...targets) : PLAIN_TARGET
+	return targets.length > 0 ? Math.min(...targets) : DEFAULT_LATENCY_TARGET_MS
 }
--- a/packages/jobs/src/lib/leader/runs/LostRunHandler.ts
+++ b/packages/jobs/src/lib/leader/runs/LostRunHandler.ts
@@ -1,6 +1,6 @@
 /** Abandons the runs of unreachable workers, so that their tasks can start elsewhere. */
 import { RunEnd } from '../../records/Job'
-import { epochOf, type LeaderContext } from '../LeaderContext'
+import { epochTimeOf, type LeaderContext } from '../LeaderContext'
 import { LeaderEvent } from '../LeaderEvent'
 import type { SuspectRuns } from './SuspectRuns'
 import type { Run } from './Run'
@@ -62,6 +62,6 @@
 			// The worker may answer again before the commit; then the run must not be ordered there.
 			run.retryAt = Number.POSITIVE_INFINITY
 		}
-		this.context.proposals.propose({ kind: 'end', runs, at: epochOf(this.context) })
+		this.context.proposals.propose({ kind: 'end', runs, at: epochTimeOf(this.context) })
 	}
 }
--- a/packages/jobs/src/lib/leader/runs/RunController.ts
+++ b/packages/jobs/src/lib/leader/runs/RunController.ts
@@ -11,7 +11,7 @@
 import { tasksOf } from '../../state/JobTable'
 import { isActive, TaskStatus } from '../../state/JobRecord'
 import { Suspicion, suspicionOf } from '../../state/TaskCrashes'
-import { epochOf, type LeaderContext } from '../LeaderContext'
+import { epochTimeOf, type LeaderContext } from '../LeaderContext'
 import { LeaderEvent } from '../LeaderEvent'
 import { RunPacer } from './RunPacer'
 import type { PollResult } from '../ports'
@@ -209,7 +209,7 @@
 		const job = this.context.state.jobs.find(name.job)
 		const decision = this.takeDecision(formatTaskName(name))
 		if (!job) return
-		const claimed = claimOf(job, name.step, decision?.urgent ?? false, this.accounts.of(job))
+		const claimed = claimOf(job, name.step, decision?.urgent ?? false, this.accounts.accountOf(job))
 		unclaim(this.context.ledger, worker, claimed)
 		const { gang, count } = claimed.step
 		if (gang) this.gangs.onStartVoided(name, attempt, count)
@@ -378,7 +378,7 @@
 		const { urgent, yields } =
 			decision ?? this.precedence.standingOf(job.queue, step, now, job.beyondRate)
 		const origin = {
-			...claimOf(job, name.step, urgent, this.accounts.of(job)),
+			...claimOf(job, name.step, urgent, this.accounts.accountOf(job)),
 			taskId: text,
 			name,
 			attempt,
@@ -472,7 +472,7 @@
 			how,
 			checkpoint,
 		}))
-		this.context.proposals.propose({ kind: 'end', runs, at: epochOf(this.context) })
+		this.context.proposals.propose({ kind: 'end', runs, at: epochTimeOf(this.context) })
 	}
 }
 
--- a/packages/jobs/src/lib/leader/runs/RunOrders.ts
+++ b/packages/jobs/src/lib/leader/runs/RunOrders.ts
@@ -80,12 +80,12 @@
 	 */
 	private findStartObstacle(run: Run, view: WorkerView): StartObstacle | undefined {
 		const { clock, timing, ledger } = this.context
-		if (!this.accounts.mayGoOn(run.account, run.step)) return StartObstacle.Quota
+		if (!this.accounts.canContinue(run.account, run.step)) return StartObstacle.Quota
 		// The capacity of a worker may have shrunk since the decision.
 		if (ledger.find(run.worker)?.isOverbooked) return StartObstacle.Capacity
 		// A worker that an earlier leader chose may have less capacity too, until its first
 		// heartbeat.
-		return view.heartbeatAge(clock.now()) >= timing.workerSilent ? StartObstacle.NoHeartbeat : undefined
+		return view.heartbeatAge(clock.now()) >= timing.heartbeatTimeout ? StartObstacle.NoHeartbeat : undefined
 	}
 
 	/** @returns why a member of a gang can't be ordered to start now; undefined if it can. */
@@ -127,7 +127,7 @@
 	 */
 	private awaitHeartbeat(run: Run): void {
 		const { clock, timing } = this.context
-		if (clock.now() - run.phaseSince > timing.workerQuiet)
+		if (clock.now() - run.phaseSince > timing.heartbeatOverdue)
 			this.withdraw(run, StartObstacle.NoHeartbeat)
 		else run.retryAt = clock.now() + timing.retryPause
 	}
@@ -213,14 +213,14 @@
 		}
 		run.retryAt = clock.now() + timing.retryPause
 		if (asked === RunPhase.Stopping || run.phase === RunPhase.Stopping) {
-			if (!run.isOrderPending && reason === Refusal.Old) this.host.enterPhase(run, RunPhase.Stopped)
+			if (!run.isOrderPending && reason === Refusal.Superseded) this.host.enterPhase(run, RunPhase.Stopped)
 			else if (asked === RunPhase.Starting && !run.isInDoubt)
 				this.host.proposeEnd(run, RunEnd.Refused)
 			return
 		}
-		if (reason === Refusal.Late) return
+		if (reason === Refusal.LeaseExpired) return
 		this.host.onGangMemberFailed(run, GangFailure.Refused, reason)
-		if (reason === Refusal.Old) {
+		if (reason === Refusal.Superseded) {
 			// The worker lists its end, or an order of an earlier leader stopped it.
 			this.host.enterPhase(run, RunPhase.Stopped)
 			return
--- a/packages/jobs/src/lib/leader/runs/WastedWork.test.ts
+++ b/packages/jobs/src/lib/leader/runs/WastedWork.test.ts
@@ -14,7 +14,7 @@
 }
 
 function endsOf(subject: LeaderSubject): Line[] {
-	return subject.lines
+	return subject.logLines
 		.filter((line) => line.includes(`"${LeaderEvent.RunEnded}"`))
 		.map((line) => JSON.parse(line) as Line)
 }
@@ -82,7 +82,7 @@
 
 test('a run whose worker becomes unreachable for good is lost', () => {
 	const subject = subjectWithRun()
-	subject.worker('w1').silent = true
+	subject.worker('w1').isUnresponsive = true
 	subject.run(12_000)
 	const [{ cause, wasted }] = endsOf(subject)
 	assert.equal(cause, 'lost')
--- a/packages/jobs/src/lib/leader/runs/gangAttempt.test.ts
+++ b/packages/jobs/src/lib/leader/runs/gangAttempt.test.ts
@@ -28,7 +28,7 @@
 	const subject = new LeaderSubject()
 	for (const id of WORKERS) {
 		subject.heartbeat(id)
-		subject.worker(id).pace = 0
+		subject.worker(id).progressPerPoll = 0
 	}
 	return subject
 }
@@ -65,9 +65,13 @@
 }
 
 const NOT_STARTED: readonly Row[] = [
-	...[Refusal.Ticket, Refusal.Room, Refusal.Unhealthy, Refusal.Invalid, Refusal.Old].map(
-		(reason) => ({ what: `is refused (${reason})`, results: [refused(reason)] })
-	),
+	...[
+		Refusal.Ticket,
+		Refusal.NoCapacity,
+		Refusal.Unhealthy,
+		Refusal.Invalid,
+		Refusal.Superseded,
+	].map((reason) => ({ what: `is refused (${reason})`, results: [refused(reason)] })),
 	{
 		what: 'is not answered, and is refused when it is sent again',
 		results: [{ kind: 'unknown', message: 'no answer' }, refused(Refusal.Ticket)],
@@ -80,7 +84,7 @@
 	{ what: 'reaches another incarnation', results: [{ kind: 'other-incarnation' }] },
 	{
 		what: 'is refused as late again and again',
-		results: Array<OrderResult>(30).fill(refused(Refusal.Late)),
+		results: Array<OrderResult>(30).fill(refused(Refusal.LeaseExpired)),
 		later: DEFAULT_LEADER_TIMING.gangWait - SHORT_WAIT_MS - UNANSWERED_CALL_MS,
 	},
 ]
@@ -109,7 +113,7 @@
 
 test('a member on an unresponsive worker delays the others no longer than they may wait', () => {
 	const subject = threeWorkers()
-	subject.worker('w2').silent = true
+	subject.worker('w2').isUnresponsive = true
 	subject.submit(ID, jobOf(GANG))
 	subject.run(DEFAULT_LEADER_TIMING.gangWait, ...WORKERS)
 	assert.deepEqual(stopped(subject), OTHERS)
@@ -148,7 +152,7 @@
 test('the next leader does not touch a running gang', () => {
 	const subject = threeWorkers()
 	subject.submit(ID, jobOf(GANG))
-	for (const id of WORKERS) subject.worker(id).pace = 3
+	for (const id of WORKERS) subject.worker(id).progressPerPoll = 3
 	subject.run(2000, ...WORKERS)
 	subject.lead()
 	subject.run(DEFAULT_LEADER_TIMING.gangWait + SHORT_WAIT_MS, ...WORKERS)
@@ -158,21 +162,21 @@
 
 test('the end of a started member stops the one whose start is in progress', () => {
 	const subject = threeWorkers()
-	subject.worker('w2').silent = true
+	subject.worker('w2').isUnresponsive = true
 	subject.submit(ID, jobOf(GANG))
 	subject.run(100, ...WORKERS)
 	subject.worker('w1').end(`${ID}.0.0.0`, 'failed')
-	subject.worker('w2').silent = false
+	subject.worker('w2').isUnresponsive = false
 	subject.run(1500, ...WORKERS)
 	assert.ok(stopped(subject).includes('w2'))
 })
 
 test('a log line names the member that kept a gang from starting', () => {
 	const subject = threeWorkers()
-	subject.worker('w2').startResults = [refused(Refusal.Room)]
+	subject.worker('w2').startResults = [refused(Refusal.NoCapacity)]
 	subject.submit(ID, jobOf(GANG))
 	subject.run(SHORT_WAIT_MS, ...WORKERS)
-	const lines = subject.lines.filter((line) => line.includes(`"${LeaderEvent.GangGivenUp}"`))
+	const lines = subject.logLines.filter((line) => line.includes(`"${LeaderEvent.GangGivenUp}"`))
 	assert.equal(lines.length, 1)
 	const { reason, detail, worker, members } = JSON.parse(lines[0]) as Record<string, unknown>
 	assert.deepEqual(
--- a/packages/jobs/src/lib/leader/steps/StepPlacement.ts
+++ b/packages/jobs/src/lib/leader/steps/StepPlacement.ts
@@ -4,7 +4,7 @@
 import { freeResourcesOf, countMembersFitting } from '../../gangs/chooseGangWorkersToAsk'
 import type { Reservations } from '../../placement/Reservations'
 import type { UrgentRoom } from '../../placement/UrgentRoom'
-import { epochOf, type LeaderContext } from '../LeaderContext'
+import { epochTimeOf, type LeaderContext } from '../LeaderContext'
 import { chooseForStep, type Option, type RoomCheck } from './chooseForStep'
 import { placeGang, type Placed, type TaskChooser } from './placeGang'
 import type { OpenWorkerList } from './OpenWorkerList'
@@ -70,7 +70,7 @@
 		return (index, options) =>
 			this.parts.quarantine.isDoubtful(work, index)
 				? this.parts.quarantine.choose(work, index, options, this.isFree, now)
-				: chooseForStep(work, options, this.isFree, epochOf(this.context))
+				: chooseForStep(work, options, this.isFree, epochTimeOf(this.context))
 	}
 
 	/** Places a gang, on workers that are unlikely to go where they have room for it. */
@@ -101,7 +101,7 @@
 		const placed: Placed[] = []
 		const choose = this.chooserFor(work, now)
 		for (const index of waiting) {
-			if (!this.accounts.mayBegin(work.account, work.step)) break
+			if (!this.accounts.canStart(work.account, work.step)) break
 			const option = choose(index, options)
 			if (!option || !claim(this.context.ledger, option.view.id, work)) break
 			work.count(option.view.id, 1)
--- a/packages/jobs/src/lib/leader/steps/StepScheduler.ts
+++ b/packages/jobs/src/lib/leader/steps/StepScheduler.ts
@@ -21,7 +21,7 @@
 import type { AccountUsage } from '../../accounts/AccountUsage'
 import { hasRoom, type Option } from './chooseForStep'
 import { DueRepeats, dueOf } from './DueRepeats'
-import { epochOf, type LeaderContext } from '../LeaderContext'
+import { epochTimeOf, type LeaderContext } from '../LeaderContext'
 import type { Placed } from './placeGang'
 import { Preemption } from './Preemption'
 import { Quarantine } from './Quarantine'
@@ -134,7 +134,7 @@
 		const eligible = pass.eligible(work)
 		const room = eligible.filter((option) => this.admits(work, option))
 		const kept = this.reservations.expectedAt(work)
-		const withinQuota = this.accounts.mayBegin(work.account, work.step)
+		const withinQuota = this.accounts.canStart(work.account, work.step)
 		const held = this.quarantine.mayBegin(work).length === 0
 		const behind = !this.startWindow.admits(this.boundedStarts)
 		const now = this.context.clock.now()
@@ -145,7 +145,7 @@
 	accept(job: JobRecord): void {
 		this.precedence.note(job.queue, this.context.clock.now())
 		job.repeats.forEach((_, number) => {
-			if (dueOf(job, number) > epochOf(this.context)) this.later.add(job, number)
+			if (dueOf(job, number) > epochTimeOf(this.context)) this.later.add(job, number)
 			else this.openReady(job, number)
 		})
 	}
@@ -200,11 +200,11 @@
 	}
 
 	/** Opens steps of a job, and tries those again, that have tasks to begin and that no change has told of. */
-	lookAgain(job: JobRecord): readonly string[] {
+	reconcile(job: JobRecord): readonly string[] {
 		if (!isActive(job)) return []
 		const missed: string[] = []
 		job.repeats.forEach((steps, repeat) => {
-			if (dueOf(job, repeat) > epochOf(this.context)) return
+			if (dueOf(job, repeat) > epochTimeOf(this.context)) return
 			steps.forEach(({ tasks }, step) => {
 				const waits = tasks.some(({ status }) => status === TaskStatus.Waiting)
 				if (!waits || !isStepReady(job, repeat, step)) return
@@ -250,7 +250,7 @@
 	/** Opens repeats that have become due. */
 	tick(now: number): void {
 		this.questions.tick(now)
-		for (const { job, repeat } of this.later.take(epochOf(this.context)))
+		for (const { job, repeat } of this.later.take(epochTimeOf(this.context)))
 			this.openReady(job, repeat)
 	}
 
@@ -329,7 +329,7 @@
 		const times = timesOf(job, repeat, step, queue)
 		const now = this.context.clock.now()
 		const standing = this.precedence.standingOf(queue, job.request.steps[step], now, job.beyondRate)
-		const account = this.accounts.of(job)
+		const account = this.accounts.accountOf(job)
 		const work = new StepWork(job, queue, repeat, step, times, standing, account)
 		this.steps.set(name, work)
 		this.stale = true
@@ -374,7 +374,7 @@
 			const isHeld = work.waiting().length > 0
 			return work.waits.note(isHeld ? WaitReason.Held : undefined, now)
 		}
-		if (!this.accounts.mayBegin(work.account, work.step)) {
+		if (!this.accounts.canStart(work.account, work.step)) {
 			work.waits.note(WaitReason.Quota, now)
 			return this.reservations.drop(work)
 		}
--- a/packages/jobs/src/lib/leader/workers/IncarnationChanges.test.ts
+++ b/packages/jobs/src/lib/leader/workers/IncarnationChanges.test.ts
@@ -44,7 +44,7 @@
 	const { subject, worker, other } = cellWithRun()
 	worker.restart(FIRST + 5000)
 	worker.running = [{ task: TASK, attempt: 1, checkpoint: '', percent: 0, measure: 0 }]
-	worker.stopTakes = 200
+	worker.stopDelay = 200
 	for (let spent = 0; spent < 3000; spent += 20) {
 		subject.run(20)
 		const there = worker.running.filter(({ attempt }) => attempt === 1).length
@@ -83,10 +83,10 @@
 	worker.end(TASK, 'done')
 	subject.run(2000, WORKER, OTHER)
 	assert.ok(worker.polls.some(({ endsSeen }) => endsSeen === 1))
-	worker.silent = true
+	worker.isUnresponsive = true
 	subject.run(1000, WORKER, OTHER)
 	const before = worker.polls.length
-	worker.silent = false
+	worker.isUnresponsive = false
 	subject.run(300, WORKER, OTHER)
 	assert.equal(worker.polls[before].endsSeen, 0)
 })
@@ -99,7 +99,7 @@
 	subject.run(1000, WORKER, OTHER)
 	worker.end(TASK, 'done')
 	subject.run(2000, WORKER, OTHER)
-	worker.answersHeldUp = 900
+	worker.answerDelay = 900
 	subject.run(3000, WORKER, OTHER)
 	const before = worker.polls.length
 	worker.restart(FIRST + 5000)
@@ -149,7 +149,7 @@
 	subject.run(16_000, WORKER, OTHER)
 	worker.restart(FIRST + 5000)
 	subject.run(20)
-	worker.silent = true
+	worker.isUnresponsive = true
 	subject.run(3000, OTHER)
 	assert.equal(other.running.length, 0)
 	subject.run(4000, OTHER)
@@ -162,7 +162,7 @@
 	subject.restart(WORKER)
 	subject.run(2000, WORKER)
 	assert.equal(worker.running.length, 1)
-	worker.silent = true
+	worker.isUnresponsive = true
 	subject.run(7000, OTHER)
 	assert.equal(other.running.length, 0)
 	subject.run(3000, OTHER)
--- a/packages/jobs/src/lib/leader/workers/IncarnationChanges.ts
+++ b/packages/jobs/src/lib/leader/workers/IncarnationChanges.ts
@@ -14,7 +14,7 @@
 import { isOtherIncarnation } from '../../records/Incarnation'
 import { toCommandEnds } from '../runs/toCommandEnds'
 import type { FenceTokens } from './FenceTokens'
-import { epochOf, type LeaderContext } from '../LeaderContext'
+import { epochTimeOf, type LeaderContext } from '../LeaderContext'
 import type { OrderTarget, PollResult } from '../ports'
 import { WorkerEnd } from './WorkerEnd'
 import type { WorkerView } from './WorkerView'
@@ -190,7 +190,7 @@
 	private commitEnds({ ended }: ListedRuns): void {
 		if (ended.length === 0) return
 		const runs = toCommandEnds(ended)
-		this.context.proposals.propose({ kind: 'end', runs, at: epochOf(this.context) })
+		this.context.proposals.propose({ kind: 'end', runs, at: epochTimeOf(this.context) })
 	}
 
 	private stopAll(change: IncarnationChange, fence: number, { running }: ListedRuns): void {
--- a/packages/jobs/src/lib/leader/workers/SilentWorkerRecorder.ts
+++ b/packages/jobs/src/lib/leader/workers/SilentWorkerRecorder.ts
@@ -33,7 +33,7 @@
 		const changed: { readonly [isSilent in 'true' | 'false']: string[] } = { true: [], false: [] }
 		for (const view of views) {
 			const known = state.workers.find(view.id)
-			const isSilent = !view.hasHeartbeat || view.heartbeatAge(now) > timing.workerQuiet
+			const isSilent = !view.hasHeartbeat || view.heartbeatAge(now) > timing.heartbeatOverdue
 			if (known && isSilent !== (known.silent ?? false)) changed[`${isSilent}`].push(view.id)
 		}
 		this.propose(changed.true, true)
--- a/packages/jobs/src/lib/leader/workers/WorkerHeartbeats.ts
+++ b/packages/jobs/src/lib/leader/workers/WorkerHeartbeats.ts
@@ -4,8 +4,8 @@
  */
 import type { Heartbeat, Worker } from '../../records/Cell'
 import { workerNameOf } from '../../records/Incarnation'
-import type { HeardWorker } from '../callers/calls'
-import { epochOf, type LeaderContext } from '../LeaderContext'
+import type { RelayedHeartbeat } from '../callers/calls'
+import { epochTimeOf, type LeaderContext } from '../LeaderContext'
 import { LeaderEvent } from '../LeaderEvent'
 import { Occupant, type IncarnationChanges } from './IncarnationChanges'
 import { isSamePlace, isSameWorker } from './isSameWorker'
@@ -69,7 +69,7 @@
 	}
 
 	/** Another instance has received a heartbeat of a worker. */
-	onRelayed({ worker, sequence, clock, age }: HeardWorker): void {
+	onRelayed({ worker, sequence, clock, age }: RelayedHeartbeat): void {
 		const view = this.delegate.find(worker)
 		if (view) this.update(view, { sequence, clock }, age)
 	}
@@ -131,7 +131,7 @@
 		const { worker, sequence } = heartbeat
 		const { id, address, dataCentre } = worker
 		this.context.log.info(LeaderEvent.WorkerJoined, { worker: id, address, dataCentre })
-		const at = epochOf(this.context)
+		const at = epochTimeOf(this.context)
 		this.context.proposals.propose({ kind: 'worker', worker, sequence, at }, () => {
 			const view = this.delegate.find(id)
 			if (view) this.update(view, heartbeat)
--- a/packages/jobs/src/lib/leader/workers/WorkerPolls.ts
+++ b/packages/jobs/src/lib/leader/workers/WorkerPolls.ts
@@ -62,7 +62,7 @@
 				this.probe(view, now)
 		}
 		const due = unknown.filter((view) => isDueForPoll(view, now) || isDueForProbe(view, now))
-		const limit = this.context.orders.firstPolls
+		const limit = this.context.orders.maxProbesPerTick
 		if (due.length > limit) due.sort((left, right) => left.lastAskedAt - right.lastAskedAt)
 		for (const view of due.slice(0, limit)) {
 			view.lastAskedAt = now
--- a/packages/jobs/src/lib/leader/workers/WorkerRegistry.ts
+++ b/packages/jobs/src/lib/leader/workers/WorkerRegistry.ts
@@ -1,7 +1,7 @@
 /** The leader's registry of workers: their heartbeats, leases and polls. */
 import { Measure } from '@rillrudder/telemetry'
 import type { Heartbeat, Worker } from '../../records/Cell'
-import { epochOf, type LeaderContext } from '../LeaderContext'
+import { epochTimeOf, type LeaderContext } from '../LeaderContext'
 import { LeaderEvent } from '../LeaderEvent'
 import { SuspectRuns } from '../runs/SuspectRuns'
 import { Lease } from './Lease'
@@ -16,7 +16,7 @@
 import { tasksOf } from '../../state/JobTable'
 import { StallWatch } from '../../placement/StallWatch'
 import type { AccountUsage } from '../../accounts/AccountUsage'
-import type { HeardWorker } from '../callers/calls'
+import type { RelayedHeartbeat } from '../callers/calls'
 import type { ListedEnd, PollResult } from '../ports'
 import { SilentWorkerRecorder } from './SilentWorkerRecorder'
 import { isCrash, WorkerEnd } from './WorkerEnd'
@@ -88,7 +88,7 @@
 		for (const { worker, draining, silent, sequence = 0 } of context.state.workers.all()) {
 			const view = this.add(worker)
 			view.sequence = sequence
-			view.heartbeatAt -= silent ? context.timing.workerSilent : context.timing.workerQuiet
+			view.heartbeatAt -= silent ? context.timing.heartbeatTimeout : context.timing.heartbeatOverdue
 			if (draining) this.onWorkerDraining(worker.id)
 		}
 	}
@@ -142,7 +142,7 @@
 		if (view.isDraining || view.isEnding || view.isUnreachable || !view.isListed) return false
 		if (view.suspects.size > 0) return false
 		if (this.losses.isSuspect(view, now) || this.stalls.isStalled(view.id, now)) return false
-		return view.heartbeatAge(now) < timing.workerSilent && health.isOpen(view.id, now)
+		return view.heartbeatAge(now) < timing.heartbeatTimeout && health.isOpen(view.id, now)
 	}
 
 	/** A worker has joined, or its description has changed. */
@@ -182,7 +182,7 @@
 	}
 
 	/** Another instance has received a heartbeat of a worker. */
-	onHeartbeatRelayed(heard: HeardWorker): void {
+	onHeartbeatRelayed(heard: RelayedHeartbeat): void {
 		this.heartbeats.onRelayed(heard)
 	}
 
@@ -228,7 +228,7 @@
 			}
 			if (view.isUnreachable && view.lease.isOver(now)) this.lostRuns.abandonAll(view)
 			const heartbeatAge = now - view.heartbeatAt
-			if (heartbeatAge > this.context.timing.workerForgotten && view.runs.size === 0) {
+			if (heartbeatAge > this.context.timing.idleWorkerRetention && view.runs.size === 0) {
 				this.proposeGone(view.id, WorkerEnd.Forgotten)
 			}
 		}
@@ -307,7 +307,7 @@
 	 * unless this leader sent it to another incarnation.
 	 */
 	onFenced(view: WorkerView): void {
-		if (this.views.get(view.id) === view && !view.isEnding) this.context.deposed()
+		if (this.views.get(view.id) === view && !view.isEnding) this.context.onDeposed()
 	}
 
 	/** Proposes to remove an incarnation of a worker that has ended. */
@@ -319,7 +319,7 @@
 		const tasks = view && namesOf(view.runs.keys())
 		log.info(LeaderEvent.WorkerGone, { worker: id, reason, runs: view?.runs.size, silent, tasks })
 		const crash = view && isCrash(reason) ? this.losses.findingsOf(view) : undefined
-		proposals.propose({ kind: 'gone', worker: id, at: epochOf(this.context), crash }, done)
+		proposals.propose({ kind: 'gone', worker: id, at: epochTimeOf(this.context), crash }, done)
 	}
 
 	/**
@@ -398,7 +398,7 @@
 		const last = Math.max(...newEnds.map((end) => end.number))
 		view.endsProposed = last
 		const runs = toCommandEnds(newEnds)
-		this.context.proposals.propose({ kind: 'end', runs, at: epochOf(this.context) }, () => {
+		this.context.proposals.propose({ kind: 'end', runs, at: epochTimeOf(this.context) }, () => {
 			view.endsCommitted = Math.max(view.endsCommitted, last)
 		})
 	}
@@ -432,8 +432,8 @@
 		const since = state.workers.find(id)?.joinedAt
 		const isNew =
 			since !== undefined &&
-			epochOf(this.context) - since < timing.longestLease + MAX_WALL_CLOCK_SKEW_MS
-		const granted = born !== undefined && isNew ? timing.longestLease : timing.lease
+			epochTimeOf(this.context) - since < timing.maxLease + MAX_WALL_CLOCK_SKEW_MS
+		const granted = born !== undefined && isNew ? timing.maxLease : timing.lease
 		const longest = granted / (1 - timing.clockDrift) + timing.leaseMargin
 		return new Lease(timing, clock.now() + longest)
 	}
--- a/packages/jobs/src/lib/shares/LeaderShares.test.ts
+++ b/packages/jobs/src/lib/shares/LeaderShares.test.ts
@@ -49,14 +49,14 @@
 	const subject = fullSubject()
 	const [use] = usesOf(subject, 'pressing')
 	assert.equal(use.over, true)
-	assert.ok(subject.lines.some((line) => line.includes('share-exceeded')))
+	assert.ok(subject.logLines.some((line) => line.includes('share-exceeded')))
 	const worker = subject.worker('w1')
 	worker.end(worker.running[0].task, 'done')
 	subject.run(1000, ...WORKERS)
 	assert.ok(worker.running.some(({ task }) => task.startsWith(idOf(99))))
 	subject.call({ kind: 'cancel', to: { id: idOf(99) } })
 	subject.run(1000, ...WORKERS)
-	assert.ok(subject.lines.some((line) => line.includes('share-regained')))
+	assert.ok(subject.logLines.some((line) => line.includes('share-regained')))
 })
 
 test('the next leader continues with recent usage, which is replicated at most every three seconds', () => {
@@ -94,7 +94,7 @@
 	const subject = fullSubject({ overload: false, shares: false })
 	assert.deepEqual(usesOf(subject, 'pressing'), [])
 	assert.deepEqual(notesIn(subject), [])
-	assert.ok(!subject.lines.some((line) => line.includes('share-')))
+	assert.ok(!subject.logLines.some((line) => line.includes('share-')))
 })
 
 test('accounts without a weight have no shares', () => {
--- a/packages/jobs/src/lib/shares/LeaderShares.ts
+++ b/packages/jobs/src/lib/shares/LeaderShares.ts
@@ -4,7 +4,7 @@
  */
 import { Measure } from '@rillrudder/telemetry'
 import type { AccountUsage } from '../accounts/AccountUsage'
-import { epochOf, type LeaderContext } from '../leader/LeaderContext'
+import { epochTimeOf, type LeaderContext } from '../leader/LeaderContext'
 import { LeaderEvent } from '../leader/LeaderEvent'
 import {
 	AccountShares,
@@ -60,7 +60,7 @@
 	) {
 		const now = context.clock.now()
 		const { shares } = context.state
-		const gap = shares ? Math.min(MAX_GAP_MS, Math.max(0, epochOf(context) - shares.at)) : 0
+		const gap = shares ? Math.min(MAX_GAP_MS, Math.max(0, epochTimeOf(context) - shares.at)) : 0
 		this.startedAt = now
 		this.nextRecordAt = now + RECORD_PERIOD_MS
 		this.capacityShares = new AccountShares(now - gap)
@@ -108,7 +108,7 @@
 		const text = JSON.stringify([rooms, advice])
 		if (text === this.lastRecorded) return
 		this.lastRecorded = text
-		const had = { at: epochOf(this.context), rooms, advice }
+		const had = { at: epochTimeOf(this.context), rooms, advice }
 		this.context.proposals.propose({ kind: 'shares', had })
 	}
 
--- a/packages/jobs/src/lib/shares/StepShares.ts
+++ b/packages/jobs/src/lib/shares/StepShares.ts
@@ -9,7 +9,7 @@
 } from '@rillrudder/scheduler'
 import type { AccountUsage } from '../accounts/AccountUsage'
 import { shouldPlanGang } from '../gangs/shouldPlanGang'
-import { epochOf, type LeaderContext } from '../leader/LeaderContext'
+import { epochTimeOf, type LeaderContext } from '../leader/LeaderContext'
 import type { StepWork } from '../leader/steps/StepWork'
 import type { WorkerView } from '../leader/workers/WorkerView'
 import type { Reservations } from '../placement/Reservations'
@@ -63,7 +63,7 @@
 		if (!byUsefulness && !byShare && !this.hasOrder) return false
 		this.hasOrder = byUsefulness || byShare
 		if (byShare) this.shares.update(now, this.capacitiesOf(waiting), this.demandsOf(waiting))
-		const epoch = epochOf(this.context)
+		const epoch = epochTimeOf(this.context)
 		const reserved = new ReservedCapacity()
 		let changed = false
 		for (const work of waiting.steps) {
@@ -128,7 +128,7 @@
 		for (const work of steps) {
 			const { account, service, step } = work
 			if (!account || step.lasting || !isWaiting(work)) continue
-			if (!this.accounts.mayBegin(account, step)) continue
+			if (!this.accounts.canStart(account, step)) continue
 			const count = work.waiting().length
 			yield { account, service, need: times(work.need, count) }
 		}
--- a/packages/jobs/src/lib/speeds/SpeedMonitor.test.ts
+++ b/packages/jobs/src/lib/speeds/SpeedMonitor.test.ts
@@ -17,7 +17,7 @@
 	const subject = new LeaderSubject()
 	for (const id of WORKERS) {
 		subject.heartbeat(id)
-		subject.worker(id).pace = SLOW.includes(id) ? slowPace : PACE
+		subject.worker(id).progressPerPoll = SLOW.includes(id) ? slowPace : PACE
 	}
 	for (const job of ['00000000000000a1', '00000000000000a2', '00000000000000a3']) {
 		subject.submit(job, jobOf({ count: WORKERS.length, mostPerWorker: 1 }))
@@ -26,7 +26,7 @@
 }
 
 function workersLoggedSlow(subject: LeaderSubject): string[] {
-	const lines = subject.lines.filter((line) => line.includes('"worker-slow"'))
+	const lines = subject.logLines.filter((line) => line.includes('"worker-slow"'))
 	return SLOW.filter((id) => lines.some((line) => line.includes(`"${id}"`)))
 }
 
@@ -61,7 +61,7 @@
 test('the next leader learns the speeds again from the tasks that workers list', () => {
 	const subject = unevenSubject()
 	subject.run(LEARNED_IN, ...WORKERS)
-	subject.lines.length = 0
+	subject.logLines.length = 0
 	subject.lead()
 	subject.run(LEARNED_IN, ...WORKERS)
 	assert.deepEqual(workersLoggedSlow(subject), SLOW)
@@ -70,5 +70,5 @@
 test('no worker is logged as slow if all speeds are similar', () => {
 	const subject = unevenSubject(PACE)
 	subject.run(LEARNED_IN, ...WORKERS)
-	assert.equal(subject.lines.filter((line) => /speeds-heeded|worker-slow/.test(line)).length, 0)
+	assert.equal(subject.logLines.filter((line) => /speeds-heeded|worker-slow/.test(line)).length, 0)
 })
