--- a/packages/jobs/src/lib/leader/runs/RunController.ts
+++ b/packages/jobs/src/lib/leader/runs/RunController.ts
@@ -329,13 +329,13 @@
 	private watchStalls(view: WorkerView): void {
 		const now = this.context.clock.now()
 		const { stalls } = this.workers
-		if (stalls.judge(view, this.workers.size, now)) {
+		if (stalls.update(view, this.workers.size, now)) {
 			const { log, meter } = this.context
 			log.warn(LeaderEvent.WorkerStalled, { worker: view.id, runs: view.runs.size })
 			meter.count(Measure.StalledWorkers)
 		}
 		if (!stalls.isStalled(view.id, now) || view.draining) return
-		for (const run of stalls.runsToMove(view)) this.move(run)
+		for (const run of stalls.getRunsToMove(view)) this.move(run)
 	}
 
 	/** Stops a run so that it goes on elsewhere. */
--- a/packages/jobs/src/lib/leader/workers/WorkerRegistry.ts
+++ b/packages/jobs/src/lib/leader/workers/WorkerRegistry.ts
@@ -14,7 +14,7 @@
 import { isOtherLife, parseIncarnation } from '../../records/Incarnation'
 import type { JobRecord } from '../../state/JobRecord'
 import { tasksOf } from '../../state/JobTable'
-import { StallWatch } from '../../placement/StallWatch'
+import { StallDetector } from '../../placement/StallDetector'
 import type { AccountUsage } from '../../accounts/AccountUsage'
 import type { HeardWorker } from '../callers/calls'
 import type { ListedEnd, PollResult } from '../ports'
@@ -45,7 +45,7 @@
 export class WorkerRegistry {
 	private readonly views = new Map<string, WorkerView>()
 	/** Tells on which workers runs stand still. */
-	readonly stalls = new StallWatch()
+	readonly stalls = new StallDetector()
 	/** What workers that fall silent tell. */
 	readonly losses: WorkerLosses
 	private readonly suspects: SuspectRuns
--- a/packages/jobs/src/lib/placement/StallWatch.ts
+++ b/packages/jobs/src/lib/placement/StallDetector.ts
@@ -13,35 +13,35 @@
  * Milliseconds without progress after which a run counts as standing, at least: a poll and a half, or one reading in
  * which nothing has moved where polls wait longer.
  */
-const STANDS_AFTER = 750
+const MIN_STALL_MS = 750
 /** The same as a share of the declared time: progress is told in whole percents. */
-const STANDS_SHARE = 0.2
+const STALL_TIME_SHARE = 0.2
 /** Share of a worker's runs that must stand before the worker is the cause. */
-const MOST_RUNS = 0.5
+const MIN_STALLED_RUN_SHARE = 0.5
 /** Share of all workers that may be closed at a time; with more of them the cause is not theirs. */
-const MOST_WORKERS = 0.25
+const MAX_CLOSED_WORKER_SHARE = 0.25
 /** Milliseconds for which a worker stays closed after a run was last seen to stand there. */
-const CLOSED_FOR = 1500
+const CLOSED_FOR_MS = 1500
 /** Attempts up to which a run may be moved, so that none is moved again and again. */
-const LAST_MOVED_ATTEMPT = 3
+const MAX_MOVED_ATTEMPT = 3
 
 /**
  * Watches whether runs get on.
  *
  * @internal
  */
-export class StallWatch {
+export class StallDetector {
 	/** Until when workers stay closed, on the leader's clock. */
-	private readonly closed = new Map<string, number>()
+	private readonly closedUntil = new Map<string, number>()
 
 	/** @returns whether runs were seen to stand still on a worker of late. */
 	isStalled(worker: string, now: number): boolean {
-		return (this.closed.get(worker) ?? 0) > now
+		return (this.closedUntil.get(worker) ?? 0) > now
 	}
 
 	/** Forgets a worker that has ended. */
 	forget(worker: string): void {
-		this.closed.delete(worker)
+		this.closedUntil.delete(worker)
 	}
 
 	/**
@@ -50,30 +50,32 @@
 	 * @param workers - how many workers there are.
 	 * @returns whether it was found to stand still, and was not known to.
 	 */
-	judge(view: WorkerView, workers: number, now: number): boolean {
-		const judged = [...view.runs.values()].filter(tellsOfWorker)
-		const standing = judged.filter(isStanding)
-		if (standing.length === 0 || standing.length < judged.length * MOST_RUNS) return false
-		const known = this.isStalled(view.id, now)
-		if (!known && this.countClosed(now) >= Math.max(1, workers * MOST_WORKERS)) return false
-		this.closed.set(view.id, now + CLOSED_FOR)
-		return !known
+	update(view: WorkerView, workers: number, now: number): boolean {
+		const judgeable = [...view.runs.values()].filter(tellsOfWorker)
+		const stalled = judgeable.filter(isStalledRun)
+		if (stalled.length === 0 || stalled.length < judgeable.length * MIN_STALLED_RUN_SHARE)
+			return false
+		const wasStalled = this.isStalled(view.id, now)
+		if (!wasStalled && this.countClosed(now) >= Math.max(1, workers * MAX_CLOSED_WORKER_SHARE))
+			return false
+		this.closedUntil.set(view.id, now + CLOSED_FOR_MS)
+		return !wasStalled
 	}
 
 	/** @returns the runs of a worker that stand still and may begin elsewhere. */
-	runsToMove(view: WorkerView): Run[] {
+	getRunsToMove(view: WorkerView): Run[] {
 		return [...view.runs.values()].filter(
-			(run) => tellsOfWorker(run) && isStanding(run) && run.attempt <= LAST_MOVED_ATTEMPT
+			(run) => tellsOfWorker(run) && isStalledRun(run) && run.attempt <= MAX_MOVED_ATTEMPT
 		)
 	}
 
 	private countClosed(now: number): number {
 		let count = 0
-		for (const until of this.closed.values()) if (until > now) count += 1
+		for (const until of this.closedUntil.values()) if (until > now) count += 1
 		return count
 	}
 }
 
-function isStanding({ progress, step }: Run): boolean {
-	return progress.stoodStillFor >= Math.max(STANDS_AFTER, step.expectedTime * STANDS_SHARE)
+function isStalledRun({ progress, step }: Run): boolean {
+	return progress.stoodStillFor >= Math.max(MIN_STALL_MS, step.expectedTime * STALL_TIME_SHARE)
 }
