--- a/packages/jobs/src/lib/leader/runs/RunController.ts
+++ b/packages/jobs/src/lib/leader/runs/RunController.ts
@@ -283,7 +283,7 @@
 			const now = this.context.clock.now()
 			if (checkpoint !== run.checkpoint) run.checkpointAt = now
 			Object.assign(run, { checkpoint, percent, measure, absent: 0 })
-			run.progress.read(percent, result.clock, now)
+			run.progress.addReading(percent, result.clock, now)
 			run.atWork.listed(result.clock)
 			this.clearIfHarmless(run)
 			this.noteAtWork(run)
--- a/packages/jobs/src/lib/leader/workers/WorkerPolls.ts
+++ b/packages/jobs/src/lib/leader/workers/WorkerPolls.ts
@@ -124,7 +124,7 @@
 	if (!view.polling) return false
 	for (const run of view.runs.values()) {
 		const ends = run.urgent && run.phase === RunPhase.Running
-		if (ends && run.progress.overdue(now) > OVERDUE) return true
+		if (ends && run.progress.getOverdueTime(now) > OVERDUE) return true
 	}
 	return false
 }
--- a/packages/jobs/src/lib/placement/RoomForecast.ts
+++ b/packages/jobs/src/lib/placement/RoomForecast.ts
@@ -70,5 +70,5 @@
 function endOf(run: Run, now: number): number {
 	const stopping = run.phase === RunPhase.Stopping || run.phase === RunPhase.Stopped
 	if (stopping || run.ending) return now + STOP_SPAN
-	return run.step.lasting ? Number.POSITIVE_INFINITY : run.progress.expectedEnd(now)
+	return run.step.lasting ? Number.POSITIVE_INFINITY : run.progress.getExpectedEnd(now)
 }
--- a/packages/jobs/src/lib/placement/StallDetector.ts
+++ b/packages/jobs/src/lib/placement/StallDetector.ts
@@ -77,5 +77,5 @@
 }
 
 function isStalledRun({ progress, step }: Run): boolean {
-	return progress.stoodStillFor >= Math.max(MIN_STALL_MS, step.expectedTime * STALL_TIME_SHARE)
+	return progress.stalledForMs >= Math.max(MIN_STALL_MS, step.expectedTime * STALL_TIME_SHARE)
 }
--- a/packages/jobs/src/lib/speeds/SpeedWatch.ts
+++ b/packages/jobs/src/lib/speeds/SpeedWatch.ts
@@ -39,13 +39,13 @@
 		if (this.isDisturbed(view)) return
 		for (const { task, attempt } of running) {
 			const run = view.runs.get(task)
-			if (run?.attempt === attempt) this.note(view, run, run.progress.observed)
+			if (run?.attempt === attempt) this.note(view, run, run.progress.observedDuration)
 		}
 		for (const { task, attempt, how } of ended) {
 			const run = view.runs.get(task)
 			if (run?.attempt !== attempt || how !== RunEnd.Done || this.ended.has(run)) continue
 			this.ended.add(run)
-			this.note(view, run, run.progress.observedAtEnd(clock))
+			this.note(view, run, run.progress.getObservedDurationAtEnd(clock))
 		}
 	}
 
@@ -81,7 +81,7 @@
 
 	private note(view: WorkerView, run: Run, milliseconds: number | undefined): void {
 		if (milliseconds === undefined || !tellsOfWorker(run)) return
-		if (run.progress.stoodStillFor >= STANDS_AFTER) return
+		if (run.progress.stalledForMs >= STANDS_AFTER) return
 		const { job, repeat, step } = run.name
 		// Away from its data a task takes longer, whatever the worker.
 		const far = run.step.rack !== '' && run.step.rack !== view.worker.rack
