--- a/packages/jobs/src/lib/leader/JobController.ts
+++ b/packages/jobs/src/lib/leader/JobController.ts
@@ -4,7 +4,7 @@
 import type { CellConfiguration, Heartbeat, Queue } from '../records/Cell'
 import { formatTaskName } from '../records/Job'
 import type { Change } from '../state/Change'
-import { OrderByUse } from '../placement/OrderByUse'
+import { UsefulnessOrder } from '../placement/UsefulnessOrder'
 import { Precedence } from '../placement/Precedence'
 import { objectiveOf } from '../placement/stepTimes'
 import { isActive, type JobRecord } from '../state/JobRecord'
@@ -72,7 +72,7 @@
 			state.configuration?.accounts ?? [],
 			context.timing.quotaTolerance
 		)
-		const use = new OrderByUse(context.policy)
+		const use = new UsefulnessOrder(context.policy)
 		this.shares = new LeaderShares(context, this.accounts, use)
 		this.workers = new WorkerRegistry(context, this.accounts, {
 			polled: (view, result, sentAt) => {
--- a/packages/jobs/src/lib/placement/OrderByUse.test.ts
+++ b/packages/jobs/src/lib/placement/UsefulnessOrder.test.ts
@@ -3,17 +3,17 @@
 import { PLAIN_POLICY } from '../leader/LeaderPolicy'
 import { LeaderSubject } from '../testing/LeaderSubject'
 import { jobOf } from '../testing/samples'
-import { OrderByUse } from './OrderByUse'
+import { UsefulnessOrder } from './UsefulnessOrder'
 
 test('the order by use is in force where settings call for it, speeds differ much, or gangs are planned', () => {
-	const plain = new OrderByUse(PLAIN_POLICY)
-	assert.equal(plain.inForce, false)
-	plain.speedsDiffer = true
-	assert.equal(plain.inForce, true)
-	const withGangs = new OrderByUse(PLAIN_POLICY)
-	withGangs.plansGangs = true
-	assert.equal(withGangs.inForce, true)
-	assert.equal(new OrderByUse({ ...PLAIN_POLICY, overload: true }).inForce, true)
+	const plain = new UsefulnessOrder(PLAIN_POLICY)
+	assert.equal(plain.isEnabled, false)
+	plain.hasDifferingSpeeds = true
+	assert.equal(plain.isEnabled, true)
+	const withGangs = new UsefulnessOrder(PLAIN_POLICY)
+	withGangs.hasPlannedGangs = true
+	assert.equal(withGangs.isEnabled, true)
+	assert.equal(new UsefulnessOrder({ ...PLAIN_POLICY, overload: true }).isEnabled, true)
 })
 
 const WHOLE_WORKER = { cpu: 4000, memory: 512, accelerators: 0 }
--- a/packages/jobs/src/lib/placement/OrderByUse.ts
+++ b/packages/jobs/src/lib/placement/UsefulnessOrder.ts
@@ -10,16 +10,16 @@
  *
  * @internal
  */
-export class OrderByUse {
+export class UsefulnessOrder {
 	/** Whether the speeds of workers differ so much that decisions heed them. */
-	speedsDiffer = false
+	hasDifferingSpeeds = false
 	/** Whether gangs have been planned as a whole in this leadership. */
-	plansGangs = false
+	hasPlannedGangs = false
 
 	constructor(private readonly policy: LeaderPolicy) {}
 
 	/** Whether what can still be in time goes before what can't. */
-	get inForce(): boolean {
-		return this.policy.overload || this.speedsDiffer || this.plansGangs
+	get isEnabled(): boolean {
+		return this.policy.overload || this.hasDifferingSpeeds || this.hasPlannedGangs
 	}
 }
--- a/packages/jobs/src/lib/shares/LeaderShares.ts
+++ b/packages/jobs/src/lib/shares/LeaderShares.ts
@@ -9,7 +9,7 @@
 import { AccountShares, type HadRoom, type ServiceStanding, type Want } from './AccountShares'
 import { AdviceShares } from './AdviceShares'
 import type { HadShares } from './HadShares'
-import type { OrderByUse } from '../placement/OrderByUse'
+import type { UsefulnessOrder } from '../placement/UsefulnessOrder'
 import type { ServiceRoom } from './ServiceRoom'
 
 /** Milliseconds between two notes for the next leader: a third of the span over which shares are averaged. */
@@ -40,7 +40,7 @@
 		private readonly context: LeaderContext,
 		private readonly accounts: AccountUsage,
 		/** Whether steps are ordered by the use that they are of. */
-		readonly use: OrderByUse
+		readonly use: UsefulnessOrder
 	) {
 		const now = context.clock.now()
 		const { shares } = context.state
--- a/packages/jobs/src/lib/shares/StepShares.ts
+++ b/packages/jobs/src/lib/shares/StepShares.ts
@@ -48,12 +48,12 @@
 
 	/** A step waits from now on. */
 	opened(work: StepWork): void {
-		if (needsPlan(work)) this.shares.use.plansGangs = true
+		if (needsPlan(work)) this.shares.use.hasPlannedGangs = true
 	}
 
 	/** Notes anew what orders the steps besides their times. @returns whether that has changed for any. */
 	note(view: StepView, now: number): boolean {
-		const { inForce: byUse } = this.shares.use
+		const { isEnabled: byUse } = this.shares.use
 		const rooms = this.shares.inForce
 		// What was noted while either was in force is taken back once.
 		if (!byUse && !rooms && !this.ordered) return false
--- a/packages/jobs/src/lib/speeds/SpeedWatch.ts
+++ b/packages/jobs/src/lib/speeds/SpeedWatch.ts
@@ -9,7 +9,7 @@
 import type { WorkerRegistry } from '../leader/workers/WorkerRegistry'
 import type { WorkerView } from '../leader/workers/WorkerView'
 import { RunEnd } from '../records/Job'
-import type { OrderByUse } from '../placement/OrderByUse'
+import type { UsefulnessOrder } from '../placement/UsefulnessOrder'
 import { WorkerSpeeds } from './WorkerSpeeds'
 
 /** Milliseconds between two estimates. */
@@ -31,7 +31,7 @@
 	constructor(
 		private readonly context: LeaderContext,
 		private readonly workers: WorkerRegistry,
-		private readonly use: OrderByUse
+		private readonly use: UsefulnessOrder
 	) {}
 
 	/** Takes what a worker has listed. */
@@ -60,7 +60,7 @@
 		this.due = now + PERIOD
 		const { heeded, slow, notSlow } = this.speeds.assess(this.workers.size, now)
 		for (const view of this.workers.all()) view.speed = this.speeds.speedOf(view.id)
-		this.use.speedsDiffer = this.speeds.spread.heeded
+		this.use.hasDifferingSpeeds = this.speeds.spread.heeded
 		if (heeded !== undefined) this.tellSpread()
 		for (const worker of slow) this.tell(LeaderEvent.WorkerSlow, worker, now)
 		for (const worker of notSlow) this.tell(LeaderEvent.WorkerNotSlow, worker, now)
