--- a/packages/jobs/src/lib/leader/JobController.ts
+++ b/packages/jobs/src/lib/leader/JobController.ts
@@ -81,7 +81,7 @@
 			},
 		})
 		this.speeds = new SpeedWatch(context, this.workers, use)
-		this.precedence.configured(state.configuration?.queues ?? [], context.clock.now())
+		this.precedence.onQueuesConfigured(state.configuration?.queues ?? [], context.clock.now())
 		this.runs = new RunController(context, this.workers, this.precedence, this.accounts, {
 			ticketRefused: (task, worker) => this.steps.ticketRefused(task, worker),
 			moved: (task, worker) => this.steps.movedAway(task, worker),
@@ -288,7 +288,7 @@
 		const { version, queues, accounts } = configuration
 		this.clients.configured(configuration)
 		this.accounts.configure(accounts ?? [])
-		this.precedence.configured(queues, this.context.clock.now())
+		this.precedence.onQueuesConfigured(queues, this.context.clock.now())
 		this.context.log.info(LeaderEvent.ConfigurationApplied, {
 			configuration: version,
 			queues: queues.length,
--- a/packages/jobs/src/lib/leader/runs/RunController.ts
+++ b/packages/jobs/src/lib/leader/runs/RunController.ts
@@ -5,7 +5,7 @@
 import { GangAttempts } from '../../gangs/GangAttempts'
 import { needsPlan } from '../../gangs/needsPlan'
 import type { AccountUsage } from '../../accounts/AccountUsage'
-import type { Precedence, Standing } from '../../placement/Precedence'
+import type { Precedence, StepPrecedence } from '../../placement/Precedence'
 import { timesOf } from '../../placement/stepTimes'
 import type { JobRecord, TaskRecord } from '../../state/JobRecord'
 import { tasksOf } from '../../state/JobTable'
@@ -41,7 +41,7 @@
 const HARMLESS_AFTER = 10_000
 
 /** What was decided for a run before it begins. @internal */
-export interface Decision extends Standing {
+export interface Decision extends StepPrecedence {
 	/** When, on the leader's clock. */
 	readonly at: number
 	/** Where it is to begin. */
@@ -352,7 +352,7 @@
 		const decision = this.takeDecision(text)
 		const now = this.context.clock.now()
 		const { urgent, yields } =
-			decision ?? this.precedence.standingOf(job.queue, step, now, job.beyondRate)
+			decision ?? this.precedence.precedenceOf(job.queue, step, now, job.beyondRate)
 		const origin = {
 			...claimOf(job, name.step, urgent, this.accounts.of(job)),
 			text,
--- a/packages/jobs/src/lib/leader/steps/StepScheduler.ts
+++ b/packages/jobs/src/lib/leader/steps/StepScheduler.ts
@@ -143,7 +143,7 @@
 
 	/** Takes up a job: all its repeats that are due. */
 	accept(job: JobRecord): void {
-		this.precedence.note(job.queue, this.context.clock.now())
+		this.precedence.recordQueue(job.queue, this.context.clock.now())
 		job.repeats.forEach((_, number) => {
 			if (dueOf(job, number) > epochOf(this.context)) this.later.add(job, number)
 			else this.openReady(job, number)
@@ -325,7 +325,12 @@
 		const queue = this.queueOf(job)
 		const times = timesOf(job, repeat, step, queue)
 		const now = this.context.clock.now()
-		const standing = this.precedence.standingOf(queue, job.request.steps[step], now, job.beyondRate)
+		const standing = this.precedence.precedenceOf(
+			queue,
+			job.request.steps[step],
+			now,
+			job.beyondRate
+		)
 		const account = this.accounts.of(job)
 		const work = new StepWork(job, queue, repeat, step, times, standing, account)
 		this.steps.set(name, work)
--- a/packages/jobs/src/lib/leader/steps/StepWork.ts
+++ b/packages/jobs/src/lib/leader/steps/StepWork.ts
@@ -3,7 +3,7 @@
 import type { Queue } from '../../records/Cell'
 import type { Step } from '../../records/Job'
 import { TaskStatus, type JobRecord, type StepRecord } from '../../state/JobRecord'
-import type { Standing } from '../../placement/Precedence'
+import type { StepPrecedence } from '../../placement/Precedence'
 import {
 	compareUrgency,
 	urgencyOf,
@@ -70,7 +70,7 @@
 		readonly repeat: number,
 		readonly number: number,
 		readonly times: StepTimes,
-		standing: Standing,
+		standing: StepPrecedence,
 		readonly account: QuotaAccount | undefined
 	) {
 		this.name = stepName(job.id, repeat, number)
--- a/packages/jobs/src/lib/placement/Precedence.test.ts
+++ b/packages/jobs/src/lib/placement/Precedence.test.ts
@@ -9,22 +9,22 @@
 
 test('urgent is the highest priority seen at a service, whatever its number', () => {
 	const precedence = new Precedence()
-	for (const queue of [HIGH, LOW, ELSEWHERE]) precedence.note(queue, 0)
-	assert.deepEqual(precedence.standingOf(HIGH, STEP, 0), { urgent: true, yields: false })
-	assert.deepEqual(precedence.standingOf(LOW, STEP, 0), { urgent: false, yields: true })
+	for (const queue of [HIGH, LOW, ELSEWHERE]) precedence.recordQueue(queue, 0)
+	assert.deepEqual(precedence.precedenceOf(HIGH, STEP, 0), { urgent: true, yields: false })
+	assert.deepEqual(precedence.precedenceOf(LOW, STEP, 0), { urgent: false, yields: true })
 })
 
 test('a priority that is seen no more leaves its place to the next', () => {
 	const precedence = new Precedence()
-	precedence.note(HIGH, 0)
-	precedence.note(LOW, 100_000)
-	assert.deepEqual(precedence.standingOf(LOW, STEP, 100_000), { urgent: true, yields: false })
+	precedence.recordQueue(HIGH, 0)
+	precedence.recordQueue(LOW, 100_000)
+	assert.deepEqual(precedence.precedenceOf(LOW, STEP, 100_000), { urgent: true, yields: false })
 })
 
 test('lasting work yields nothing, and best-effort work is never urgent', () => {
 	const precedence = new Precedence()
-	precedence.note(HIGH, 0)
-	const lasting = precedence.standingOf(LOW, { ...STEP, lasting: true }, 0)
+	precedence.recordQueue(HIGH, 0)
+	const lasting = precedence.precedenceOf(LOW, { ...STEP, lasting: true }, 0)
 	assert.deepEqual(lasting, { urgent: false, yields: false })
-	assert.equal(precedence.standingOf(HIGH, { ...STEP, bestEffort: true }, 0).urgent, false)
+	assert.equal(precedence.precedenceOf(HIGH, { ...STEP, bestEffort: true }, 0).urgent, false)
 })
--- a/packages/jobs/src/lib/placement/Precedence.ts
+++ b/packages/jobs/src/lib/placement/Precedence.ts
@@ -9,10 +9,10 @@
  * Milliseconds for which a priority counts after its last job was handed in, or after it was configured: longer than the
  * pause between bursts, and a queue that nobody uses holds nothing back for ever.
  */
-const KEPT = 60_000
+const RETENTION_MS = 60_000
 
 /** What a task of a step is to the others at its service. @internal */
-export interface Standing {
+export interface StepPrecedence {
 	/** Whether it is of the highest priority there, and other work leaves it room. */
 	readonly urgent: boolean
 	/** Whether it leaves room for what is. Lasting work holds its place anyway. */
@@ -26,17 +26,17 @@
  */
 export class Precedence {
 	/** For each service when each priority was last seen, on the leader's clock. */
-	private readonly seen = new Map<string, Map<number, number>>()
+	private readonly lastSeen = new Map<string, Map<number, number>>()
 
 	/** These queues are configured from now on. */
-	configured(queues: readonly Queue[], now: number): void {
-		for (const queue of queues) this.note(queue, now)
+	onQueuesConfigured(queues: readonly Queue[], now: number): void {
+		for (const queue of queues) this.recordQueue(queue, now)
 	}
 
 	/** A job was handed in to a queue. */
-	note({ service, priority }: Queue, now: number): void {
-		const priorities = this.seen.get(service) ?? new Map<number, number>()
-		this.seen.set(service, priorities)
+	recordQueue({ service, priority }: Queue, now: number): void {
+		const priorities = this.lastSeen.get(service) ?? new Map<number, number>()
+		this.lastSeen.set(service, priorities)
 		priorities.set(priority, now)
 	}
 
@@ -47,17 +47,17 @@
 	 * @param beyondRate - whether its account sent it beyond its rate: then it is urgent nowhere.
 	 * @returns what tasks of the step are to the others at their service.
 	 */
-	standingOf(queue: Queue, step: Step, now: number, beyondRate = false): Standing {
-		const below = beyondRate || queue.priority > this.highest(queue, now)
-		const urgent = !below && !step.bestEffort
-		const yields = below && !step.lasting && !step.bestEffort
+	precedenceOf(queue: Queue, step: Step, now: number, beyondRate = false): StepPrecedence {
+		const isBelowHighest = beyondRate || queue.priority > this.getHighestPriority(queue, now)
+		const urgent = !isBelowHighest && !step.bestEffort
+		const yields = isBelowHighest && !step.lasting && !step.bestEffort
 		return { urgent, yields }
 	}
 
-	private highest({ service, priority }: Queue, now: number): number {
+	private getHighestPriority({ service, priority }: Queue, now: number): number {
 		let highest = priority
-		for (const [other, at] of this.seen.get(service) ?? []) {
-			if (now - at <= KEPT) highest = Math.min(highest, other)
+		for (const [other, at] of this.lastSeen.get(service) ?? []) {
+			if (now - at <= RETENTION_MS) highest = Math.min(highest, other)
 		}
 		return highest
 	}
