--- a/packages/jobs/src/lib/leader/workers/WorkerHeartbeats.ts
+++ b/packages/jobs/src/lib/leader/workers/WorkerHeartbeats.ts
@@ -4,8 +4,8 @@
 import type { HeardWorker } from '../callers/calls'
 import { epochOf, type LeaderContext } from '../LeaderContext'
 import { LeaderEvent } from '../LeaderEvent'
-import { Occupant, type LifeChanges } from './LifeChanges'
-import { samePlace, sameWorker } from './sameWorker'
+import { Occupant, type IncarnationChanges } from './IncarnationChanges'
+import { isSamePlace, isSameWorker } from './isSameWorker'
 import { WorkerEnd } from './WorkerEnd'
 import type { WorkerView } from './WorkerView'
 
@@ -28,7 +28,7 @@
 export class WorkerHeartbeats {
 	constructor(
 		private readonly context: LeaderContext,
-		private readonly lives: LifeChanges,
+		private readonly lives: IncarnationChanges,
 		private readonly host: HeartbeatHost
 	) {}
 
@@ -47,7 +47,7 @@
 		if (worker.born === undefined && named?.born !== undefined) return this.passOver(worker, done)
 		// A life keeps its service and its place; another writer's entry under its name must not take it from them.
 		const same = this.host.find(worker.id)
-		if (same && !samePlace(same.worker, worker)) return this.passOver(worker, done)
+		if (same && !isSamePlace(same.worker, worker)) return this.passOver(worker, done)
 		const told = { ...heartbeat, worker }
 		const others = [workers.at(worker.address)?.worker, named]
 		const earlier = others.find((other) => other !== undefined && other.id !== worker.id)
@@ -70,7 +70,7 @@
 	/** A worker reports from where another one is known, or under the name of another life. */
 	private claimed(known: WorkerView, heartbeat: Heartbeat, done: (noted: boolean) => void): void {
 		const { worker } = heartbeat
-		this.lives.settle(known, worker, (occupant) => {
+		this.lives.resolveOccupant(known, worker, (occupant) => {
 			switch (occupant) {
 				case Occupant.Other:
 					return this.accept(heartbeat, done)
@@ -92,7 +92,7 @@
 			this.context.log.debug(LeaderEvent.HeartbeatPassedOver, { worker, number, taken })
 			return noted()
 		}
-		if (!view || !sameWorker(view.worker, heartbeat.worker)) {
+		if (!view || !isSameWorker(view.worker, heartbeat.worker)) {
 			this.proposeWorker(heartbeat, noted)
 			return
 		}
