--- a/packages/scheduler/src/index.ts
+++ b/packages/scheduler/src/index.ts
@@ -1,30 +1,30 @@
 /** Ledger, placement, queues and limits as pure decisions. */
 export { Ledger } from './lib/capacity/Ledger'
 export { LedgerWorker, type WorkerOffer } from './lib/capacity/LedgerWorker'
-export { fits, minus, NOTHING, plus, times, type Resources } from './lib/capacity/Resources'
+export { fits, minus, NO_RESOURCES, plus, times, type Resources } from './lib/capacity/Resources'
 export { WorkerHealth } from './lib/health/WorkerHealth'
-export { chooseWorker, NOWHERE, type Whereabouts } from './lib/placement/chooseWorker'
+export { chooseWorker, NO_TASKS, type TaskCounts } from './lib/placement/chooseWorker'
 export { Estimator } from './lib/placement/Estimator'
-export { whyImpossible } from './lib/placement/feasibility'
+export { explainInfeasibility } from './lib/placement/explainInfeasibility'
 export { Placement } from './lib/placement/Placement'
-export { Siblings } from './lib/placement/Siblings'
+export { SiblingCounts } from './lib/placement/SiblingCounts'
 export {
-	Relief,
-	Waiting,
+	PreemptionMethod,
+	WaitingReason,
 	type Decision,
-	type Relieve,
-	type Running,
-	type Start,
+	type PreemptionDecision,
+	type RunningTask,
+	type StartDecision,
 	type Task,
 } from './lib/placement/Task'
 export { maxMinLevel, type Contender } from './lib/placement/maxMinLevel'
 export {
 	dominantShare,
-	isWithin,
+	isWithinQuota,
 	QuotaAccount,
-	scaled,
+	scaleQuota,
 	type Quota,
 	type QuotaTerms,
 } from './lib/placement/QuotaAccount'
 export { RetryBudget } from './lib/requests/RetryBudget'
-export { SlotPool, type LentSlots, type TakenSlot } from './lib/requests/SlotPool'
+export { SlotPool, type LentSlots, type AcquiredSlot } from './lib/requests/SlotPool'
--- a/packages/scheduler/src/lib/placement/QuotaAccount.ts
+++ b/packages/scheduler/src/lib/placement/QuotaAccount.ts
@@ -1,5 +1,5 @@
 /** What one holder of a quota has reserved, against its quota and its weight. */
-import { minus, NOTHING, plus, type Resources } from '../capacity/Resources'
+import { minus, NO_RESOURCES, plus, type Resources } from '../capacity/Resources'
 
 /** Stands for a weight of nothing, so that a share against it is a number. */
 const LEAST_WEIGHT = 0.001
@@ -22,7 +22,7 @@
  * @public
  */
 export class QuotaAccount {
-	used: Resources = NOTHING
+	used: Resources = NO_RESOURCES
 	/** What it has reserved at each service, where that is told. */
 	private readonly reserved = new Map<string, Resources>()
 
@@ -34,13 +34,13 @@
 	}
 
 	/** The largest share of any resource that it uses, against its weight. */
-	share(total: Resources): number {
+	weightedShareOf(total: Resources): number {
 		return dominantShare(this.used, total) / this.weight
 	}
 
 	/** @returns what it has reserved at a service. */
 	reservedAt(service: string): Resources {
-		return this.reserved.get(service) ?? NOTHING
+		return this.reserved.get(service) ?? NO_RESOURCES
 	}
 
 	/** Notes that it has reserved an amount at a service. */
@@ -58,16 +58,16 @@
 
 	/** Whether the quota has room for that much more. */
 	allows(need: Resources): boolean {
-		return isWithin(plus(this.used, need), this.terms.quota)
+		return isWithinQuota(plus(this.used, need), this.terms.quota)
 	}
 
 	/** Takes an amount, whether the quota has room for it or not. */
-	take(need: Resources): void {
+	addUsage(need: Resources): void {
 		this.used = plus(this.used, need)
 	}
 
 	/** Gives an amount back. */
-	giveBack(need: Resources): void {
+	subtractUsage(need: Resources): void {
 		this.used = minus(this.used, need)
 	}
 }
@@ -81,14 +81,14 @@
 }
 
 /** @returns a quota of so many times another. @public */
-export function scaled({ cpu, memory, accelerators }: Quota, factor: number): Quota {
+export function scaleQuota({ cpu, memory, accelerators }: Quota, factor: number): Quota {
 	const scale = (amount: number | undefined): number | undefined =>
 		amount === undefined ? undefined : amount * factor
 	return { cpu: scale(cpu), memory: scale(memory), accelerators: scale(accelerators) }
 }
 
 /** @returns whether an amount is within a quota. @public */
-export function isWithin(amount: Resources, quota: Quota | undefined): boolean {
+export function isWithinQuota(amount: Resources, quota: Quota | undefined): boolean {
 	if (!quota) return true
 	const { cpu = amount.cpu, memory = amount.memory, accelerators = amount.accelerators } = quota
 	return amount.cpu <= cpu && amount.memory <= memory && amount.accelerators <= accelerators
--- a/packages/scheduler/src/lib/scheduler.test.ts
+++ b/packages/scheduler/src/lib/scheduler.test.ts
@@ -7,7 +7,7 @@
 import { Ledger } from './capacity/Ledger'
 import { WorkerHealth } from './health/WorkerHealth'
 import { Placement } from './placement/Placement'
-import { Waiting, type Task } from './placement/Task'
+import { WaitingReason, type Task } from './placement/Task'
 import { SlotPool } from './requests/SlotPool'
 
 const CAPACITY = { cpu: 8000, memory: 8192, accelerators: 0 }
@@ -73,7 +73,7 @@
 	)
 	placement.submit(gang)
 	assert.equal(placement.decide(1000, 100).length, 0)
-	assert.equal(placement.whyWaiting(gang[0].id), Waiting.Gang)
+	assert.equal(placement.whyWaiting(gang[0].id), WaitingReason.Gang)
 	// Small work goes on arriving; without a hold it would take what comes free for ever.
 	let started = 0
 	for (let now = 31_000; now < 60_000 && started === 0; now += 1000) {
@@ -111,7 +111,7 @@
 	for (const one of tasks) placement.submit([one])
 	placement.submit([task({ team: 'other' })])
 	assert.equal(placement.decide(0, 100).length, 2)
-	assert.equal(placement.whyWaiting(tasks[2].id), Waiting.Quota)
+	assert.equal(placement.whyWaiting(tasks[2].id), WaitingReason.Quota)
 })
 
 test('services keep away from their siblings', () => {
@@ -124,23 +124,23 @@
 
 test('a worker that fails for several customers is closed, tried again, and comes back', () => {
 	const health = new WorkerHealth()
-	for (let count = 0; count < 20; count++) for (const id of ['w1', 'w2', 'w3']) health.succeeded(id)
-	for (let count = 0; count < 40; count++) health.failed('w1', `c${count % 3}`, 0)
+	for (let count = 0; count < 20; count++) for (const id of ['w1', 'w2', 'w3']) health.onSuccess(id)
+	for (let count = 0; count < 40; count++) health.onFailure('w1', `c${count % 3}`, 0)
 	assert.equal(health.isOpen('w1', 1), false)
 	assert.equal(health.isOpen('w1', 1_000_000), true)
-	for (let count = 0; count < 3; count++) health.succeeded('w1')
+	for (let count = 0; count < 3; count++) health.onSuccess('w1')
 	assert.equal(health.isOnProbe('w1'), false)
 	assert.equal(health.closed, 0)
 })
 
 test('one customer whose requests fail closes no worker, and never are most workers closed', () => {
 	const health = new WorkerHealth()
-	for (let count = 0; count < 50; count++) health.failed('w1', 'one customer', 0)
+	for (let count = 0; count < 50; count++) health.onFailure('w1', 'one customer', 0)
 	assert.equal(health.isOpen('w1', 1), true)
 	const workers = Array.from({ length: 10 }, (_, number) => `x${number}`)
-	for (const id of workers) for (let count = 0; count < 30; count++) health.succeeded(id)
+	for (const id of workers) for (let count = 0; count < 30; count++) health.onSuccess(id)
 	for (let round = 0; round < 40; round++) {
-		for (const id of workers.slice(0, 6)) health.failed(id, `c${round % 4}`, 0)
+		for (const id of workers.slice(0, 6)) health.onFailure(id, `c${round % 4}`, 0)
 	}
 	const closed = workers.filter((id) => !health.isOpen(id, 1))
 	assert.ok(closed.length <= 2)
@@ -149,28 +149,28 @@
 test('slots in use are held until they are free, also when the loan shrinks', () => {
 	const pool = new SlotPool(new Random(1))
 	const lent = (slots: number) => [{ worker: 'w1', address: 'a', slots }]
-	pool.set(lent(2))
-	const taken = [pool.take(), pool.take()]
+	pool.update(lent(2))
+	const taken = [pool.acquire(), pool.acquire()]
 	assert.ok(taken.every((slot) => slot?.worker === 'w1'))
-	assert.equal(pool.take(), undefined)
-	pool.set(lent(0))
+	assert.equal(pool.acquire(), undefined)
+	pool.update(lent(0))
 	assert.deepEqual(
 		pool.held().map((one) => one.slots),
 		[2]
 	)
-	pool.free('w1', 5)
-	assert.equal(pool.take(), undefined)
-	pool.free('w1', 5)
+	pool.release('w1', 5)
+	assert.equal(pool.acquire(), undefined)
+	pool.release('w1', 5)
 	assert.deepEqual(pool.held(), [])
 })
 
 test('a worker that has refused work gets none until it is lent anew', () => {
 	const pool = new SlotPool(new Random(1))
-	pool.set([{ worker: 'w1', address: 'a', slots: 2 }])
+	pool.update([{ worker: 'w1', address: 'a', slots: 2 }])
 	pool.close('w1')
-	pool.set([{ worker: 'w1', address: 'a', slots: 2 }])
-	assert.equal(pool.take(), undefined)
-	pool.set([])
-	pool.set([{ worker: 'w1', address: 'a', slots: 2 }])
-	assert.equal(pool.take()?.worker, 'w1')
+	pool.update([{ worker: 'w1', address: 'a', slots: 2 }])
+	assert.equal(pool.acquire(), undefined)
+	pool.update([])
+	pool.update([{ worker: 'w1', address: 'a', slots: 2 }])
+	assert.equal(pool.acquire()?.worker, 'w1')
 })
