--- a/packages/runs/src/lib/jobs/restartedRun.test.ts
+++ b/packages/runs/src/lib/jobs/restartedRun.test.ts
@@ -92,7 +92,13 @@
 	{
 		rule: /does not begin again|an accepted job ends|is known by its present life/,
 		without: 'telling lives apart in lists',
-		breaks: () => [[jobsClass('leader/workers', 'LifeChanges'), 'follow', () => () => undefined]],
+		breaks: () => [
+			[
+				jobsClass('leader/workers', 'IncarnationChanges'),
+				'onOtherIncarnation',
+				() => () => undefined,
+			],
+		],
 		play: withMany,
 	},
 	{
@@ -100,8 +106,8 @@
 		without: 'telling lives apart in heartbeats',
 		breaks: () => [
 			[
-				jobsClass('leader/workers', 'LifeChanges'),
-				'settle',
+				jobsClass('leader/workers', 'IncarnationChanges'),
+				'resolveOccupant',
 				() => (_known, _claimant, done) => (done as (occupant: string) => void)('known'),
 			],
 		],
@@ -127,11 +133,11 @@
 		without: 'stopping what a new life began by orders for the earlier one',
 		breaks: () => [
 			[
-				jobsClass('leader/workers', 'LifeChanges'),
-				'listed',
+				jobsClass('leader/workers', 'IncarnationChanges'),
+				'onRunsListed',
 				() =>
 					function (change) {
-						;(this as { end(change: unknown): void }).end(change)
+						;(this as { finish(change: unknown): void }).finish(change)
 					},
 			],
 		],
