--- a/packages/jobs/src/lib/leader/JobController.ts
+++ b/packages/jobs/src/lib/leader/JobController.ts
@@ -4,7 +4,7 @@
 import type { CellConfiguration, Heartbeat, Queue } from '../records/Cell'
 import { formatTaskName } from '../records/Job'
 import type { Change } from '../state/Change'
-import { OrderByUse } from '../placement/OrderByUse'
+import { UsefulnessOrder } from '../placement/UsefulnessOrder'
 import { Precedence } from '../placement/Precedence'
 import { objectiveOf } from '../placement/stepTimes'
 import { isActive, type JobRecord } from '../state/JobRecord'
@@ -75,7 +75,7 @@
 			state.configuration?.accounts ?? [],
 			context.timing.quotaTolerance
 		)
-		const use = new OrderByUse(context.policy)
+		const use = new UsefulnessOrder(context.policy)
 		this.shares = new LeaderShares(context, this.accounts, use)
 		this.workers = new WorkerRegistry(context, this.accounts, {
 			onPolled: (view, result, sentAt) => {
@@ -84,7 +84,7 @@
 			},
 		})
 		this.speeds = new SpeedMonitor(context, this.workers, use)
-		this.precedence.configured(state.configuration?.queues ?? [], context.clock.now())
+		this.precedence.onQueuesConfigured(state.configuration?.queues ?? [], context.clock.now())
 		this.runs = new RunController(context, this.workers, this.precedence, this.accounts, {
 			onTicketRefused: (task, worker) => this.steps.ticketRefused(task, worker),
 			onMoved: (task, worker) => this.steps.movedAway(task, worker),
@@ -304,7 +304,7 @@
 		const { version, queues, accounts } = configuration
 		this.clients.onConfigured(configuration)
 		this.accounts.configure(accounts ?? [])
-		this.precedence.configured(queues, this.context.clock.now())
+		this.precedence.onQueuesConfigured(queues, this.context.clock.now())
 		this.context.log.info(LeaderEvent.ConfigurationApplied, {
 			configuration: version,
 			queues: queues.length,
--- a/packages/jobs/src/lib/leader/runs/RunController.ts
+++ b/packages/jobs/src/lib/leader/runs/RunController.ts
@@ -5,7 +5,7 @@
 import { GangAttempts } from '../../gangs/GangAttempts'
 import { shouldPlanGang } from '../../gangs/shouldPlanGang'
 import type { AccountUsage } from '../../accounts/AccountUsage'
-import type { Precedence, Standing } from '../../placement/Precedence'
+import type { Precedence, StepPrecedence } from '../../placement/Precedence'
 import { timesOf } from '../../placement/stepTimes'
 import type { JobRecord, TaskRecord } from '../../state/JobRecord'
 import { tasksOf } from '../../state/JobTable'
@@ -46,7 +46,7 @@
 const HARMLESS_AFTER_MS = 10_000
 
 /** A decision to start a run. @internal */
-export interface Decision extends Standing {
+export interface Decision extends StepPrecedence {
 	/** When it was made, on the leader's clock. */
 	readonly at: number
 	/** Id of the worker that is to run it. */
@@ -301,7 +301,7 @@
 			const now = this.context.clock.now()
 			if (checkpoint !== run.checkpoint) run.checkpointAt = now
 			Object.assign(run, { checkpoint, percent, measure, missedPolls: 0 })
-			run.progress.read(percent, result.clock, now)
+			run.progress.addReading(percent, result.clock, now)
 			run.observedTime.onListed(result.clock)
 			this.clearIfHarmless(run)
 			this.recordSeenAtWork(run)
@@ -353,13 +353,13 @@
 	private checkStalls(view: WorkerView): void {
 		const now = this.context.clock.now()
 		const { stalls } = this.workers
-		if (stalls.judge(view, this.workers.size, now)) {
+		if (stalls.update(view, this.workers.size, now)) {
 			const { log, meter } = this.context
 			log.warn(LeaderEvent.WorkerStalled, { worker: view.id, runs: view.runs.size })
 			meter.count(Measure.StalledWorkers)
 		}
 		if (!stalls.isStalled(view.id, now) || view.isDraining) return
-		for (const run of stalls.runsToMove(view)) this.move(run)
+		for (const run of stalls.getRunsToMove(view)) this.move(run)
 	}
 
 	/** Stops a run so that it resumes elsewhere. */
@@ -376,7 +376,7 @@
 		const decision = this.takeDecision(text)
 		const now = this.context.clock.now()
 		const { urgent, yields } =
-			decision ?? this.precedence.standingOf(job.queue, step, now, job.beyondRate)
+			decision ?? this.precedence.precedenceOf(job.queue, step, now, job.beyondRate)
 		const origin = {
 			...claimOf(job, name.step, urgent, this.accounts.accountOf(job)),
 			taskId: text,
--- a/packages/jobs/src/lib/leader/workers/WorkerPolls.ts
+++ b/packages/jobs/src/lib/leader/workers/WorkerPolls.ts
@@ -136,7 +136,7 @@
 	if (!view.isPolling) return false
 	for (const run of view.runs.values()) {
 		const isUrgentRunning = run.urgent && run.phase === RunPhase.Running
-		if (isUrgentRunning && run.progress.overdue(now) > OVERDUE_MS) return true
+		if (isUrgentRunning && run.progress.getOverdueTime(now) > OVERDUE_MS) return true
 	}
 	return false
 }
--- a/packages/jobs/src/lib/leader/workers/WorkerRegistry.ts
+++ b/packages/jobs/src/lib/leader/workers/WorkerRegistry.ts
@@ -14,7 +14,7 @@
 import { isOtherIncarnation, parseIncarnation } from '../../records/Incarnation'
 import type { JobRecord } from '../../state/JobRecord'
 import { tasksOf } from '../../state/JobTable'
-import { StallWatch } from '../../placement/StallWatch'
+import { StallDetector } from '../../placement/StallDetector'
 import type { AccountUsage } from '../../accounts/AccountUsage'
 import type { RelayedHeartbeat } from '../callers/calls'
 import type { ListedEnd, PollResult } from '../ports'
@@ -49,7 +49,7 @@
 export class WorkerRegistry {
 	private readonly views = new Map<string, WorkerView>()
 	/** Detects workers on which runs are stalled. */
-	readonly stalls = new StallWatch()
+	readonly stalls = new StallDetector()
 	/** Records and evaluates the losses of workers. */
 	readonly losses: WorkerLosses
 	private readonly suspects: SuspectRuns
--- a/packages/jobs/src/lib/shares/LeaderShares.ts
+++ b/packages/jobs/src/lib/shares/LeaderShares.ts
@@ -14,7 +14,7 @@
 } from './AccountShares'
 import { AdviceShares } from './AdviceShares'
 import type { RecentUsage } from './RecentUsage'
-import type { OrderByUse } from '../placement/OrderByUse'
+import type { UsefulnessOrder } from '../placement/UsefulnessOrder'
 import type { ServiceCapacity } from './ServiceCapacity'
 
 /**
@@ -56,7 +56,7 @@
 		private readonly context: LeaderContext,
 		private readonly accounts: AccountUsage,
 		/** Whether steps are ordered by usefulness. */
-		readonly usefulnessOrder: OrderByUse
+		readonly usefulnessOrder: UsefulnessOrder
 	) {
 		const now = context.clock.now()
 		const { shares } = context.state
--- a/packages/jobs/src/lib/shares/StepShares.ts
+++ b/packages/jobs/src/lib/shares/StepShares.ts
@@ -48,7 +48,7 @@
 
 	/** Handles a new waiting step. */
 	onStepAdded(work: StepWork): void {
-		if (shouldPlanGang(work)) this.shares.usefulnessOrder.plansGangs = true
+		if (shouldPlanGang(work)) this.shares.usefulnessOrder.hasPlannedGangs = true
 	}
 
 	/**
@@ -57,7 +57,7 @@
 	 * @returns whether that has changed for any step.
 	 */
 	update(waiting: WaitingSteps, now: number): boolean {
-		const { inForce: byUsefulness } = this.shares.usefulnessOrder
+		const { isEnabled: byUsefulness } = this.shares.usefulnessOrder
 		const byShare = this.shares.isEnabled
 		// One more update after both are disabled resets what the steps have recorded.
 		if (!byUsefulness && !byShare && !this.hasOrder) return false
--- a/packages/jobs/src/lib/speeds/SpeedMonitor.ts
+++ b/packages/jobs/src/lib/speeds/SpeedMonitor.ts
@@ -9,7 +9,7 @@
 import type { WorkerRegistry } from '../leader/workers/WorkerRegistry'
 import type { WorkerView } from '../leader/workers/WorkerView'
 import { RunEnd } from '../records/Job'
-import type { OrderByUse } from '../placement/OrderByUse'
+import type { UsefulnessOrder } from '../placement/UsefulnessOrder'
 import { WorkerSpeeds } from './WorkerSpeeds'
 
 /** Milliseconds between two estimates. */
@@ -37,7 +37,7 @@
 	constructor(
 		private readonly context: LeaderContext,
 		private readonly workers: WorkerRegistry,
-		private readonly usefulnessOrder: OrderByUse
+		private readonly usefulnessOrder: UsefulnessOrder
 	) {}
 
 	/** Records the run times of the tasks that a worker has listed. */
@@ -45,13 +45,13 @@
 		if (this.isDisturbed(view)) return
 		for (const { task, attempt } of running) {
 			const run = view.runs.get(task)
-			if (run?.attempt === attempt) this.record(view, run, run.progress.observed)
+			if (run?.attempt === attempt) this.record(view, run, run.progress.observedDuration)
 		}
 		for (const { task, attempt, how } of ended) {
 			const run = view.runs.get(task)
 			if (run?.attempt !== attempt || how !== RunEnd.Done || this.ended.has(run)) continue
 			this.ended.add(run)
-			this.record(view, run, run.progress.observedAtEnd(clock))
+			this.record(view, run, run.progress.getObservedDurationAtEnd(clock))
 		}
 	}
 
@@ -66,7 +66,7 @@
 		this.nextUpdateAt = now + PERIOD_MS
 		const { isSpreadWide, slow, recovered } = this.speeds.update(this.workers.size, now)
 		for (const view of this.workers.all()) view.speed = this.speeds.speedOf(view.id)
-		this.usefulnessOrder.speedsDiffer = this.speeds.spread.isWide
+		this.usefulnessOrder.hasDifferingSpeeds = this.speeds.spread.isWide
 		if (isSpreadWide !== undefined) this.logSpread()
 		for (const worker of slow) this.logWorker(LeaderEvent.WorkerSlow, worker, now)
 		for (const worker of recovered) this.logWorker(LeaderEvent.WorkerNotSlow, worker, now)
@@ -90,7 +90,7 @@
 
 	private record(view: WorkerView, run: Run, milliseconds: number | undefined): void {
 		if (milliseconds === undefined || !isWorkerSpeedSample(run)) return
-		if (run.progress.stoodStillFor >= STALLED_AFTER_MS) return
+		if (run.progress.stalledForMs >= STALLED_AFTER_MS) return
 		const { job, repeat, step } = run.name
 		// Outside the rack of its data a task takes longer on any worker.
 		const far = run.step.rack !== '' && run.step.rack !== view.worker.rack
