--- a/packages/jobs/src/lib/placement/RoomForecast.ts
+++ b/packages/jobs/src/lib/placement/CapacityForecast.ts
@@ -4,7 +4,7 @@
 import { RunPhase, type Run } from '../leader/runs/Run'
 
 /** Milliseconds from a stop's order until its room is free: a stop, its listing and the commit of the end. */
-const STOP_SPAN = 500
+const STOP_DURATION_MS = 500
 
 /** What one more run's end adds to what is free. */
 interface Release {
@@ -14,7 +14,7 @@
 }
 
 /** What is expected at a moment. @internal */
-export interface Forecast {
+export interface ForecastPoint {
 	/** When, on the leader's clock. */
 	readonly at: number
 	readonly free: Resources
@@ -25,7 +25,7 @@
  *
  * @internal
  */
-export class RoomForecast {
+export class CapacityForecast {
 	private readonly account: LedgerWorker
 	private readonly releases: readonly Release[]
 
@@ -39,7 +39,7 @@
 	) {
 		this.account = account
 		const ends = [...view.runs.values()]
-			.map((run) => ({ run, at: endOf(run, now) }))
+			.map((run) => ({ run, at: expectedEndOf(run, now) }))
 			.filter(({ at }) => Number.isFinite(at))
 			.sort((left, right) => left.at - right.at)
 		let freed = NOTHING
@@ -50,7 +50,7 @@
 	}
 
 	/** @returns what is expected to be free at a moment. */
-	freeAt(moment: number): Resources {
+	getFreeAt(moment: number): Resources {
 		let freed = NOTHING
 		for (const release of this.releases) {
 			if (release.at > moment) break
@@ -60,15 +60,15 @@
 	}
 
 	/** What is expected now and after each end. */
-	*moments(): IterableIterator<Forecast> {
+	*getPoints(): IterableIterator<ForecastPoint> {
 		const { free } = this.account
 		yield { at: this.now, free }
 		for (const { at, freed } of this.releases) yield { at, free: plus(free, freed) }
 	}
 }
 
-function endOf(run: Run, now: number): number {
+function expectedEndOf(run: Run, now: number): number {
 	const stopping = run.phase === RunPhase.Stopping || run.phase === RunPhase.Stopped
-	if (stopping || run.ending) return now + STOP_SPAN
+	if (stopping || run.ending) return now + STOP_DURATION_MS
 	return run.step.lasting ? Number.POSITIVE_INFINITY : run.progress.getExpectedEnd(now)
 }
--- a/packages/jobs/src/lib/placement/Reservations.ts
+++ b/packages/jobs/src/lib/placement/Reservations.ts
@@ -7,7 +7,7 @@
 import type { Option } from '../leader/steps/chooseForStep'
 import { byUrgency, type StepWork } from '../leader/steps/StepWork'
 import type { Place } from '../gangs/GangPlan'
-import { RoomForecast } from './RoomForecast'
+import { CapacityForecast } from './CapacityForecast'
 
 /** Share of a worker's largest resource from which a task counts as one that finds no room by itself. */
 const LARGE_SHARE = 0.25
@@ -46,7 +46,7 @@
 	/** How many steps of each service have room kept. */
 	private readonly counts = new Map<string, number>()
 	/** Forecasts of this pass, by worker. */
-	private readonly forecasts = new Map<string, RoomForecast>()
+	private readonly forecasts = new Map<string, CapacityForecast>()
 	private now = 0
 
 	/**
@@ -89,7 +89,7 @@
 		const at = Math.max(...before.map((kept) => kept.at))
 		const ends = this.now + (work.step.expectedTime * TIME_MARGIN) / option.view.speed
 		if (!work.step.lasting && ends <= at) return true
-		return fits(work.need, withoutKept(this.forecastOf(option).freeAt(at), before))
+		return fits(work.need, withoutKept(this.forecastOf(option).getFreeAt(at), before))
 	}
 
 	/**
@@ -139,7 +139,7 @@
 			const { id } = option.view
 			const before = this.keptBefore(work, id)
 			let copies = 0
-			for (const { at, free } of this.forecastOf(option).moments()) {
+			for (const { at, free } of this.forecastOf(option).getPoints()) {
 				const room = withoutKept(free, before)
 				const more = work.copiesIn(id, room) - copies
 				for (let copy = 0; copy < more && copy < tasks; copy++) places.push({ worker: id, at })
@@ -153,9 +153,9 @@
 		return this.counts.get(queue.service) ?? 0
 	}
 
-	private forecastOf(option: Option): RoomForecast {
+	private forecastOf(option: Option): CapacityForecast {
 		const { id } = option.view
-		const forecast = this.forecasts.get(id) ?? new RoomForecast(option, this.now)
+		const forecast = this.forecasts.get(id) ?? new CapacityForecast(option, this.now)
 		this.forecasts.set(id, forecast)
 		return forecast
 	}
