--- a/packages/jobs/src/lib/gangs/GangPlanner.ts
+++ b/packages/jobs/src/lib/gangs/GangPlanner.ts
@@ -46,11 +46,11 @@
 		const need = this.needOf(work, eligible, now)
 		if (!need || hasMemberElsewhere(work, eligible)) return
 		const plan = this.planOf(work, eligible, need)
-		if (plan) this.reservations.hold(work, plan.places, plan.at)
+		if (plan) this.reservations.reservePlaces(work, plan.places, plan.at)
 		const { advice } = work
 		if (now < advice.notBefore) return
 		// A gang that comes after many others learns no more workers than it did at first, until its turn comes.
-		if (!plan && advice.firstAnswerAt !== undefined && !this.reservations.mayKeep(work)) return
+		if (!plan && advice.firstAnswerAt !== undefined && !this.reservations.canReserve(work)) return
 		// Workers that join are learned beside the plan: it does not wait for them.
 		const isDue = plan && plan.renew.length > 0 && now >= plan.askAt
 		if (isDue && !advice.renewing) this.renew(work, plan, now)
@@ -85,9 +85,9 @@
 		need: GangNeed
 	): GangPlan | undefined {
 		const allowed = eligible.filter(({ view }) => work.advice.isAllowed(view.id))
-		const mayKeep = this.reservations.mayKeep(work)
+		const mayKeep = this.reservations.canReserve(work)
 		if (!mayKeep && roomIn(work, allowed, freeOf) < need.members) return undefined
-		return planGang(this.reservations.placesFor(work, need.members, allowed), need)
+		return planGang(this.reservations.findPlaces(work, need.members, allowed), need)
 	}
 
 	/** Workers to learn of: not while those that are known will do at once, or the plan awaits its tickets. */
--- a/packages/jobs/src/lib/leader/steps/StepScheduler.ts
+++ b/packages/jobs/src/lib/leader/steps/StepScheduler.ts
@@ -133,7 +133,7 @@
 	private waitOf(work: StepWork, pass: PlacementPass): Wait {
 		const eligible = pass.eligible(work)
 		const room = eligible.filter((option) => this.admits(work, option))
-		const kept = this.reservations.expectedAt(work)
+		const kept = this.reservations.getExpectedTimes(work)
 		const withinQuota = this.accounts.mayBegin(work.account, work.step)
 		const held = this.quarantine.mayBegin(work).length === 0
 		const behind = !this.startWindow.admits(this.boundedStarts)
@@ -389,8 +389,9 @@
 		if (left === 0) return
 		if (full) work.waits.note(reasonIn(work, { eligible, options }), now)
 		if (needsPlan(work)) return full ? this.gangs.prepare(work, eligible, now) : undefined
-		if (full && this.reservations.mayKeep(work)) this.reservations.keep(work, left, workers.allowed)
-		const room = this.reservations.expectedAt(work)
+		if (full && this.reservations.canReserve(work))
+			this.reservations.reserveIfNeeded(work, left, workers.allowed)
+		const room = this.reservations.getExpectedTimes(work)
 		if (work.queue.advice) this.questions.ask(work, eligible, left, room?.next)
 		if (work.urgent && !work.step.gang) {
 			this.preemption.makeRoom(work, { eligible, options, tasks: left, roomAt: room?.last }, now)
@@ -404,7 +405,7 @@
 		const options = this.readyAmong(work, freed, pass.now)
 		const left = this.placeAmong(work, waiting, options, pass.now)
 		if (left === 0 || options.length === freed.length || work.advice.asking) return
-		const room = this.reservations.expectedAt(work)
+		const room = this.reservations.getExpectedTimes(work)
 		this.questions.ask(work, pass.eligible(work), left, room?.next)
 	}
 
--- a/packages/jobs/src/lib/leader/steps/waitReason.ts
+++ b/packages/jobs/src/lib/leader/steps/waitReason.ts
@@ -1,5 +1,5 @@
 /** Why tasks of a step wait, and what ends that: for people, and for the measures of waits. */
-import type { RoomTimes } from '../../placement/Reservations'
+import type { ReservedTimes } from '../../placement/Reservations'
 import { hasRoom, type Option } from './chooseForStep'
 import type { StepWork } from './StepWork'
 
@@ -50,7 +50,7 @@
 	/** Whether its account's quota has room for what it begins at a time. */
 	readonly withinQuota: boolean
 	/** When room that is kept for it is expected; undefined when none is kept. */
-	readonly kept: RoomTimes | undefined
+	readonly kept: ReservedTimes | undefined
 	/** Whether no more starts may be under way at a time. */
 	readonly behind: boolean
 	/** The moment, on the leader's clock. */
--- a/packages/jobs/src/lib/placement/Reservations.ts
+++ b/packages/jobs/src/lib/placement/Reservations.ts
@@ -10,29 +10,29 @@
 import { CapacityForecast } from './CapacityForecast'
 
 /** Share of a worker's largest resource from which a task counts as one that finds no room by itself. */
-const LARGE_SHARE = 0.25
+const LARGE_TASK_SHARE = 0.25
 /** Steps of one service that may have room kept at a time, the most urgent ones; bounds the time of a pass. */
-const MOST_OF_SERVICE = 12
+const MAX_STEPS_PER_SERVICE = 12
 /** What a task's time is multiplied by before it may begin on kept room: declared times are off by half. */
 const TIME_MARGIN = 1.3
 
 /** Room that is kept on one worker. */
-interface KeptRoom {
+interface Reservation {
 	readonly work: StepWork
 	/** What is kept, for all tasks of the step that are to go there. */
-	readonly room: Resources
+	readonly resources: Resources
 	/** When it is expected to be free, on the leader's clock. */
 	readonly at: number
 }
 
 /** When kept room is expected, on the leader's clock. @internal */
-export interface RoomTimes {
+export interface ReservedTimes {
 	/** For the next task that can begin; of a gang none begins before all can. */
 	readonly next: number
 	/** For the last one that waits. */
 	readonly last: number
 	/** How much room is kept. */
-	readonly room: Resources
+	readonly resources: Resources
 }
 
 /**
@@ -41,8 +41,8 @@
  * @internal
  */
 export class Reservations {
-	private readonly byWorker = new Map<string, KeptRoom[]>()
-	private readonly expected = new Map<StepWork, RoomTimes>()
+	private readonly byWorker = new Map<string, Reservation[]>()
+	private readonly expectedTimes = new Map<StepWork, ReservedTimes>()
 	/** How many steps of each service have room kept. */
 	private readonly counts = new Map<string, number>()
 	/** Forecasts of this pass, by worker. */
@@ -59,21 +59,21 @@
 		this.forecasts.clear()
 		if (!full) return
 		this.byWorker.clear()
-		this.expected.clear()
+		this.expectedTimes.clear()
 		this.counts.clear()
 	}
 
 	/** @returns when a step's room is expected, on the leader's clock; undefined when none is kept. */
-	expectedAt(work: StepWork): RoomTimes | undefined {
-		return this.expected.get(work)
+	getExpectedTimes(work: StepWork): ReservedTimes | undefined {
+		return this.expectedTimes.get(work)
 	}
 
 	/** Keeps nothing for a step any more. */
 	drop(work: StepWork): void {
-		if (!this.expected.delete(work)) return
+		if (!this.expectedTimes.delete(work)) return
 		this.counts.set(work.queue.service, this.countOf(work) - 1)
-		for (const [worker, kept] of this.byWorker) {
-			const others = kept.filter((one) => one.work !== work)
+		for (const [worker, reserved] of this.byWorker) {
+			const others = reserved.filter((one) => one.work !== work)
 			if (others.length > 0) this.byWorker.set(worker, others)
 			else this.byWorker.delete(worker)
 		}
@@ -84,12 +84,12 @@
 	 * @returns whether that would delay no step that goes before it and for which room is kept there.
 	 */
 	allows(work: StepWork, option: Option): boolean {
-		const before = this.keptBefore(work, option.view.id)
-		if (before.length === 0) return true
-		const at = Math.max(...before.map((kept) => kept.at))
+		const preceding = this.getPrecedingReservations(work, option.view.id)
+		if (preceding.length === 0) return true
+		const at = Math.max(...preceding.map((reserved) => reserved.at))
 		const ends = this.now + (work.step.expectedTime * TIME_MARGIN) / option.view.speed
 		if (!work.step.lasting && ends <= at) return true
-		return fits(work.need, withoutKept(this.forecastOf(option).getFreeAt(at), before))
+		return fits(work.need, subtractReserved(this.forecastOf(option).getFreeAt(at), preceding))
 	}
 
 	/**
@@ -99,16 +99,16 @@
 	 * @param tasks - how many of its tasks wait.
 	 * @param options - workers that may run it.
 	 */
-	keep(work: StepWork, tasks: number, options: readonly Option[]): void {
-		if (!this.mayKeep(work) || !needsReservation(work, options)) return
-		const places = this.placesFor(work, tasks, options).slice(0, tasks)
+	reserveIfNeeded(work: StepWork, tasks: number, options: readonly Option[]): void {
+		if (!this.canReserve(work) || !needsReservation(work, options)) return
+		const places = this.findPlaces(work, tasks, options).slice(0, tasks)
 		if (places.length === 0 || (work.step.gang && places.length < tasks)) return
-		this.hold(work, places, places[places.length - 1].at)
+		this.reservePlaces(work, places, places[places.length - 1].at)
 	}
 
 	/** @returns whether room can be kept for one more step of a service. */
-	mayKeep(work: StepWork): boolean {
-		return this.countOf(work) < MOST_OF_SERVICE
+	canReserve(work: StepWork): boolean {
+		return this.countOf(work) < MAX_STEPS_PER_SERVICE
 	}
 
 	/**
@@ -118,29 +118,32 @@
 	 * @param places - one for each task, the soonest first.
 	 * @param last - when the last of them begins, on the leader's clock.
 	 */
-	hold(work: StepWork, places: readonly Place[], last: number): void {
-		if (!this.mayKeep(work)) return
+	reservePlaces(work: StepWork, places: readonly Place[], last: number): void {
+		if (!this.canReserve(work)) return
 		const first = places[0].at
-		for (const [worker, { count, at }] of gather(places)) {
-			const kept = this.byWorker.get(worker) ?? []
+		for (const [worker, { count, at }] of groupByWorker(places)) {
+			const reserved = this.byWorker.get(worker) ?? []
 			// A gang begins at once everywhere; of other steps each task as soon as there is room for it.
 			const until = work.step.gang ? last : at
-			this.byWorker.set(worker, [...kept, { work, room: times(work.need, count), at: until }])
+			this.byWorker.set(worker, [
+				...reserved,
+				{ work, resources: times(work.need, count), at: until },
+			])
 		}
 		const room = times(work.need, places.length)
-		this.expected.set(work, { next: work.step.gang ? last : first, last, room })
+		this.expectedTimes.set(work, { next: work.step.gang ? last : first, last, resources: room })
 		this.counts.set(work.queue.service, this.countOf(work) + 1)
 	}
 
 	/** @returns the places of a step's tasks, the soonest first, beside what is kept for steps that go before. */
-	placesFor(work: StepWork, tasks: number, options: readonly Option[]): Place[] {
+	findPlaces(work: StepWork, tasks: number, options: readonly Option[]): Place[] {
 		const places: Place[] = []
 		for (const option of options) {
 			const { id } = option.view
-			const before = this.keptBefore(work, id)
+			const preceding = this.getPrecedingReservations(work, id)
 			let copies = 0
 			for (const { at, free } of this.forecastOf(option).getPoints()) {
-				const room = withoutKept(free, before)
+				const room = subtractReserved(free, preceding)
 				const more = work.copiesIn(id, room) - copies
 				for (let copy = 0; copy < more && copy < tasks; copy++) places.push({ worker: id, at })
 				copies += Math.max(0, more)
@@ -160,30 +163,30 @@
 		return forecast
 	}
 
-	private keptBefore(work: StepWork, worker: string): KeptRoom[] {
-		const kept = this.byWorker.get(worker) ?? []
-		return kept.filter((one) => one.work !== work && byUrgency(one.work, work) < 0)
+	private getPrecedingReservations(work: StepWork, worker: string): Reservation[] {
+		const reserved = this.byWorker.get(worker) ?? []
+		return reserved.filter((one) => one.work !== work && byUrgency(one.work, work) < 0)
 	}
 }
 
 /** How many of the places are on each worker, and when the last of them is free. */
-function gather(places: readonly Place[]): Map<string, { count: number; at: number }> {
-	const gathered = new Map<string, { count: number; at: number }>()
+function groupByWorker(places: readonly Place[]): Map<string, { count: number; at: number }> {
+	const byWorker = new Map<string, { count: number; at: number }>()
 	for (const { worker, at } of places) {
-		const known = gathered.get(worker) ?? { count: 0, at: 0 }
-		gathered.set(worker, { count: known.count + 1, at: Math.max(known.at, at) })
+		const known = byWorker.get(worker) ?? { count: 0, at: 0 }
+		byWorker.set(worker, { count: known.count + 1, at: Math.max(known.at, at) })
 	}
-	return gathered
+	return byWorker
 }
 
-function withoutKept(room: Resources, kept: readonly KeptRoom[]): Resources {
-	return kept.reduce((left, one) => minus(left, one.room), room)
+function subtractReserved(room: Resources, reserved: readonly Reservation[]): Resources {
+	return reserved.reduce((left, one) => minus(left, one.resources), room)
 }
 
 /** Whether a step's tasks find no room by themselves. */
 function needsReservation(work: StepWork, options: readonly Option[]): boolean {
 	if (work.step.gang) return true
-	return options.some(({ account: { most } }) => largestShare(work.need, most) >= LARGE_SHARE)
+	return options.some(({ account: { most } }) => largestShare(work.need, most) >= LARGE_TASK_SHARE)
 }
 
 function largestShare(need: Resources, capacity: Resources): number {
--- a/packages/jobs/src/lib/shares/StepShares.ts
+++ b/packages/jobs/src/lib/shares/StepShares.ts
@@ -67,7 +67,7 @@
 			const over = rooms && this.isOver(work, kept)
 			const usefulness = byUse ? usefulnessOf(work.times, epoch) : Usefulness.InTime
 			if (work.note(usefulness, over)) changed = true
-			const room = rooms && view.reservations.expectedAt(work)?.room
+			const room = rooms && view.reservations.getExpectedTimes(work)?.resources
 			if (room) this.keep(work, room, kept)
 		}
 		return changed
