--- a/packages/jobs/src/lib/leader/runs/RunController.ts
+++ b/packages/jobs/src/lib/leader/runs/RunController.ts
@@ -6,7 +6,7 @@
 import { needsPlan } from '../../gangs/needsPlan'
 import type { AccountUsage } from '../../accounts/AccountUsage'
 import type { Precedence, StepPrecedence } from '../../placement/Precedence'
-import { timesOf } from '../../placement/stepTimes'
+import { stepTimesOf } from '../../placement/stepTimes'
 import type { JobRecord, TaskRecord } from '../../state/JobRecord'
 import { tasksOf } from '../../state/JobTable'
 import { isActive, TaskStatus } from '../../state/JobRecord'
@@ -360,7 +360,7 @@
 			attempt,
 			worker,
 			yields,
-			times: timesOf(job, name.repeat, name.step, job.queue),
+			times: stepTimesOf(job, name.repeat, name.step, job.queue),
 			ticket: decision?.ticket ?? '',
 			decidedAt: decision?.at,
 			ticketed: job.queue.advice !== undefined,
--- a/packages/jobs/src/lib/leader/steps/StepPlacement.ts
+++ b/packages/jobs/src/lib/leader/steps/StepPlacement.ts
@@ -3,7 +3,7 @@
 import type { GangPlanner } from '../../gangs/GangPlanner'
 import { freeOf, roomIn } from '../../gangs/learnWorkers'
 import type { Reservations } from '../../placement/Reservations'
-import type { UrgentRoom } from '../../placement/UrgentRoom'
+import type { UrgentCapacity } from '../../placement/UrgentCapacity'
 import { epochOf, type LeaderContext } from '../LeaderContext'
 import { chooseForStep, type Option, type RoomCheck } from './chooseForStep'
 import { placeGang, type Placed, type TaskChooser } from './placeGang'
@@ -14,7 +14,7 @@
 
 /** What decides whether room is free for a task. @internal */
 export interface PlacementParts {
-	readonly urgentRoom: UrgentRoom
+	readonly urgentCapacity: UrgentCapacity
 	readonly reservations: Reservations
 	readonly quarantine: Quarantine
 	readonly gangs: GangPlanner
@@ -33,7 +33,7 @@
 	 */
 	private readonly isFree: RoomCheck = (work, option) =>
 		this.parts.openWorkers.isOpen(option) &&
-		this.parts.urgentRoom.allows(work) &&
+		this.parts.urgentCapacity.allows(work) &&
 		this.parts.quarantine.admits(work.job.id, option.view.id, this.context.clock.now()) &&
 		this.parts.reservations.allows(work, option)
 
@@ -87,7 +87,7 @@
 		const steady = this.parts.gangs.steady(work, options, now)
 		const first = place(steady)
 		const placed = first.length > 0 || steady.length === options.length ? first : place(options)
-		this.parts.urgentRoom.took(work, placed.length)
+		this.parts.urgentCapacity.onPlaced(work, placed.length)
 		if (placed.length > 0) this.parts.gangs.begun(work, now)
 		return placed
 	}
@@ -105,7 +105,7 @@
 			const option = choose(index, options)
 			if (!option || !claim(this.context.ledger, option.view.id, work)) break
 			work.count(option.view.id, 1)
-			this.parts.urgentRoom.took(work, 1)
+			this.parts.urgentCapacity.onPlaced(work, 1)
 			placed.push({ index, worker: option.view.id })
 		}
 		return placed
--- a/packages/jobs/src/lib/leader/steps/StepScheduler.ts
+++ b/packages/jobs/src/lib/leader/steps/StepScheduler.ts
@@ -14,10 +14,10 @@
 import { needsPlan } from '../../gangs/needsPlan'
 import type { Precedence } from '../../placement/Precedence'
 import { Reservations } from '../../placement/Reservations'
-import { timesOf } from '../../placement/stepTimes'
+import { stepTimesOf } from '../../placement/stepTimes'
 import type { LeaderShares } from '../../shares/LeaderShares'
 import { StepShares } from '../../shares/StepShares'
-import { UrgentRoom } from '../../placement/UrgentRoom'
+import { UrgentCapacity } from '../../placement/UrgentCapacity'
 import type { AccountUsage } from '../../accounts/AccountUsage'
 import { hasRoom, type Option } from './chooseForStep'
 import { DueRepeats, dueOf } from './DueRepeats'
@@ -56,7 +56,7 @@
 	private stale = true
 	/** The open workers as of the latest full pass; between two, the room left to urgent work is told by these. */
 	private openAtFullPass: readonly Option[] = []
-	private readonly urgentRoom = new UrgentRoom()
+	private readonly urgentCapacity = new UrgentCapacity()
 	private readonly reservations = new Reservations()
 	private readonly quarantine: Quarantine
 	private readonly shares: StepShares
@@ -79,8 +79,8 @@
 		this.questions = new StepQuestions(context, shares)
 		const { reliability } = workers.losses
 		this.gangs = new GangPlanner(context, this.reservations, this.questions, reliability)
-		const { urgentRoom, reservations, quarantine, gangs, openWorkers } = this
-		const parts = { urgentRoom, reservations, quarantine, gangs, openWorkers }
+		const { urgentCapacity, reservations, quarantine, gangs, openWorkers } = this
+		const parts = { urgentCapacity, reservations, quarantine, gangs, openWorkers }
 		this.placement = new StepPlacement(context, accounts, parts)
 		this.log = new StepLog(context)
 		this.waits = new StepWaits(context, (work, pass) => this.waitOf(work, pass))
@@ -274,7 +274,7 @@
 		const tried = due.filter((work) => pass.tries(work))
 		if (tried.length === 0) return
 		if (full) this.openAtFullPass = pass.open
-		this.urgentRoom.beginPass(this.openAtFullPass, now)
+		this.urgentCapacity.beginPass(this.openAtFullPass, now)
 		this.reservations.beginPass(now, full)
 		const before = this.runs.decidedStarts
 		for (const work of this.shares.inOrder(tried)) {
@@ -323,7 +323,7 @@
 		const known = this.steps.get(name)
 		if (known) return known
 		const queue = this.queueOf(job)
-		const times = timesOf(job, repeat, step, queue)
+		const times = stepTimesOf(job, repeat, step, queue)
 		const now = this.context.clock.now()
 		const standing = this.precedence.precedenceOf(
 			queue,
@@ -364,7 +364,7 @@
 
 	/** Whether a worker has room for one more task of a step, and that leaves room to urgent work. */
 	private admits(work: StepWork, option: Option): boolean {
-		return hasRoom(work, option) && this.urgentRoom.allows(work)
+		return hasRoom(work, option) && this.urgentCapacity.allows(work)
 	}
 
 	private placeStep(work: StepWork, pass: PlacementPass): void {
--- a/packages/jobs/src/lib/placement/StepUrgency.ts
+++ b/packages/jobs/src/lib/placement/StepUrgency.ts
@@ -29,7 +29,7 @@
 }
 
 /** What a step's place in the order follows from, besides its times. @internal */
-export interface Claim {
+export interface UrgencyFactors {
 	/** Of the step's queue; 0 goes first. */
 	readonly priority: number
 	/** Whether its account sent its job beyond its rate. */
@@ -41,7 +41,12 @@
 /** @returns what orders a step that has to begin at these times. @internal */
 export function urgencyOf(
 	{ deadline, remaining }: StepTimes,
-	{ priority, beyondRate = false, usefulness = Usefulness.InTime, overShare = false }: Claim
+	{
+		priority,
+		beyondRate = false,
+		usefulness = Usefulness.InTime,
+		overShare = false,
+	}: UrgencyFactors
 ): Urgency {
 	return { beyondRate, priority, usefulness, overShare, latestStart: deadline - remaining }
 }
--- a/packages/jobs/src/lib/placement/UrgentRoom.ts
+++ b/packages/jobs/src/lib/placement/UrgentCapacity.ts
@@ -10,16 +10,16 @@
 import type { StepWork } from '../leader/steps/StepWork'
 
 /** Least share of a service's processors that is left, where no urgent work was seen. */
-const LEAST_SHARE = 0.05
+const MIN_SHARE = 0.05
 /** Most share that is left, however much urgent work was seen: other work must go on. */
-const MOST_SHARE = 0.25
+const MAX_SHARE = 0.25
 /** Milliseconds in which a peak of urgent work comes to count for half; bursts last for 4 s, some tens of seconds apart. */
-const HALF_LIFE = 15_000
+const HALF_LIFE_MS = 15_000
 /** What is left as a multiple of the peak that was seen: urgent work that waited was not seen. */
-const SURPLUS = 1.3
+const PEAK_FACTOR = 1.3
 
 /** Thousandths of processors of a service. */
-interface Use {
+interface ServiceUsage {
 	reserved: number
 	capacity: number
 	/** What urgent work has of what is reserved. */
@@ -39,61 +39,61 @@
  *
  * @internal
  */
-export class UrgentRoom {
-	private uses = new Map<string, Use>()
+export class UrgentCapacity {
+	private usages = new Map<string, ServiceUsage>()
 	private readonly peaks = new Map<string, Peak>()
 	private now = 0
 
 	/** A new pass over the waiting steps begins, with these open workers. */
 	beginPass(open: readonly Option[], now: number): void {
 		this.now = now
-		this.uses = new Map()
+		this.usages = new Map()
 		for (const { view, account } of open) {
-			const use = this.useOf(view.worker.service)
-			use.reserved += account.capacity.cpu - account.free.cpu
-			use.capacity += account.capacity.cpu
-			use.urgent += account.urgent
+			const usage = this.usageOf(view.worker.service)
+			usage.reserved += account.capacity.cpu - account.free.cpu
+			usage.capacity += account.capacity.cpu
+			usage.urgent += account.urgent
 		}
-		for (const [service, { urgent }] of this.uses) this.notePeak(service, urgent)
+		for (const [service, { urgent }] of this.usages) this.updatePeak(service, urgent)
 	}
 
 	/** So many tasks of a step have been given room in this pass. */
-	took({ queue, need, urgent }: StepWork, tasks: number): void {
-		const use = this.useOf(queue.service)
-		use.reserved += need.cpu * tasks
+	onPlaced({ queue, need, urgent }: StepWork, tasks: number): void {
+		const usage = this.usageOf(queue.service)
+		usage.reserved += need.cpu * tasks
 		if (!urgent) return
-		use.urgent += need.cpu * tasks
-		this.notePeak(queue.service, use.urgent)
+		usage.urgent += need.cpu * tasks
+		this.updatePeak(queue.service, usage.urgent)
 	}
 
 	/** @returns whether one more task of a step leaves room to urgent work; the only such work at a service may begin anyway. */
 	allows({ yields, need, queue }: StepWork): boolean {
 		if (!yields || need.cpu === 0) return true
-		const use = this.useOf(queue.service)
-		if (use.reserved <= use.urgent) return true
-		const kept = Math.max(0, this.wanted(queue.service, use) - use.urgent)
-		return use.capacity - use.reserved - kept >= need.cpu
+		const usage = this.usageOf(queue.service)
+		if (usage.reserved <= usage.urgent) return true
+		const headroom = Math.max(0, this.getTarget(queue.service, usage) - usage.urgent)
+		return usage.capacity - usage.reserved - headroom >= need.cpu
 	}
 
 	/** What urgent work should find at a service, with what it has. */
-	private wanted(service: string, { capacity }: Use): number {
-		const least = capacity * LEAST_SHARE
-		const most = capacity * MOST_SHARE
-		return Math.min(most, Math.max(least, this.peakOf(service) * SURPLUS))
+	private getTarget(service: string, { capacity }: ServiceUsage): number {
+		const least = capacity * MIN_SHARE
+		const most = capacity * MAX_SHARE
+		return Math.min(most, Math.max(least, this.peakOf(service) * PEAK_FACTOR))
 	}
 
-	private notePeak(service: string, amount: number): void {
+	private updatePeak(service: string, amount: number): void {
 		if (amount >= this.peakOf(service)) this.peaks.set(service, { amount, at: this.now })
 	}
 
 	private peakOf(service: string): number {
 		const peak = this.peaks.get(service)
-		return peak ? peak.amount * 0.5 ** ((this.now - peak.at) / HALF_LIFE) : 0
+		return peak ? peak.amount * 0.5 ** ((this.now - peak.at) / HALF_LIFE_MS) : 0
 	}
 
-	private useOf(service: string): Use {
-		const use = this.uses.get(service) ?? { reserved: 0, capacity: 0, urgent: 0 }
-		this.uses.set(service, use)
-		return use
+	private usageOf(service: string): ServiceUsage {
+		const usage = this.usages.get(service) ?? { reserved: 0, capacity: 0, urgent: 0 }
+		this.usages.set(service, usage)
+		return usage
 	}
 }
--- a/packages/jobs/src/lib/placement/stepTimes.ts
+++ b/packages/jobs/src/lib/placement/stepTimes.ts
@@ -15,14 +15,14 @@
  * @internal
  */
 export function objectiveOf({ steps }: JobRequest, queue: Queue): number {
-	return stretched(remainingChains(steps, queue), queue)
+	return toObjective(remainingChains(steps, queue), queue)
 }
 
 /** Times its objective after which a job is of no use to its caller. */
 const USEFUL_FACTOR = 3
 
 /** @returns when a step of one of a job's repeats has to begin. @internal */
-export function timesOf(job: JobRecord, repeat: number, step: number, queue: Queue): StepTimes {
+export function stepTimesOf(job: JobRecord, repeat: number, step: number, queue: Queue): StepTimes {
 	const { steps, repeat: terms } = job.request
 	const since = terms ? terms.first + repeat * terms.interval : job.submitted
 	// A lasting task has no end to be in time for: it should be at work, and again at once when it was interrupted.
@@ -30,12 +30,12 @@
 		return { deadline: since + queue.latencyTarget, usefulUntil: Infinity, remaining: 0 }
 	}
 	const chains = remainingChains(steps, queue)
-	const objective = stretched(chains, queue)
+	const objective = toObjective(chains, queue)
 	const usefulUntil = since + objective * USEFUL_FACTOR
 	return { deadline: since + objective, usefulUntil, remaining: chains[step] }
 }
 
-function stretched(chains: readonly number[], { latencyTarget, stretch }: Queue): number {
+function toObjective(chains: readonly number[], { latencyTarget, stretch }: Queue): number {
 	return latencyTarget + stretch * Math.max(0, ...chains)
 }
 
