--- a/packages/jobs/src/lib/gangs/GangPlanner.ts
+++ b/packages/jobs/src/lib/gangs/GangPlanner.ts
@@ -7,7 +7,7 @@
 import type { StepQuestions } from '../leader/advice/StepQuestions'
 import type { LeaderContext } from '../leader/LeaderContext'
 import { LeaderEvent } from '../leader/LeaderEvent'
-import type { Option } from '../leader/steps/chooseForStep'
+import type { WorkerOption } from '../leader/steps/chooseWorkerForStep'
 import type { StepWork } from '../leader/steps/StepWork'
 import type { Reservations } from '../placement/Reservations'
 import { TaskStatus } from '../state/JobRecord'
@@ -42,7 +42,7 @@
 	) {}
 
 	/** Plans a gang that found no room, or no tickets, and asks what its plan wants. */
-	prepare(work: StepWork, eligible: readonly Option[], now: number): void {
+	prepare(work: StepWork, eligible: readonly WorkerOption[], now: number): void {
 		const need = this.needOf(work, eligible, now)
 		if (!need || hasMemberElsewhere(work, eligible)) return
 		const plan = this.planOf(work, eligible, need)
@@ -58,14 +58,14 @@
 	}
 
 	/** Learns which workers may run a gang whose earlier steps are about to be done. */
-	learn(work: StepWork, eligible: readonly Option[], now: number): void {
+	learn(work: StepWork, eligible: readonly WorkerOption[], now: number): void {
 		if (work.advice.asking || now < work.advice.notBefore) return
 		const share = this.questions.shareOf(work.queue.name)
 		this.questions.askAbout(work, learnWorkers(work, eligible, share, false))
 	}
 
 	/** @returns of the workers that may run a step those that gangs are not kept off; all of them for a step that is not planned. */
-	steady(work: StepWork, options: readonly Option[], now: number): readonly Option[] {
+	steady(work: StepWork, options: readonly WorkerOption[], now: number): readonly WorkerOption[] {
 		if (!needsPlan(work)) return options
 		return options.filter(({ view }) => !this.reliability.isUnsteady(view.id, now))
 	}
@@ -81,7 +81,7 @@
 	/** Gangs for which no room can be kept are planned only where there is room for them now. */
 	private planOf(
 		work: StepWork,
-		eligible: readonly Option[],
+		eligible: readonly WorkerOption[],
 		need: GangNeed
 	): GangPlan | undefined {
 		const allowed = eligible.filter(({ view }) => work.advice.isAllowed(view.id))
@@ -93,7 +93,7 @@
 	/** Workers to learn of: not while those that are known will do at once, or the plan awaits its tickets. */
 	private unknown(
 		work: StepWork,
-		eligible: readonly Option[],
+		eligible: readonly WorkerOption[],
 		plan: GangPlan | undefined,
 		{ now, terms }: GangNeed
 	): string[] {
@@ -120,7 +120,11 @@
 		return longer + (this.reliability.isUnsteady(worker, now) ? UNSTEADY_DELAY : 0)
 	}
 
-	private needOf(work: StepWork, eligible: readonly Option[], now: number): GangNeed | undefined {
+	private needOf(
+		work: StepWork,
+		eligible: readonly WorkerOption[],
+		now: number
+	): GangNeed | undefined {
 		const { queue, record, advice, step } = work
 		const { advice: terms } = queue
 		if (!terms) return undefined
@@ -139,7 +143,7 @@
 }
 
 /** Whether a member is still on a worker that is not open: how long that takes is not known, and no member begins before. */
-function hasMemberElsewhere({ record }: StepWork, eligible: readonly Option[]): boolean {
+function hasMemberElsewhere({ record }: StepWork, eligible: readonly WorkerOption[]): boolean {
 	const placed = record.tasks.filter(({ status }) => status === TaskStatus.Placed)
 	if (placed.length === 0) return false
 	const open = new Set(eligible.map(({ view }) => view.id))
--- a/packages/jobs/src/lib/gangs/learnWorkers.ts
+++ b/packages/jobs/src/lib/gangs/learnWorkers.ts
@@ -3,7 +3,7 @@
  * are asked as the gang is likely to need.
  */
 import type { Resources } from '@rillrudder/scheduler'
-import type { Option } from '../leader/steps/chooseForStep'
+import type { WorkerOption } from '../leader/steps/chooseWorkerForStep'
 import type { StepWork } from '../leader/steps/StepWork'
 
 /** Room that is asked for in free room as a multiple of what is wanted, since others place there meanwhile. */
@@ -11,7 +11,7 @@
 /** Room that allowed workers should have in all, as a multiple of the gang: the more of them, the sooner enough are free together. */
 const WHOLE_SURPLUS = 6
 
-type Amount = (option: Option) => Resources
+type Amount = (option: WorkerOption) => Resources
 
 /**
  * @param work - the gang's step.
@@ -23,7 +23,7 @@
  */
 export function learnWorkers(
 	work: StepWork,
-	eligible: readonly Option[],
+	eligible: readonly WorkerOption[],
 	share: number,
 	holdsRoom: boolean
 ): string[] {
@@ -47,7 +47,7 @@
 /** Takes workers, those with the most room first, until they are likely to have enough among them. */
 function choose(
 	work: StepWork,
-	unknown: readonly Option[],
+	unknown: readonly WorkerOption[],
 	amount: Amount,
 	share: number,
 	wanted: number
@@ -71,15 +71,15 @@
 }
 
 /** @returns how many members have room on workers that have so much. @internal */
-export function roomIn(work: StepWork, options: readonly Option[], amount: Amount): number {
+export function roomIn(work: StepWork, options: readonly WorkerOption[], amount: Amount): number {
 	return options.reduce((sum, option) => sum + work.copiesIn(option.view.id, amount(option)), 0)
 }
 
 /** @returns what is free on a worker. @internal */
-export function freeOf({ account }: Option): Resources {
+export function freeOf({ account }: WorkerOption): Resources {
 	return account.free
 }
 
-function wholeOf({ account }: Option): Resources {
+function wholeOf({ account }: WorkerOption): Resources {
 	return account.most
 }
--- a/packages/jobs/src/lib/leader/advice/StepQuestions.ts
+++ b/packages/jobs/src/lib/leader/advice/StepQuestions.ts
@@ -4,7 +4,7 @@
 import { rankOf } from '../../placement/StepUrgency'
 import { AdvicePlanner } from './AdvicePlanner'
 import { AllowedShare } from './AllowedShare'
-import type { Option } from '../steps/chooseForStep'
+import type { WorkerOption } from '../steps/chooseWorkerForStep'
 import type { LeaderShares } from '../../shares/LeaderShares'
 import type { LeaderContext } from '../LeaderContext'
 import { LeaderEvent } from '../LeaderEvent'
@@ -46,7 +46,7 @@
 	 * @param tasks - how many of its tasks want a place.
 	 * @param roomAt - when room that is kept for the next of them is expected, on the leader's clock; absent when none is.
 	 */
-	ask(work: StepWork, eligible: readonly Option[], tasks: number, roomAt?: number): void {
+	ask(work: StepWork, eligible: readonly WorkerOption[], tasks: number, roomAt?: number): void {
 		const { advice, queue } = work
 		const now = this.context.clock.now()
 		if (!queue.advice || advice.asking || now < advice.notBefore) return
--- a/packages/jobs/src/lib/leader/advice/workersToAsk.ts
+++ b/packages/jobs/src/lib/leader/advice/workersToAsk.ts
@@ -1,7 +1,7 @@
 /** Chooses the workers to ask about: few, since each one makes the answer later. */
 import type { Resources } from '@rillrudder/scheduler'
 import type { AdviceTerms } from '../../records/Cell'
-import type { Option } from '../steps/chooseForStep'
+import type { WorkerOption } from '../steps/chooseWorkerForStep'
 import type { StepWork } from '../steps/StepWork'
 
 /**
@@ -41,7 +41,7 @@
 }
 
 interface Candidate {
-	readonly option: Option
+	readonly option: WorkerOption
 	/** Tasks of the step that it can take. */
 	readonly room: number
 }
@@ -62,7 +62,7 @@
  */
 export function workersToAsk(
 	work: StepWork,
-	eligible: readonly Option[],
+	eligible: readonly WorkerOption[],
 	need: AdviceNeed
 ): string[] {
 	const { advice } = work
@@ -86,9 +86,9 @@
 /** Workers of which an answer would bring something: not known yet, or allowed with a ticket that runs out. */
 function usefulAmong(
 	{ advice }: StepWork,
-	options: readonly Option[],
+	options: readonly WorkerOption[],
 	{ renew, until }: AdviceNeed
-): Option[] {
+): WorkerOption[] {
 	return options.filter(({ view: { id } }) =>
 		advice.isAllowed(id) ? renew && advice.ticket(id, until) === undefined : !advice.isUnfit(id)
 	)
@@ -100,8 +100,8 @@
 
 function candidates(
 	work: StepWork,
-	options: readonly Option[],
-	amount: (option: Option) => Resources
+	options: readonly WorkerOption[],
+	amount: (option: WorkerOption) => Resources
 ): Candidate[] {
 	return options
 		.map((option) => ({ option, room: work.copiesIn(option.view.id, amount(option)) }))
@@ -130,10 +130,10 @@
 	return { workers: chosen, isEnough: expected >= wanted }
 }
 
-function freeOf({ account }: Option): Resources {
+function freeOf({ account }: WorkerOption): Resources {
 	return account.free
 }
 
-function capacityOf({ account }: Option): Resources {
+function capacityOf({ account }: WorkerOption): Resources {
 	return account.most
 }
--- a/packages/jobs/src/lib/leader/steps/OpenWorkerList.ts
+++ b/packages/jobs/src/lib/leader/steps/OpenWorkerList.ts
@@ -2,7 +2,7 @@
 import type { LeaderContext } from '../LeaderContext'
 import type { WorkerRegistry } from '../workers/WorkerRegistry'
 import type { WorkerView } from '../workers/WorkerView'
-import type { Option } from './chooseForStep'
+import type { WorkerOption } from './chooseWorkerForStep'
 import type { OpenWorkers } from './PlacementPass'
 
 /** Workers up to which each pass lists them anew; beyond, the listing of the last full pass serves until the next one. */
@@ -15,7 +15,7 @@
  * @internal
  */
 export class OpenWorkerList implements OpenWorkers {
-	private listed: readonly Option[] | undefined
+	private listed: readonly WorkerOption[] | undefined
 
 	constructor(
 		private readonly context: Pick<LeaderContext, 'ledger'>,
@@ -27,24 +27,24 @@
 		this.listed = undefined
 	}
 
-	all(): readonly Option[] {
+	all(): readonly WorkerOption[] {
 		const mayServe = this.listed && this.workers.size > LISTED_EACH_PASS
 		if (!this.listed || !mayServe) this.listed = this.list()
 		return this.listed
 	}
 
-	find(id: string): Option | undefined {
+	find(id: string): WorkerOption | undefined {
 		const view = this.workers.find(id)
 		return view && this.optionOf(view)
 	}
 
 	/** @returns whether a worker that was listed still takes new work. */
-	isOpen({ view }: Option): boolean {
+	isOpen({ view }: WorkerOption): boolean {
 		return this.workers.find(view.id) === view && this.workers.isOpen(view)
 	}
 
-	private list(): Option[] {
-		const found: Option[] = []
+	private list(): WorkerOption[] {
+		const found: WorkerOption[] = []
 		for (const view of this.workers.all()) {
 			const option = this.optionOf(view)
 			if (option) found.push(option)
@@ -52,7 +52,7 @@
 		return found
 	}
 
-	private optionOf(view: WorkerView): Option | undefined {
+	private optionOf(view: WorkerView): WorkerOption | undefined {
 		if (!this.workers.isOpen(view)) return undefined
 		const account = this.context.ledger.find(view.id)
 		return account && { view, account }
--- a/packages/jobs/src/lib/leader/steps/PlacementPass.ts
+++ b/packages/jobs/src/lib/leader/steps/PlacementPass.ts
@@ -2,15 +2,15 @@
  * One pass over the waiting steps. A full pass tries every step on every worker; between two of them a step that found no
  * place is tried only where something has come free since, so that a cell in which many steps wait costs no more than what changes in it.
  */
-import { hasRoom, type Option } from './chooseForStep'
+import { hasCapacity, type WorkerOption } from './chooseWorkerForStep'
 import type { StepWork } from './StepWork'
 
 /** The workers to which new work may go. @internal */
 export interface OpenWorkers {
 	/** @returns all of them. */
-	all(): readonly Option[]
+	all(): readonly WorkerOption[]
 	/** @returns one by its id; undefined where no new work may go to it. */
-	find(id: string): Option | undefined
+	find(id: string): WorkerOption | undefined
 }
 
 /**
@@ -19,9 +19,9 @@
  * @internal
  */
 export class PlacementPass {
-	private openWorkers: readonly Option[] | undefined
-	private freedWorkers: readonly Option[] | undefined
-	private readonly byDemand = new Map<string, readonly Option[]>()
+	private openWorkers: readonly WorkerOption[] | undefined
+	private freedWorkers: readonly WorkerOption[] | undefined
+	private readonly byDemand = new Map<string, readonly WorkerOption[]>()
 
 	/**
 	 * @param now - the moment, on the leader's clock.
@@ -37,7 +37,7 @@
 	) {}
 
 	/** All workers to which new work may go. */
-	get open(): readonly Option[] {
+	get open(): readonly WorkerOption[] {
 		this.openWorkers ??= this.workers.all()
 		return this.openWorkers
 	}
@@ -53,7 +53,7 @@
 	}
 
 	/** @returns workers of the right service with the right label. */
-	eligible(work: StepWork): readonly Option[] {
+	eligible(work: StepWork): readonly WorkerOption[] {
 		const key = `${work.queue.service} ${work.step.requires}`
 		const known = this.byDemand.get(key)
 		if (known) return known
@@ -63,8 +63,8 @@
 	}
 
 	/** @returns of the workers named those that are open and eligible; few are looked at, however many workers there are. */
-	named(work: StepWork, ids: Iterable<string>): Option[] {
-		const found: Option[] = []
+	named(work: StepWork, ids: Iterable<string>): WorkerOption[] {
+		const found: WorkerOption[] = []
 		for (const id of ids) {
 			const option = this.workers.find(id)
 			if (option && isEligible(work, option)) found.push(option)
@@ -73,21 +73,23 @@
 	}
 
 	/** @returns eligible workers where something has come free, and that may have a task of the step and have room for it. */
-	freedFor(work: StepWork): Option[] {
+	freedFor(work: StepWork): WorkerOption[] {
 		return this.freed.filter(
 			(option) =>
-				hasRoom(work, option) && isEligible(work, option) && !work.advice.isUnfit(option.view.id)
+				hasCapacity(work, option) &&
+				isEligible(work, option) &&
+				!work.advice.isUnfit(option.view.id)
 		)
 	}
 
-	private get freed(): readonly Option[] {
+	private get freed(): readonly WorkerOption[] {
 		this.freedWorkers ??= [...this.released].flatMap((id) => this.workers.find(id) ?? [])
 		return this.freedWorkers
 	}
 }
 
 /** Whether a worker is of the right service and has the right label. */
-function isEligible({ queue, step }: StepWork, { view: { worker } }: Option): boolean {
+function isEligible({ queue, step }: StepWork, { view: { worker } }: WorkerOption): boolean {
 	if (worker.service !== queue.service) return false
 	return step.requires === '' || worker.labels.includes(step.requires)
 }
--- a/packages/jobs/src/lib/leader/steps/Preemption.ts
+++ b/packages/jobs/src/lib/leader/steps/Preemption.ts
@@ -1,5 +1,5 @@
 /** Makes room for urgent steps: when it pays to stop other work, and which runs. */
-import type { Option, RoomCheck } from './chooseForStep'
+import type { WorkerOption, CapacityCheck } from './chooseWorkerForStep'
 import { epochOf, type LeaderContext } from '../LeaderContext'
 import type { Run } from '../runs/Run'
 import { runsToStop } from './runsToStop'
@@ -13,9 +13,9 @@
 /** An urgent step that found no room. @internal */
 export interface RoomNeed {
 	/** Open workers of its service that have its label. */
-	readonly eligible: readonly Option[]
+	readonly eligible: readonly WorkerOption[]
 	/** Those of them that may run it now. */
-	readonly options: readonly Option[]
+	readonly options: readonly WorkerOption[]
 	/** How many of its tasks wait. */
 	readonly tasks: number
 	/** When room that is kept for the last of them is expected, on the leader's clock; undefined when none is kept. */
@@ -42,7 +42,7 @@
 	constructor(
 		private readonly context: LeaderContext,
 		private readonly runs: RunStopper,
-		private readonly admits: RoomCheck
+		private readonly admits: CapacityCheck
 	) {}
 
 	/** Stops runs of lower priority where an urgent step has waited for room, and asking for advice finds none. */
--- a/packages/jobs/src/lib/leader/steps/Quarantine.ts
+++ b/packages/jobs/src/lib/leader/steps/Quarantine.ts
@@ -8,7 +8,7 @@
  */
 import { suspicionOf, Suspicion } from '../../state/TaskCrashes'
 import type { CellState } from '../../state/CellState'
-import { hasRoom, type Option, type RoomCheck } from './chooseForStep'
+import { hasCapacity, type WorkerOption, type CapacityCheck } from './chooseWorkerForStep'
 import type { StepWork } from './StepWork'
 import type { WorkerView } from '../workers/WorkerView'
 
@@ -68,20 +68,20 @@
 	choose(
 		work: StepWork,
 		index: number,
-		options: readonly Option[],
-		isFree: RoomCheck,
+		options: readonly WorkerOption[],
+		isFree: CapacityCheck,
 		now: number
-	): Option | undefined {
+	): WorkerOption | undefined {
 		const isolated = this.suspicionOf(work, index) === Suspicion.Isolated
 		// A gang's members begin together or not at all, so none of them can wait for another one.
 		const alone = isolated && !work.step.gang
 		const job = work.job.id
 		const elsewhere = alone ? this.workerOf(job, now) : undefined
-		let best: Option | undefined
+		let best: WorkerOption | undefined
 		let least = Number.POSITIVE_INFINITY
 		for (const option of options) {
 			if (elsewhere !== undefined && elsewhere !== option.view.id) continue
-			if (!hasRoom(work, option) || !isFree(work, option)) continue
+			if (!hasCapacity(work, option) || !isFree(work, option)) continue
 			if (alone && !this.isSettled(option.view, job, now)) continue
 			const loss = lossOn(option.view, job)
 			if (loss >= least) continue
--- a/packages/jobs/src/lib/leader/steps/StepOptions.ts
+++ b/packages/jobs/src/lib/leader/steps/StepOptions.ts
@@ -1,6 +1,6 @@
 /** Which open workers a step may use in a pass. */
 import { atLikeSpeed } from '../../speeds/speedFit'
-import type { Option } from './chooseForStep'
+import type { WorkerOption } from './chooseWorkerForStep'
 import type { PlacementPass } from './PlacementPass'
 import type { StepWork } from './StepWork'
 
@@ -11,7 +11,7 @@
  */
 export class StepOptions {
 	/** Open workers of the right service, label and speed. */
-	readonly eligible: readonly Option[]
+	readonly eligible: readonly WorkerOption[]
 	private readonly hasLikeSpeed: boolean
 
 	constructor(
@@ -24,18 +24,18 @@
 	}
 
 	/** Those that may run it now. */
-	get ready(): readonly Option[] {
+	get ready(): readonly WorkerOption[] {
 		const { queue, advice } = this.work
 		return queue.advice ? this.named(advice.holding(this.pass.now)) : this.eligible
 	}
 
 	/** Those that its queue's policy is known to allow. */
-	get allowed(): readonly Option[] {
+	get allowed(): readonly WorkerOption[] {
 		const { queue, advice } = this.work
 		return queue.advice ? this.named(advice.allowed) : this.eligible
 	}
 
-	private named(ids: Iterable<string>): readonly Option[] {
+	private named(ids: Iterable<string>): readonly WorkerOption[] {
 		const found = this.pass.named(this.work, ids)
 		if (!this.hasLikeSpeed) return found
 		const alike = new Set(this.eligible.map(({ view }) => view.id))
--- a/packages/jobs/src/lib/leader/steps/StepPlacement.ts
+++ b/packages/jobs/src/lib/leader/steps/StepPlacement.ts
@@ -5,7 +5,7 @@
 import type { Reservations } from '../../placement/Reservations'
 import type { UrgentCapacity } from '../../placement/UrgentCapacity'
 import { epochOf, type LeaderContext } from '../LeaderContext'
-import { chooseForStep, type Option, type RoomCheck } from './chooseForStep'
+import { chooseWorkerForStep, type WorkerOption, type CapacityCheck } from './chooseWorkerForStep'
 import { placeGang, type Placed, type TaskChooser } from './placeGang'
 import type { OpenWorkerList } from './OpenWorkerList'
 import type { Quarantine } from './Quarantine'
@@ -31,7 +31,7 @@
 	 * Whether a task may begin in a worker's room: the worker is open, and its room is kept neither for urgent work nor for a step that goes before, and
 	 * nothing of another job is isolated there.
 	 */
-	private readonly isFree: RoomCheck = (work, option) =>
+	private readonly isFree: CapacityCheck = (work, option) =>
 		this.parts.openWorkers.isOpen(option) &&
 		this.parts.urgentCapacity.allows(work) &&
 		this.parts.quarantine.admits(work.job.id, option.view.id, this.context.clock.now()) &&
@@ -58,7 +58,7 @@
 	place(
 		work: StepWork,
 		waiting: readonly number[],
-		options: readonly Option[],
+		options: readonly WorkerOption[],
 		now: number
 	): Placed[] {
 		return work.step.gang
@@ -70,19 +70,19 @@
 		return (index, options) =>
 			this.parts.quarantine.isDoubtful(work, index)
 				? this.parts.quarantine.choose(work, index, options, this.isFree, now)
-				: chooseForStep(work, options, this.isFree, epochOf(this.context))
+				: chooseWorkerForStep(work, options, this.isFree, epochOf(this.context))
 	}
 
 	/** Places a gang, on workers that are unlikely to go where they have room for it. */
 	private placeWhole(
 		work: StepWork,
 		waiting: readonly number[],
-		options: readonly Option[],
+		options: readonly WorkerOption[],
 		now: number
 	): Placed[] {
 		if (roomIn(work, options, freeOf) < waiting.length) return []
 		const { ledger } = this.context
-		const place = (from: readonly Option[]): Placed[] =>
+		const place = (from: readonly WorkerOption[]): Placed[] =>
 			placeGang(work, waiting, from, ledger, this.chooserFor(work, now), now)
 		const steady = this.parts.gangs.steady(work, options, now)
 		const first = place(steady)
@@ -95,7 +95,7 @@
 	private placeEach(
 		work: StepWork,
 		waiting: readonly number[],
-		options: readonly Option[],
+		options: readonly WorkerOption[],
 		now: number
 	): Placed[] {
 		const placed: Placed[] = []
--- a/packages/jobs/src/lib/leader/steps/StepScheduler.ts
+++ b/packages/jobs/src/lib/leader/steps/StepScheduler.ts
@@ -19,7 +19,7 @@
 import { StepShares } from '../../shares/StepShares'
 import { UrgentCapacity } from '../../placement/UrgentCapacity'
 import type { AccountUsage } from '../../accounts/AccountUsage'
-import { hasRoom, type Option } from './chooseForStep'
+import { hasCapacity, type WorkerOption } from './chooseWorkerForStep'
 import { DueRepeats, dueOf } from './DueRepeats'
 import { epochOf, type LeaderContext } from '../LeaderContext'
 import type { Placed } from './placeGang'
@@ -55,7 +55,7 @@
 	private readonly later = new DueRepeats()
 	private stale = true
 	/** The open workers as of the latest full pass; between two, the room left to urgent work is told by these. */
-	private openAtFullPass: readonly Option[] = []
+	private openAtFullPass: readonly WorkerOption[] = []
 	private readonly urgentCapacity = new UrgentCapacity()
 	private readonly reservations = new Reservations()
 	private readonly quarantine: Quarantine
@@ -363,8 +363,8 @@
 	}
 
 	/** Whether a worker has room for one more task of a step, and that leaves room to urgent work. */
-	private admits(work: StepWork, option: Option): boolean {
-		return hasRoom(work, option) && this.urgentCapacity.allows(work)
+	private admits(work: StepWork, option: WorkerOption): boolean {
+		return hasCapacity(work, option) && this.urgentCapacity.allows(work)
 	}
 
 	private placeStep(work: StepWork, pass: PlacementPass): void {
@@ -413,7 +413,7 @@
 	private placeAmong(
 		work: StepWork,
 		waiting: readonly number[],
-		options: readonly Option[],
+		options: readonly WorkerOption[],
 		now: number
 	): number {
 		const placed = this.placement.place(work, waiting, options, now)
@@ -427,7 +427,11 @@
 	}
 
 	/** Of workers where something has come free those that may run the step now. */
-	private readyAmong(work: StepWork, freed: readonly Option[], now: number): readonly Option[] {
+	private readyAmong(
+		work: StepWork,
+		freed: readonly WorkerOption[],
+		now: number
+	): readonly WorkerOption[] {
 		if (!work.queue.advice) return freed
 		return freed.filter(({ view }) => work.advice.ticket(view.id, now) !== undefined)
 	}
--- a/packages/jobs/src/lib/leader/steps/chooseForStep.ts
+++ b/packages/jobs/src/lib/leader/steps/chooseWorkerForStep.ts
@@ -24,18 +24,18 @@
 const ACCELERATOR_WEIGHT = 2
 
 /** A worker with its account. @internal */
-export interface Option {
+export interface WorkerOption {
 	readonly view: WorkerView
 	readonly account: LedgerWorker
 }
 
 /** @returns whether a worker has room for one more task of the step. @internal */
-export function hasRoom(work: StepWork, { view, account }: Option): boolean {
+export function hasCapacity(work: StepWork, { view, account }: WorkerOption): boolean {
 	return fits(work.need, account.free) && work.allowance(view.id) > 0
 }
 
 /** Tells whether a task of a step may begin on a worker beside what is kept there for others. @internal */
-export type RoomCheck = (work: StepWork, option: Option) => boolean
+export type CapacityCheck = (work: StepWork, option: WorkerOption) => boolean
 
 /**
  * @param work - the step.
@@ -45,16 +45,16 @@
  * @returns the best one that has room, or undefined.
  * @internal
  */
-export function chooseForStep(
+export function chooseWorkerForStep(
 	work: StepWork,
-	options: readonly Option[],
-	isFree: RoomCheck,
+	options: readonly WorkerOption[],
+	isFree: CapacityCheck,
 	epoch: number
-): Option | undefined {
-	let best: Option | undefined
+): WorkerOption | undefined {
+	let best: WorkerOption | undefined
 	let bestScore = Number.POSITIVE_INFINITY
 	for (const option of options) {
-		if (!hasRoom(work, option)) continue
+		if (!hasCapacity(work, option)) continue
 		const value = score(work, option) + speedScore(work, option.view.speed, epoch)
 		if (value >= bestScore || !isFree(work, option)) continue
 		bestScore = value
@@ -63,7 +63,7 @@
 	return best
 }
 
-function score(work: StepWork, { view, account }: Option): number {
+function score(work: StepWork, { view, account }: WorkerOption): number {
 	const { step, need } = work
 	const { free, capacity } = account
 	const cpu = (free.cpu - need.cpu) / Math.max(1, capacity.cpu)
--- a/packages/jobs/src/lib/leader/steps/placeGang.ts
+++ b/packages/jobs/src/lib/leader/steps/placeGang.ts
@@ -1,6 +1,6 @@
 /** Places all tasks of a gang or none, in one rack where that matters. */
 import type { Ledger } from '@rillrudder/scheduler'
-import type { Option } from './chooseForStep'
+import type { WorkerOption } from './chooseWorkerForStep'
 import { claim, unclaim } from './reservation'
 import type { StepWork } from './StepWork'
 
@@ -14,7 +14,10 @@
 }
 
 /** Chooses the worker for a task of a step, by its index; undefined for none. @internal */
-export type TaskChooser = (index: number, options: readonly Option[]) => Option | undefined
+export type TaskChooser = (
+	index: number,
+	options: readonly WorkerOption[]
+) => WorkerOption | undefined
 
 /**
  * @param work - the gang's step.
@@ -29,7 +32,7 @@
 export function placeGang(
 	work: StepWork,
 	waiting: readonly number[],
-	options: readonly Option[],
+	options: readonly WorkerOption[],
 	ledger: Ledger,
 	choose: TaskChooser,
 	now: number
@@ -49,7 +52,7 @@
 function placeAll(
 	work: StepWork,
 	waiting: readonly number[],
-	options: readonly Option[],
+	options: readonly WorkerOption[],
 	ledger: Ledger,
 	choose: TaskChooser
 ): Placed[] {
--- a/packages/jobs/src/lib/leader/steps/runsToStop.ts
+++ b/packages/jobs/src/lib/leader/steps/runsToStop.ts
@@ -3,7 +3,7 @@
  * runs that go on from a checkpoint are chosen, so that little work is lost.
  */
 import { plus, type Resources } from '@rillrudder/scheduler'
-import type { Option } from './chooseForStep'
+import type { WorkerOption } from './chooseWorkerForStep'
 import { RunPhase, slackOf, type Run } from '../runs/Run'
 import type { StepWork } from './StepWork'
 
@@ -18,7 +18,7 @@
 
 /** Room that a worker has, or will have once what was told to stop there has stopped. */
 interface Prospect {
-	readonly option: Option
+	readonly option: WorkerOption
 	room: Resources
 	/** Runs that may be stopped, the smallest first. */
 	readonly stoppable: Run[]
@@ -34,7 +34,7 @@
  */
 export function runsToStop(
 	work: StepWork,
-	options: readonly Option[],
+	options: readonly WorkerOption[],
 	tasks: number,
 	epoch: number
 ): Run[] {
@@ -53,7 +53,7 @@
 	return chosen
 }
 
-function toProspect(option: Option, epoch: number): Prospect {
+function toProspect(option: WorkerOption, epoch: number): Prospect {
 	let room = option.account.free
 	const stoppable: Run[] = []
 	for (const run of option.view.runs.values()) {
--- a/packages/jobs/src/lib/leader/steps/waitReason.ts
+++ b/packages/jobs/src/lib/leader/steps/waitReason.ts
@@ -1,6 +1,6 @@
 /** Why tasks of a step wait, and what ends that: for people, and for the measures of waits. */
 import type { ReservedTimes } from '../../placement/Reservations'
-import { hasRoom, type Option } from './chooseForStep'
+import { hasCapacity, type WorkerOption } from './chooseWorkerForStep'
 import type { StepWork } from './StepWork'
 
 /** Why tasks of a step wait. @public */
@@ -42,9 +42,9 @@
 /** What is known of a waiting step at a moment. @internal */
 export interface StepSituation {
 	/** Open workers of its service that have its label. */
-	readonly eligible: readonly Option[]
+	readonly eligible: readonly WorkerOption[]
 	/** Those of them that have room for one of its tasks. */
-	readonly room: readonly Option[]
+	readonly room: readonly WorkerOption[]
 	/** Whether all its tasks that wait are held back until it is known whether workers that they have lost crashed. */
 	readonly held: boolean
 	/** Whether its account's quota has room for what it begins at a time. */
@@ -60,9 +60,9 @@
 /** What a pass over the waiting steps has seen of a step, some of whose tasks found no place. @internal */
 export interface PassSight {
 	/** Open workers of its service that have its label. */
-	readonly eligible: readonly Option[]
+	readonly eligible: readonly WorkerOption[]
 	/** Those of them that may run it now. */
-	readonly options: readonly Option[]
+	readonly options: readonly WorkerOption[]
 }
 
 /**
@@ -73,17 +73,19 @@
  */
 export function reasonIn(work: StepWork, { eligible, options }: PassSight): WaitReason {
 	if (eligible.length === 0) return WaitReason.Worker
-	if (options.some((option) => hasRoom(work, option))) {
+	if (options.some((option) => hasCapacity(work, option))) {
 		return work.step.gang ? WaitReason.Gang : WaitReason.Reservation
 	}
 	const { advice } = work
-	const others = eligible.some((option) => !advice.isUnfit(option.view.id) && hasRoom(work, option))
+	const others = eligible.some(
+		(option) => !advice.isUnfit(option.view.id) && hasCapacity(work, option)
+	)
 	if (!work.queue.advice || !others) return WaitReason.Room
 	return advice.asking ? WaitReason.Advice : WaitReason.Policy
 }
 
 /** @returns whether the queue's policy allows none of the workers that could run a step. @internal */
-export function isBarred({ advice, queue }: StepWork, eligible: readonly Option[]): boolean {
+export function isBarred({ advice, queue }: StepWork, eligible: readonly WorkerOption[]): boolean {
 	if (!queue.advice || eligible.length === 0) return false
 	return eligible.every(({ view }) => advice.isUnfit(view.id))
 }
@@ -145,7 +147,7 @@
 	return work.queue.advice ? waitForAdvice(work, room, now) : placedNext(work)
 }
 
-function waitForAdvice(work: StepWork, room: readonly Option[], now: number): Wait {
+function waitForAdvice(work: StepWork, room: readonly WorkerOption[], now: number): Wait {
 	const { advice } = work
 	if (room.some(({ view }) => advice.ticket(view.id, now) !== undefined)) return placedNext(work)
 	if (advice.asking) {
--- a/packages/jobs/src/lib/placement/CapacityForecast.ts
+++ b/packages/jobs/src/lib/placement/CapacityForecast.ts
@@ -1,6 +1,6 @@
 /** When room is expected on a worker: what its runs have, and when they are expected to end. */
 import { NOTHING, plus, type LedgerWorker, type Resources } from '@rillrudder/scheduler'
-import type { Option } from '../leader/steps/chooseForStep'
+import type { WorkerOption } from '../leader/steps/chooseWorkerForStep'
 import { RunPhase, type Run } from '../leader/runs/Run'
 
 /** Milliseconds from a stop's order until its room is free: a stop, its listing and the commit of the end. */
@@ -34,7 +34,7 @@
 	 * @param now - the moment, on the leader's clock.
 	 */
 	constructor(
-		{ view, account }: Option,
+		{ view, account }: WorkerOption,
 		private readonly now: number
 	) {
 		this.account = account
--- a/packages/jobs/src/lib/placement/Reservations.ts
+++ b/packages/jobs/src/lib/placement/Reservations.ts
@@ -4,7 +4,7 @@
  * soonest are set aside for it; other work may still begin there when it will be gone by then, or fits beside it.
  */
 import { fits, minus, times, type Resources } from '@rillrudder/scheduler'
-import type { Option } from '../leader/steps/chooseForStep'
+import type { WorkerOption } from '../leader/steps/chooseWorkerForStep'
 import { byUrgency, type StepWork } from '../leader/steps/StepWork'
 import type { Place } from '../gangs/GangPlan'
 import { CapacityForecast } from './CapacityForecast'
@@ -83,7 +83,7 @@
 	 * @param work - a step that wants to begin a task on a worker that has room for it.
 	 * @returns whether that would delay no step that goes before it and for which room is kept there.
 	 */
-	allows(work: StepWork, option: Option): boolean {
+	allows(work: StepWork, option: WorkerOption): boolean {
 		const preceding = this.getPrecedingReservations(work, option.view.id)
 		if (preceding.length === 0) return true
 		const at = Math.max(...preceding.map((reserved) => reserved.at))
@@ -99,7 +99,7 @@
 	 * @param tasks - how many of its tasks wait.
 	 * @param options - workers that may run it.
 	 */
-	reserveIfNeeded(work: StepWork, tasks: number, options: readonly Option[]): void {
+	reserveIfNeeded(work: StepWork, tasks: number, options: readonly WorkerOption[]): void {
 		if (!this.canReserve(work) || !needsReservation(work, options)) return
 		const places = this.findPlaces(work, tasks, options).slice(0, tasks)
 		if (places.length === 0 || (work.step.gang && places.length < tasks)) return
@@ -136,7 +136,7 @@
 	}
 
 	/** @returns the places of a step's tasks, the soonest first, beside what is kept for steps that go before. */
-	findPlaces(work: StepWork, tasks: number, options: readonly Option[]): Place[] {
+	findPlaces(work: StepWork, tasks: number, options: readonly WorkerOption[]): Place[] {
 		const places: Place[] = []
 		for (const option of options) {
 			const { id } = option.view
@@ -156,7 +156,7 @@
 		return this.counts.get(queue.service) ?? 0
 	}
 
-	private forecastOf(option: Option): CapacityForecast {
+	private forecastOf(option: WorkerOption): CapacityForecast {
 		const { id } = option.view
 		const forecast = this.forecasts.get(id) ?? new CapacityForecast(option, this.now)
 		this.forecasts.set(id, forecast)
@@ -184,7 +184,7 @@
 }
 
 /** Whether a step's tasks find no room by themselves. */
-function needsReservation(work: StepWork, options: readonly Option[]): boolean {
+function needsReservation(work: StepWork, options: readonly WorkerOption[]): boolean {
 	if (work.step.gang) return true
 	return options.some(({ account: { most } }) => largestShare(work.need, most) >= LARGE_TASK_SHARE)
 }
--- a/packages/jobs/src/lib/placement/UrgentCapacity.ts
+++ b/packages/jobs/src/lib/placement/UrgentCapacity.ts
@@ -6,7 +6,7 @@
  *
  * Answers a cell that is full of large tasks all day.
  */
-import type { Option } from '../leader/steps/chooseForStep'
+import type { WorkerOption } from '../leader/steps/chooseWorkerForStep'
 import type { StepWork } from '../leader/steps/StepWork'
 
 /** Least share of a service's processors that is left, where no urgent work was seen. */
@@ -45,7 +45,7 @@
 	private now = 0
 
 	/** A new pass over the waiting steps begins, with these open workers. */
-	beginPass(open: readonly Option[], now: number): void {
+	beginPass(open: readonly WorkerOption[], now: number): void {
 		this.now = now
 		this.usages = new Map()
 		for (const { view, account } of open) {
--- a/packages/jobs/src/lib/speeds/speedFit.test.ts
+++ b/packages/jobs/src/lib/speeds/speedFit.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import { PLAIN_STEP, type Step } from '../records/Job'
-import type { Option } from '../leader/steps/chooseForStep'
+import type { WorkerOption } from '../leader/steps/chooseWorkerForStep'
 import type { StepWork } from '../leader/steps/StepWork'
 import { atLikeSpeed, speedScore } from './speedFit'
 
@@ -22,8 +22,8 @@
 	} as unknown as StepWork
 }
 
-function optionOf(id: string, speed: number): Option {
-	return { view: { id, speed }, account: { capacity: {} } } as unknown as Option
+function optionOf(id: string, speed: number): WorkerOption {
+	return { view: { id, speed }, account: { capacity: {} } } as unknown as WorkerOption
 }
 
 test('work that a slow worker would make late prefers others, and work with time to spare fills it', () => {
--- a/packages/jobs/src/lib/speeds/speedFit.ts
+++ b/packages/jobs/src/lib/speeds/speedFit.ts
@@ -2,7 +2,7 @@
  * How the speeds of workers weigh in the choice of one: work in a hurry prefers those that aren't slow, and what has time to spare, or comes
  * too late on any, fills the slow ones, so that the others have room for what is in a hurry.
  */
-import type { Option } from '../leader/steps/chooseForStep'
+import type { WorkerOption } from '../leader/steps/chooseWorkerForStep'
 import type { StepWork } from '../leader/steps/StepWork'
 import { Usefulness, usefulnessOf } from '../placement/Usefulness'
 
@@ -45,9 +45,9 @@
  */
 export function atLikeSpeed(
 	work: StepWork,
-	options: readonly Option[],
+	options: readonly WorkerOption[],
 	now: number
-): readonly Option[] {
+): readonly WorkerOption[] {
 	if (!work.step.gang) return options
 	const fast = options.filter(({ view }) => view.speed >= SLOW_BELOW)
 	if (fast.length === options.length || !couldHold(work, fast)) return options
@@ -57,7 +57,7 @@
 }
 
 /** Whether workers that have nothing else to do would have room for the whole gang. */
-function couldHold(work: StepWork, options: readonly Option[]): boolean {
+function couldHold(work: StepWork, options: readonly WorkerOption[]): boolean {
 	let tasks = 0
 	for (const { view, account } of options) tasks += work.copiesIn(view.id, account.capacity)
 	return tasks >= work.step.count
