--- a/packages/jobs/src/lib/gangs/learnWorkers.ts
+++ b/packages/jobs/src/lib/gangs/learnWorkers.ts
@@ -55,8 +55,8 @@
 	const candidates = unknown
 		.map((option) => ({
 			id: option.view.id,
-			room: work.copiesIn(option.view.id, amount(option)),
-			free: work.copiesIn(option.view.id, option.account.free),
+			room: work.countFittingTasks(option.view.id, amount(option)),
+			free: work.countFittingTasks(option.view.id, option.account.free),
 		}))
 		.filter(({ room }) => room > 0)
 		.sort((left, right) => right.free - left.free || right.room - left.room)
@@ -72,7 +72,10 @@
 
 /** @returns how many members have room on workers that have so much. @internal */
 export function roomIn(work: StepWork, options: readonly WorkerOption[], amount: Amount): number {
-	return options.reduce((sum, option) => sum + work.copiesIn(option.view.id, amount(option)), 0)
+	return options.reduce(
+		(sum, option) => sum + work.countFittingTasks(option.view.id, amount(option)),
+		0
+	)
 }
 
 /** @returns what is free on a worker. @internal */
--- a/packages/jobs/src/lib/leader/advice/StepQuestions.ts
+++ b/packages/jobs/src/lib/leader/advice/StepQuestions.ts
@@ -97,7 +97,7 @@
 		meter.count(Measure.Advice, { outcome: result.kind })
 		meter.observe(Measure.AdviceTime, now - askedAt)
 		work.advice.settled(asked)
-		work.hasNews = true
+		work.shouldTryAllWorkers = true
 		if (result.kind !== 'answered') {
 			if (result.kind === 'busy') work.advice.notBefore = now + timing.retryPause
 			const reason = result.kind === 'unknown' ? result.message : undefined
--- a/packages/jobs/src/lib/leader/advice/workersToAsk.ts
+++ b/packages/jobs/src/lib/leader/advice/workersToAsk.ts
@@ -79,7 +79,7 @@
 	if (now.length > 0 || !need.ahead) return now
 	const covered = eligible
 		.filter(({ view }) => advice.ticket(view.id, need.until) !== undefined)
-		.reduce((sum, option) => sum + work.copiesIn(option.view.id, capacityOf(option)), 0)
+		.reduce((sum, option) => sum + work.countFittingTasks(option.view.id, capacityOf(option)), 0)
 	return pick(work, candidates(work, useful, capacityOf), need, covered).workers
 }
 
@@ -104,7 +104,7 @@
 	amount: (option: WorkerOption) => Resources
 ): Candidate[] {
 	return options
-		.map((option) => ({ option, room: work.copiesIn(option.view.id, amount(option)) }))
+		.map((option) => ({ option, room: work.countFittingTasks(option.view.id, amount(option)) }))
 		.filter(({ room }) => room > 0)
 		.sort((left, right) => right.room - left.room)
 }
--- a/packages/jobs/src/lib/leader/steps/PlacementPass.ts
+++ b/packages/jobs/src/lib/leader/steps/PlacementPass.ts
@@ -44,12 +44,12 @@
 
 	/** @returns whether a step is tried in this pass. */
 	tries(work: StepWork): boolean {
-		return this.full || work.hasNews || this.freedFor(work).length > 0
+		return this.full || work.shouldTryAllWorkers || this.freedFor(work).length > 0
 	}
 
 	/** @returns whether a step is tried only where something has come free; a gang needs all its room at once. */
 	isNarrowFor(work: StepWork): boolean {
-		return !this.full && !work.hasNews && !work.step.gang
+		return !this.full && !work.shouldTryAllWorkers && !work.step.gang
 	}
 
 	/** @returns workers of the right service with the right label. */
--- a/packages/jobs/src/lib/leader/steps/Preemption.ts
+++ b/packages/jobs/src/lib/leader/steps/Preemption.ts
@@ -50,7 +50,7 @@
 		const { advice } = work
 		if (!this.needsRoomNow(work, need.roomAt, now)) return
 		if (work.queue.advice && advice.firstAnswerAt === undefined) return
-		if (work.waited(now) < PREEMPT_AFTER) return
+		if (work.getWaitTime(now) < PREEMPT_AFTER) return
 		if (this.mayFindRoom(work, need)) return
 		for (const run of runsToStop(work, need.options, need.tasks, epochOf(this.context)))
 			this.runs.preempt(run, work.name)
--- a/packages/jobs/src/lib/leader/steps/Quarantine.ts
+++ b/packages/jobs/src/lib/leader/steps/Quarantine.ts
@@ -93,7 +93,7 @@
 
 	/** @returns tasks that wait and may begin, those that are under no suspicion first; of a gang all or none. */
 	mayBegin(work: StepWork): number[] {
-		const waiting = work.waiting()
+		const waiting = work.getWaitingTasks()
 		const doubtful = waiting.filter((index) => this.isDoubtful(work, index))
 		if (doubtful.length === 0) return waiting
 		const held = (index: number): boolean => this.suspicionOf(work, index) === Suspicion.Held
--- a/packages/jobs/src/lib/leader/steps/StepLog.ts
+++ b/packages/jobs/src/lib/leader/steps/StepLog.ts
@@ -16,17 +16,17 @@
 	/** Runs of a step begin. */
 	placed(work: StepWork, placed: readonly Placed[], now: number): void {
 		const { meter, log, state, term } = this.context
-		const waited = work.waited(now)
+		const waited = work.getWaitTime(now)
 		const priority = String(work.queue.priority)
 		meter.observe(Measure.StepWait, waited, { priority })
 		log.info(LeaderEvent.StepPlaced, {
 			step: work.name,
 			priority: work.queue.priority,
 			runs: placed.length,
-			waiting: work.waiting().length,
+			waiting: work.getWaitingTasks().length,
 			waited: Math.round(waited),
 			questions: work.advice.questions,
-			advised: Math.round(work.waited(work.advice.firstAnswerAt ?? 0)),
+			advised: Math.round(work.getWaitTime(work.advice.firstAnswerAt ?? 0)),
 			waits: String(work.waits),
 			workers: countedWorkers(placed),
 			configuration: state.configuration?.version ?? 0,
@@ -37,7 +37,7 @@
 	/** A step will not be placed any more, as its job has ended; what it waited for counts, whether it was placed or not. */
 	closed(work: StepWork): void {
 		const { meter, log, clock } = this.context
-		const waiting = work.waiting().length
+		const waiting = work.getWaitingTasks().length
 		work.waits.note(undefined, clock.now())
 		const priority = String(work.queue.priority)
 		for (const [reason, span] of work.waits.all()) {
@@ -48,14 +48,14 @@
 			step: work.name,
 			priority: work.queue.priority,
 			waiting,
-			waited: Math.round(work.waited(clock.now())),
+			waited: Math.round(work.getWaitTime(clock.now())),
 			waits: String(work.waits),
 		})
 	}
 
 	/** The policy of a step's queue allows none of so many open workers; to be told once for each step. */
 	barred(work: StepWork, workers: number): void {
-		work.toldBarred = true
+		work.hasLoggedBarred = true
 		const { name: step, queue } = work
 		this.context.meter.count(Measure.StepsBarred, { priority: String(queue.priority) })
 		this.context.log.info(LeaderEvent.StepBarred, { step, priority: queue.priority, workers })
--- a/packages/jobs/src/lib/leader/steps/StepPlacement.ts
+++ b/packages/jobs/src/lib/leader/steps/StepPlacement.ts
@@ -104,7 +104,7 @@
 			if (!this.accounts.mayBegin(work.account, work.step)) break
 			const option = choose(index, options)
 			if (!option || !claim(this.context.ledger, option.view.id, work)) break
-			work.count(option.view.id, 1)
+			work.adjustTaskCount(option.view.id, 1)
 			this.parts.urgentCapacity.onPlaced(work, 1)
 			placed.push({ index, worker: option.view.id })
 		}
--- a/packages/jobs/src/lib/leader/steps/StepScheduler.ts
+++ b/packages/jobs/src/lib/leader/steps/StepScheduler.ts
@@ -92,7 +92,7 @@
 		const counts = new Map<number, number>()
 		for (const work of this.steps.values()) {
 			const { priority } = work.queue
-			const waits = work.waiting().length > 0 && this.isReady(work)
+			const waits = work.getWaitingTasks().length > 0 && this.isReady(work)
 			counts.set(priority, (counts.get(priority) ?? 0) + (waits ? 1 : 0))
 		}
 		for (const [priority, count] of counts) {
@@ -107,7 +107,7 @@
 	}
 
 	private isWaiting(work: StepWork): boolean {
-		return work.readyAt !== undefined && this.isReady(work) && work.waiting().length > 0
+		return work.readyAt !== undefined && this.isReady(work) && work.getWaitingTasks().length > 0
 	}
 
 	/** @returns how many steps of each account have tasks that could begin and have no place. */
@@ -115,7 +115,7 @@
 		const counts = new Map<string, number>()
 		for (const work of this.steps.values()) {
 			const name = work.account?.terms.name
-			if (name === undefined || work.waiting().length === 0 || !this.isReady(work)) continue
+			if (name === undefined || work.getWaitingTasks().length === 0 || !this.isReady(work)) continue
 			counts.set(name, (counts.get(name) ?? 0) + 1)
 		}
 		return counts
@@ -126,7 +126,7 @@
 		const work = this.steps.get(name)
 		if (!work) return 'it is not due yet'
 		const { text, until } = this.waitOf(work, this.lookAround())
-		const waited = Math.round(work.waited(this.context.clock.now()))
+		const waited = Math.round(work.getWaitTime(this.context.clock.now()))
 		return `${text}; for ${waited} ms, until ${until}`
 	}
 
@@ -159,7 +159,7 @@
 
 	/** A run has begun. */
 	begun(task: TaskName, worker: string): void {
-		this.steps.get(nameOf(task))?.decided.delete(task.index)
+		this.steps.get(nameOf(task))?.proposedTasks.delete(task.index)
 		this.quarantine.begun(formatTaskName(task), worker, this.context.clock.now())
 	}
 
@@ -168,17 +168,17 @@
 		this.quarantine.ended(formatTaskName(task), worker)
 		const work = this.steps.get(nameOf(task))
 		if (!work) return
-		work.decided.delete(task.index)
-		work.allPlaced = false
-		work.count(worker, -1)
+		work.proposedTasks.delete(task.index)
+		work.isFullyPlaced = false
+		work.adjustTaskCount(worker, -1)
 	}
 
 	/** A run has ended: its task may have to begin again, or later steps may begin. */
 	ended(task: TaskName, worker: string, how: RunEnd): void {
 		this.quarantine.ended(formatTaskName(task), worker)
 		const work = this.steps.get(nameOf(task))
-		work?.count(worker, -1)
-		if (how === RunEnd.Failed) work?.failed(worker)
+		work?.adjustTaskCount(worker, -1)
+		if (how === RunEnd.Failed) work?.recordFailure(worker)
 		this.settled(task)
 	}
 
@@ -217,8 +217,8 @@
 	private isMissed(job: JobRecord, repeat: number, step: number): boolean {
 		const known = this.steps.get(stepName(job.id, repeat, step))
 		const work = known ?? this.open(job, repeat, step)
-		const passedOver = work.allPlaced && work.waiting().length > 0
-		if (passedOver) work.allPlaced = false
+		const passedOver = work.isFullyPlaced && work.getWaitingTasks().length > 0
+		if (passedOver) work.isFullyPlaced = false
 		return !known || passedOver
 	}
 
@@ -226,15 +226,15 @@
 	reconsider(task: TaskName): void {
 		const work = this.steps.get(nameOf(task))
 		if (!work) return
-		work.hasNews = true
-		work.allPlaced = false
+		work.shouldTryAllWorkers = true
+		work.isFullyPlaced = false
 	}
 
 	/** A task has to begin again. */
 	private reopen(job: JobRecord, task: TaskName): void {
 		const work = this.open(job, task.repeat, task.step)
-		work.hasNews = true
-		work.allPlaced = false
+		work.shouldTryAllWorkers = true
+		work.isFullyPlaced = false
 	}
 
 	/** A ticket does not hold. */
@@ -244,7 +244,7 @@
 
 	/** A run was moved away from a worker on which it stood still: another one is taken, if there is one. */
 	movedAway(task: TaskName, worker: string): void {
-		this.steps.get(nameOf(task))?.failed(worker)
+		this.steps.get(nameOf(task))?.recordFailure(worker)
 	}
 
 	/** Opens repeats that have become due. */
@@ -268,7 +268,7 @@
 		if (full && this.noteClaims(now)) this.sort()
 		if (full) this.openWorkers.renew()
 		const released = this.context.ledger.takeReleased()
-		const due = this.order.filter((work) => !work.allPlaced && this.isReady(work))
+		const due = this.order.filter((work) => !work.isFullyPlaced && this.isReady(work))
 		const pass = new PlacementPass(now, full, this.openWorkers, released)
 		if (full) this.waits.tell(this.order, (work) => this.isWaiting(work), pass)
 		const tried = due.filter((work) => pass.tries(work))
@@ -289,7 +289,7 @@
 		return this.startWindow.isBounded ? this.runs.startsUnderWay : 0
 	}
 
-	private isReady({ job, repeat, number }: StepWork): boolean {
+	private isReady({ job, repeat, stepIndex: number }: StepWork): boolean {
 		return isStepReady(job, repeat, number)
 	}
 
@@ -371,9 +371,9 @@
 		const { now, full } = pass
 		work.readyAt ??= now
 		const waiting = this.quarantine.mayBegin(work)
-		work.allPlaced = waiting.length === 0
-		if (work.allPlaced) {
-			const isHeld = work.waiting().length > 0
+		work.isFullyPlaced = waiting.length === 0
+		if (work.isFullyPlaced) {
+			const isHeld = work.getWaitingTasks().length > 0
 			return work.waits.note(isHeld ? WaitReason.Held : undefined, now)
 		}
 		if (!this.accounts.mayBegin(work.account, work.step)) {
@@ -381,10 +381,10 @@
 			return this.reservations.drop(work)
 		}
 		if (pass.isNarrowFor(work)) return this.placeOnFreed(work, waiting, pass)
-		work.hasNews = false
+		work.shouldTryAllWorkers = false
 		const workers = new StepOptions(work, pass)
 		const { eligible, ready: options } = workers
-		if (!work.toldBarred && isBarred(work, eligible)) this.log.barred(work, eligible.length)
+		if (!work.hasLoggedBarred && isBarred(work, eligible)) this.log.barred(work, eligible.length)
 		const left = this.placeAmong(work, waiting, options, now)
 		if (left === 0) return
 		if (full) work.waits.note(reasonIn(work, { eligible, options }), now)
@@ -418,7 +418,7 @@
 	): number {
 		const placed = this.placement.place(work, waiting, options, now)
 		const left = waiting.length - placed.length
-		work.allPlaced = left === 0
+		work.isFullyPlaced = left === 0
 		if (placed.length > 0) this.begin(work, placed, now)
 		if (left > 0) return left
 		work.waits.note(undefined, now)
@@ -437,12 +437,12 @@
 	}
 
 	private begin(work: StepWork, placed: readonly Placed[], now: number): void {
-		const { job, repeat, number: step, step: request, record } = work
+		const { job, repeat, stepIndex: step, step: request, record } = work
 		const gangAttempt = 1 + Math.max(0, ...record.tasks.map((task) => task.attempt))
 		const runs = placed.map(({ index, worker }) => {
 			const task = formatTaskName({ job: job.id, repeat, step, index })
 			const attempt = request.gang ? gangAttempt : record.tasks[index].attempt + 1
-			work.decided.add(index)
+			work.proposedTasks.add(index)
 			const isolated = this.quarantine.suspicionOf(work, index) === Suspicion.Isolated
 			if (isolated) this.quarantine.decided(task, job.id, worker)
 			const ticket = work.advice.ticket(worker, now) ?? ''
--- a/packages/jobs/src/lib/leader/steps/StepWaits.ts
+++ b/packages/jobs/src/lib/leader/steps/StepWaits.ts
@@ -49,9 +49,9 @@
 		const oldest = new Map<WaitReason, number>()
 		for (const work of longestOf(waiting, now)) {
 			const wait = this.waitOf(work, pass)
-			const waited = work.waited(now)
+			const waited = work.getWaitTime(now)
 			oldest.set(wait.reason, Math.max(oldest.get(wait.reason) ?? 0, waited))
-			if (!work.toldTooLong && waited > TOO_LONG) this.tellTooLong(work, wait)
+			if (!work.hasLoggedLongWait && waited > TOO_LONG) this.tellTooLong(work, wait)
 		}
 		for (const reason of Object.values(WaitReason)) {
 			this.context.meter.gauge(Measure.OldestWait, oldest.get(reason) ?? 0, { reason })
@@ -67,8 +67,8 @@
 		const epoch = epochOf(this.context)
 		let told = 0
 		for (const work of steps) {
-			if (work.toldOverdue || !work.isOverdue(epoch) || !isWaiting(work)) continue
-			work.toldOverdue = true
+			if (work.hasLoggedOverdue || !work.isOverdue(epoch) || !isWaiting(work)) continue
+			work.hasLoggedOverdue = true
 			this.line(LeaderEvent.StepOverdue, work, this.waitOf(work, pass))
 			told += 1
 			if (told === MOST_TOLD) return
@@ -77,7 +77,7 @@
 
 	private tellTooLong(work: StepWork, wait: Wait): void {
 		if (OUTSIDE.includes(wait.reason)) return
-		work.toldTooLong = true
+		work.hasLoggedLongWait = true
 		this.line(LeaderEvent.StepWaitsLong, work, wait)
 	}
 
@@ -85,8 +85,8 @@
 		this.context.log.info(event, {
 			step: work.name,
 			priority: work.queue.priority,
-			waiting: work.waiting().length,
-			waited: Math.round(work.waited(this.context.clock.now())),
+			waiting: work.getWaitingTasks().length,
+			waited: Math.round(work.getWaitTime(this.context.clock.now())),
 			reason,
 			until,
 		})
@@ -94,6 +94,6 @@
 }
 
 function longestOf(waiting: readonly StepWork[], now: number): StepWork[] {
-	const sorted = [...waiting].sort((left, right) => right.waited(now) - left.waited(now))
+	const sorted = [...waiting].sort((left, right) => right.getWaitTime(now) - left.getWaitTime(now))
 	return sorted.slice(0, MOST_MEASURED)
 }
--- a/packages/jobs/src/lib/leader/steps/StepWork.ts
+++ b/packages/jobs/src/lib/leader/steps/StepWork.ts
@@ -40,49 +40,50 @@
 	/** What its tasks have waited for. */
 	readonly waits = new WaitTimes()
 	/** Indexes of tasks whose beginning is decided and not yet applied. */
-	readonly decided = new Set<number>()
+	readonly proposedTasks = new Set<number>()
 	/** How many of its tasks are on each worker. */
-	readonly onWorker = new Map<string, number>()
+	readonly taskCountByWorker = new Map<string, number>()
 	/** Workers on which runs of its tasks failed, with their counts. */
-	readonly failedOn = new Map<string, number>()
+	readonly failureCountByWorker = new Map<string, number>()
 	/** When the steps before it were done, on the leader's clock; absent while they are not. */
 	readyAt: number | undefined
 	/** Whether a line has told that it waits although it had to begin. */
-	toldOverdue = false
+	hasLoggedOverdue = false
 	/** Whether a line has told that it waits too long. */
-	toldTooLong = false
+	hasLoggedLongWait = false
 	/** Whether a line has told that its queue's policy allows none of the workers. */
-	toldBarred = false
+	hasLoggedBarred = false
 	/** Whether all its tasks have been given a worker; looked at again once one has to begin again. */
-	allPlaced = false
+	isFullyPlaced = false
 	/** Whether it has not been tried since something changed that may let it begin anywhere, as an answer for advice. */
-	hasNews = true
+	shouldTryAllWorkers = true
 	private currentUrgency: Urgency
 
 	/**
 	 * @param times - when it has to begin.
-	 * @param standing - what it is to the others at its service.
+	 * @param precedence - what it is to the others at its service.
 	 * @param account - the account of its job; undefined for none.
 	 */
 	constructor(
 		readonly job: JobRecord,
 		readonly queue: Queue,
 		readonly repeat: number,
-		readonly number: number,
+		readonly stepIndex: number,
 		readonly times: StepTimes,
-		standing: StepPrecedence,
+		precedence: StepPrecedence,
 		readonly account: QuotaAccount | undefined
 	) {
-		this.name = stepName(job.id, repeat, number)
-		this.step = job.request.steps[number]
-		this.record = job.repeats[repeat][number]
+		this.name = stepName(job.id, repeat, stepIndex)
+		this.step = job.request.steps[stepIndex]
+		this.record = job.repeats[repeat][stepIndex]
 		this.need = reservedFor(this.step)
 		this.service = job.queue.service
-		this.urgent = standing.urgent
-		this.yields = standing.yields
+		this.urgent = precedence.urgent
+		this.yields = precedence.yields
 		const { priority } = queue
 		this.currentUrgency = urgencyOf(times, { priority, beyondRate: job.beyondRate })
-		for (const task of this.record.tasks) if (task.worker !== '') this.count(task.worker, 1)
+		for (const task of this.record.tasks)
+			if (task.worker !== '') this.adjustTaskCount(task.worker, 1)
 	}
 
 	/** What orders it among the others. */
@@ -91,7 +92,7 @@
 	}
 
 	/** Notes of how much use it still is, and whether its account has more than its share. @returns whether that has changed. */
-	note(usefulness: Usefulness, overShare: boolean): boolean {
+	updateUrgency(usefulness: Usefulness, overShare: boolean): boolean {
 		const { usefulness: used, overShare: over } = this.currentUrgency
 		if (usefulness === used && overShare === over) return false
 		this.currentUrgency = { ...this.currentUrgency, usefulness, overShare }
@@ -104,48 +105,48 @@
 	}
 
 	/** @returns for how many milliseconds it could have begun. */
-	waited(now: number): number {
+	getWaitTime(now: number): number {
 		return this.readyAt === undefined ? 0 : Math.max(0, now - this.readyAt)
 	}
 
 	/** Indexes of the tasks that wait to begin. */
-	waiting(): number[] {
+	getWaitingTasks(): number[] {
 		const found: number[] = []
 		this.record.tasks.forEach((task, index) => {
-			if (task.status === TaskStatus.Waiting && !this.decided.has(index)) found.push(index)
+			if (task.status === TaskStatus.Waiting && !this.proposedTasks.has(index)) found.push(index)
 		})
 		return found
 	}
 
 	/** A task has come to a worker, or with -1 has gone from it. */
-	count(worker: string, by: 1 | -1): void {
-		const count = (this.onWorker.get(worker) ?? 0) + by
-		if (count <= 0) this.onWorker.delete(worker)
-		else this.onWorker.set(worker, count)
+	adjustTaskCount(worker: string, by: 1 | -1): void {
+		const count = (this.taskCountByWorker.get(worker) ?? 0) + by
+		if (count <= 0) this.taskCountByWorker.delete(worker)
+		else this.taskCountByWorker.set(worker, count)
 	}
 
 	/** A run of one of its tasks has failed on a worker. */
-	failed(worker: string): void {
-		this.failedOn.set(worker, (this.failedOn.get(worker) ?? 0) + 1)
+	recordFailure(worker: string): void {
+		this.failureCountByWorker.set(worker, (this.failureCountByWorker.get(worker) ?? 0) + 1)
 	}
 
 	/** @returns how many of its tasks a worker may take that has so much room for them. */
-	copiesIn(worker: string, room: Resources): number {
-		const allowance = this.allowance(worker)
+	countFittingTasks(worker: string, room: Resources): number {
+		const allowance = this.getAllowance(worker)
 		if (allowance <= 0 || !fits(this.need, room)) return 0
-		const copies = copiesOf(this.need, room)
+		const copies = countCopies(this.need, room)
 		return Math.min(allowance, Math.max(1, Math.floor(copies)))
 	}
 
 	/** @returns how many more of its tasks a worker may hold. */
-	allowance(worker: string): number {
+	getAllowance(worker: string): number {
 		const most = this.step.mostPerWorker
-		return most === 0 ? Number.POSITIVE_INFINITY : most - (this.onWorker.get(worker) ?? 0)
+		return most === 0 ? Number.POSITIVE_INFINITY : most - (this.taskCountByWorker.get(worker) ?? 0)
 	}
 }
 
 /** @returns how many times an amount goes into another, as a fraction; bounded for an amount of nothing. */
-function copiesOf(need: Resources, room: Resources): number {
+function countCopies(need: Resources, room: Resources): number {
 	const ratio = (part: number, whole: number): number =>
 		part > 0 ? whole / part : Number.MAX_SAFE_INTEGER
 	return Math.min(
--- a/packages/jobs/src/lib/leader/steps/chooseWorkerForStep.ts
+++ b/packages/jobs/src/lib/leader/steps/chooseWorkerForStep.ts
@@ -31,7 +31,7 @@
 
 /** @returns whether a worker has room for one more task of the step. @internal */
 export function hasCapacity(work: StepWork, { view, account }: WorkerOption): boolean {
-	return fits(work.need, account.free) && work.allowance(view.id) > 0
+	return fits(work.need, account.free) && work.getAllowance(view.id) > 0
 }
 
 /** Tells whether a task of a step may begin on a worker beside what is kept there for others. @internal */
@@ -72,8 +72,8 @@
 	const accelerators = free.accelerators - need.accelerators
 	value += (accelerators / Math.max(1, capacity.accelerators)) * ACCELERATOR_WEIGHT
 	if (step.rack !== '' && step.rack !== account.rack) value += FAR_PENALTY
-	if (step.lasting) value += (work.onWorker.get(view.id) ?? 0) * SIBLING_PENALTY
-	value += (work.failedOn.get(view.id) ?? 0) * FAILED_PENALTY
+	if (step.lasting) value += (work.taskCountByWorker.get(view.id) ?? 0) * SIBLING_PENALTY
+	value += (work.failureCountByWorker.get(view.id) ?? 0) * FAILED_PENALTY
 	if (interferes(work, view)) value += INTERFERENCE_PENALTY
 	return value
 }
--- a/packages/jobs/src/lib/leader/steps/placeGang.ts
+++ b/packages/jobs/src/lib/leader/steps/placeGang.ts
@@ -44,7 +44,7 @@
 			const placed = placeAll(work, waiting, inRack, ledger, choose)
 			if (placed.length > 0) return placed
 		}
-		if (work.waited(now) < RACK_PATIENCE) return []
+		if (work.getWaitTime(now) < RACK_PATIENCE) return []
 	}
 	return placeAll(work, waiting, options, ledger, choose)
 }
@@ -63,7 +63,7 @@
 			undo(work, placed, ledger)
 			return []
 		}
-		work.count(option.view.id, 1)
+		work.adjustTaskCount(option.view.id, 1)
 		placed.push({ index, worker: option.view.id })
 	}
 	return placed
@@ -72,6 +72,6 @@
 function undo(work: StepWork, placed: readonly Placed[], ledger: Ledger): void {
 	for (const { worker } of placed) {
 		unclaim(ledger, worker, work)
-		work.count(worker, -1)
+		work.adjustTaskCount(worker, -1)
 	}
 }
--- a/packages/jobs/src/lib/leader/steps/runsToStop.ts
+++ b/packages/jobs/src/lib/leader/steps/runsToStop.ts
@@ -39,10 +39,10 @@
 	epoch: number
 ): Run[] {
 	const prospects = options
-		.filter(({ view }) => work.allowance(view.id) > 0)
+		.filter(({ view }) => work.getAllowance(view.id) > 0)
 		.map((option) => toProspect(option, epoch))
 	let missing = tasks
-	for (const { room, option } of prospects) missing -= work.copiesIn(option.view.id, room)
+	for (const { room, option } of prospects) missing -= work.countFittingTasks(option.view.id, room)
 	const chosen: Run[] = []
 	while (missing > 0 && chosen.length < MOST_STOPS) {
 		const best = cheapest(work, prospects)
@@ -80,9 +80,9 @@
 	let best: { prospect: Prospect; run: Run; gained: number } | undefined
 	for (const prospect of prospects) {
 		const { id } = prospect.option.view
-		const before = work.copiesIn(id, prospect.room)
+		const before = work.countFittingTasks(id, prospect.room)
 		for (const run of prospect.stoppable) {
-			const gained = work.copiesIn(id, plus(prospect.room, run.need)) - before
+			const gained = work.countFittingTasks(id, plus(prospect.room, run.need)) - before
 			if (gained === 0) continue
 			if (!best || run.need.cpu / gained < best.run.need.cpu / best.gained) {
 				best = { prospect, run, gained }
--- a/packages/jobs/src/lib/placement/Reservations.ts
+++ b/packages/jobs/src/lib/placement/Reservations.ts
@@ -144,7 +144,7 @@
 			let copies = 0
 			for (const { at, free } of this.forecastOf(option).getPoints()) {
 				const room = subtractReserved(free, preceding)
-				const more = work.copiesIn(id, room) - copies
+				const more = work.countFittingTasks(id, room) - copies
 				for (let copy = 0; copy < more && copy < tasks; copy++) places.push({ worker: id, at })
 				copies += Math.max(0, more)
 			}
--- a/packages/jobs/src/lib/shares/StepShares.ts
+++ b/packages/jobs/src/lib/shares/StepShares.ts
@@ -66,7 +66,7 @@
 			if (work.step.lasting) continue
 			const over = rooms && this.isOver(work, kept)
 			const usefulness = byUse ? usefulnessOf(work.times, epoch) : Usefulness.InTime
-			if (work.note(usefulness, over)) changed = true
+			if (work.updateUrgency(usefulness, over)) changed = true
 			const room = rooms && view.reservations.getExpectedTimes(work)?.resources
 			if (room) this.keep(work, room, kept)
 		}
@@ -115,7 +115,7 @@
 			const { account, service, step } = work
 			if (!account || step.lasting || !waits(work)) continue
 			if (!this.accounts.mayBegin(account, step)) continue
-			const count = work.waiting().length
+			const count = work.getWaitingTasks().length
 			yield { account, service, need: times(work.need, count) }
 		}
 	}
--- a/packages/jobs/src/lib/speeds/speedFit.ts
+++ b/packages/jobs/src/lib/speeds/speedFit.ts
@@ -53,12 +53,13 @@
 	if (fast.length === options.length || !couldHold(work, fast)) return options
 	const slowest = Math.min(...options.map(({ view }) => view.speed))
 	const gained = work.step.expectedTime / slowest - work.step.expectedTime
-	return work.waited(now) < Math.min(MOST_HELD, gained * HELD_SHARE) ? fast : options
+	return work.getWaitTime(now) < Math.min(MOST_HELD, gained * HELD_SHARE) ? fast : options
 }
 
 /** Whether workers that have nothing else to do would have room for the whole gang. */
 function couldHold(work: StepWork, options: readonly WorkerOption[]): boolean {
 	let tasks = 0
-	for (const { view, account } of options) tasks += work.copiesIn(view.id, account.capacity)
+	for (const { view, account } of options)
+		tasks += work.countFittingTasks(view.id, account.capacity)
 	return tasks >= work.step.count
 }
