--- a/packages/jobs/src/lib/leader/runs/RunController.ts
+++ b/packages/jobs/src/lib/leader/runs/RunController.ts
@@ -15,7 +15,7 @@
 import { LeaderEvent } from '../LeaderEvent'
 import { Pacing } from './Pacing'
 import type { PollResult } from '../ports'
-import { claimAgain, claimOf, unclaim } from '../steps/reservation'
+import { restoreClaim, claimOf, releaseClaim } from '../steps/resourceClaim'
 import { newRun } from './newRun'
 import { RunOrders } from './RunOrders'
 import { RunPhase, type Run } from './Run'
@@ -160,7 +160,7 @@
 		const place = this.context.state.jobs.locate(text)
 		if (!place) return undefined
 		const run = this.add(text, place.name, job, task.attempt, task.worker)
-		claimAgain(this.context.ledger, task.worker, run)
+		restoreClaim(this.context.ledger, task.worker, run)
 		run.checkpoint = task.checkpoint
 		run.restored = true
 		run.seenAtWork = task.seenAtWork === task.attempt
@@ -195,7 +195,7 @@
 		const decision = this.takeDecision(formatTaskName(name))
 		if (!job) return
 		const claimed = claimOf(job, name.step, decision?.urgent ?? false, this.accounts.of(job))
-		unclaim(this.context.ledger, worker, claimed)
+		releaseClaim(this.context.ledger, worker, claimed)
 		const { gang, count } = claimed.step
 		if (gang) this.gangs.voided(name, attempt, count)
 	}
@@ -208,7 +208,7 @@
 		this.runs.delete(text)
 		this.unconfirmed.delete(run)
 		this.workers.find(worker)?.runs.delete(text)
-		unclaim(this.context.ledger, worker, run)
+		releaseClaim(this.context.ledger, worker, run)
 		const { health, clock, meter } = this.context
 		meter.count(Measure.RunsEnded, { how })
 		if (how === RunEnd.Done) health.succeeded(worker)
--- a/packages/jobs/src/lib/leader/steps/StepPlacement.ts
+++ b/packages/jobs/src/lib/leader/steps/StepPlacement.ts
@@ -9,7 +9,7 @@
 import { placeGang, type Placed, type TaskChooser } from './placeGang'
 import type { OpenWorkerList } from './OpenWorkerList'
 import type { Quarantine } from './Quarantine'
-import { claim } from './reservation'
+import { tryClaim } from './resourceClaim'
 import type { StepWork } from './StepWork'
 
 /** What decides whether room is free for a task. @internal */
@@ -103,7 +103,7 @@
 		for (const index of waiting) {
 			if (!this.accounts.mayBegin(work.account, work.step)) break
 			const option = choose(index, options)
-			if (!option || !claim(this.context.ledger, option.view.id, work)) break
+			if (!option || !tryClaim(this.context.ledger, option.view.id, work)) break
 			work.adjustTaskCount(option.view.id, 1)
 			this.parts.urgentCapacity.onPlaced(work, 1)
 			placed.push({ index, worker: option.view.id })
--- a/packages/jobs/src/lib/leader/steps/StepWork.ts
+++ b/packages/jobs/src/lib/leader/steps/StepWork.ts
@@ -11,7 +11,7 @@
 	type Urgency,
 } from '../../placement/StepUrgency'
 import type { Usefulness } from '../../placement/Usefulness'
-import { reservedFor } from './reservation'
+import { reservedResourcesOf } from './resourceClaim'
 import { StepAdvice } from '../advice/StepAdvice'
 import { WaitTimes } from './WaitTimes'
 
@@ -76,7 +76,7 @@
 		this.name = stepName(job.id, repeat, stepIndex)
 		this.step = job.request.steps[stepIndex]
 		this.record = job.repeats[repeat][stepIndex]
-		this.need = reservedFor(this.step)
+		this.need = reservedResourcesOf(this.step)
 		this.service = job.queue.service
 		this.urgent = precedence.urgent
 		this.yields = precedence.yields
--- a/packages/jobs/src/lib/leader/steps/placeGang.ts
+++ b/packages/jobs/src/lib/leader/steps/placeGang.ts
@@ -1,7 +1,7 @@
 /** Places all tasks of a gang or none, in one rack where that matters. */
 import type { Ledger } from '@rillrudder/scheduler'
 import type { WorkerOption } from './chooseWorkerForStep'
-import { claim, unclaim } from './reservation'
+import { tryClaim, releaseClaim } from './resourceClaim'
 import type { StepWork } from './StepWork'
 
 /** Milliseconds that a gang waits for one rack with room before it takes any workers. */
@@ -59,7 +59,7 @@
 	const placed: Placed[] = []
 	for (const index of waiting) {
 		const option = choose(index, options)
-		if (!option || !claim(ledger, option.view.id, work)) {
+		if (!option || !tryClaim(ledger, option.view.id, work)) {
 			undo(work, placed, ledger)
 			return []
 		}
@@ -71,7 +71,7 @@
 
 function undo(work: StepWork, placed: readonly Placed[], ledger: Ledger): void {
 	for (const { worker } of placed) {
-		unclaim(ledger, worker, work)
+		releaseClaim(ledger, worker, work)
 		work.adjustTaskCount(worker, -1)
 	}
 }
--- a/packages/jobs/src/lib/leader/steps/reservation.ts
+++ b/packages/jobs/src/lib/leader/steps/resourceClaim.ts
@@ -5,14 +5,14 @@
 import type { JobRecord } from '../../state/JobRecord'
 
 /** @returns what is reserved on its worker for a task of a step. @internal */
-export function reservedFor(step: Step): Resources {
+export function reservedResourcesOf(step: Step): Resources {
 	return step.bestEffort ? { ...step.need, cpu: 0 } : step.need
 }
 
 /** A task that takes room, with what it takes. @internal */
-export interface Claim {
+export interface ResourceClaim {
 	readonly step: Step
-	/** See {@link reservedFor}. */
+	/** See {@link reservedResourcesOf}. */
 	readonly need: Resources
 	/** The service at whose workers it runs. */
 	readonly service: string
@@ -28,16 +28,16 @@
 	number: number,
 	urgent: boolean,
 	account: QuotaAccount | undefined
-): Claim {
+): ResourceClaim {
 	const step = request.steps[number]
-	return { step, need: reservedFor(step), service: queue.service, urgent, account }
+	return { step, need: reservedResourcesOf(step), service: queue.service, urgent, account }
 }
 
 /** @returns whether the worker had the room, which is then taken. @internal */
-export function claim(
+export function tryClaim(
 	ledger: Ledger,
 	worker: string,
-	{ step, need, service, urgent, account }: Claim
+	{ step, need, service, urgent, account }: ResourceClaim
 ): boolean {
 	if (!ledger.reserve(worker, need, urgent)) return false
 	account?.take(countedFor(step))
@@ -46,10 +46,10 @@
 }
 
 /** Takes up what an earlier leader gave away. @internal */
-export function claimAgain(
+export function restoreClaim(
 	ledger: Ledger,
 	worker: string,
-	{ step, need, service, urgent, account }: Claim
+	{ step, need, service, urgent, account }: ResourceClaim
 ): void {
 	ledger.restore(worker, need, urgent)
 	account?.take(countedFor(step))
@@ -57,10 +57,10 @@
 }
 
 /** Gives back what a task had. @internal */
-export function unclaim(
+export function releaseClaim(
 	ledger: Ledger,
 	worker: string,
-	{ step, need, service, urgent, account }: Claim
+	{ step, need, service, urgent, account }: ResourceClaim
 ): void {
 	ledger.release(worker, need, urgent)
 	account?.giveBack(countedFor(step))
