--- a/packages/jobs/src/lib/leader/JobController.ts
+++ b/packages/jobs/src/lib/leader/JobController.ts
@@ -224,7 +224,7 @@
 		const { size: before } = window
 		const bound = shortestTarget(context.state.configuration?.queues ?? [])
 		const { startsUnderWay: starts } = runs
-		window.judge(delay, bound, starts)
+		window.update(delay, bound, starts)
 		const { size } = window
 		if (size === before) return
 		const most = window.isBounded ? size : undefined
--- a/packages/jobs/src/lib/leader/steps/StartWindow.ts
+++ b/packages/jobs/src/lib/leader/steps/StartWindow.ts
@@ -5,15 +5,15 @@
  */
 
 /** Starts that may be under way at least. */
-const LEAST = 16
+const MIN_SIZE = 16
 /** The window is multiplied by no less than this when the cell is behind. */
-const DECREASE = 0.5
+const MIN_DECREASE_FACTOR = 0.5
 /** By how much the window grows after a period in which the cell kept up. */
-const INCREASE = { factor: 1.2, more: 4 } as const
+const INCREASE = { factor: 1.2, increment: 4 } as const
 /** Starts under way from which a window has no effect. */
-const NO_WINDOW = 4000
+const UNBOUNDED_SIZE = 4000
 /** Share of the bound below which half of the starts must be for the window to grow. */
-const KEEPS_UP_BELOW = 0.5
+const INCREASE_BELOW = 0.5
 
 /**
  * The window of starts.
@@ -21,42 +21,42 @@
  * @internal
  */
 export class StartWindow {
-	private most = Number.POSITIVE_INFINITY
+	private limit = Number.POSITIVE_INFINITY
 
 	/** Starts that may be under way; infinite while the cell keeps up. */
 	get size(): number {
-		return this.most
+		return this.limit
 	}
 
 	/** Whether there is a bound. */
 	get isBounded(): boolean {
-		return Number.isFinite(this.most)
+		return Number.isFinite(this.limit)
 	}
 
 	/** @returns whether another start may be decided. */
 	admits(underWay: number): boolean {
-		return underWay < this.most
+		return underWay < this.limit
 	}
 
 	/**
 	 * Takes what the starts of a period have shown.
 	 *
 	 * @param delay - milliseconds that half of them took at least.
-	 * @param bound - milliseconds that half of them may take.
+	 * @param targetDelay - milliseconds that half of them may take.
 	 * @param underWay - starts that are under way.
 	 */
-	judge(delay: number, bound: number, underWay: number): void {
-		if (delay > bound) this.decrease(bound / delay, underWay)
-		else if (delay < bound * KEEPS_UP_BELOW) this.increase()
+	update(delay: number, targetDelay: number, underWay: number): void {
+		if (delay > targetDelay) this.decrease(targetDelay / delay, underWay)
+		else if (delay < targetDelay * INCREASE_BELOW) this.increase()
 	}
 
-	private decrease(share: number, underWay: number): void {
-		const factor = Math.max(DECREASE, share)
-		this.most = Math.max(LEAST, Math.floor(Math.min(this.most, underWay) * factor))
+	private decrease(ratio: number, underWay: number): void {
+		const factor = Math.max(MIN_DECREASE_FACTOR, ratio)
+		this.limit = Math.max(MIN_SIZE, Math.floor(Math.min(this.limit, underWay) * factor))
 	}
 
 	private increase(): void {
-		const next = this.most * INCREASE.factor + INCREASE.more
-		this.most = next > NO_WINDOW ? Number.POSITIVE_INFINITY : Math.floor(next)
+		const next = this.limit * INCREASE.factor + INCREASE.increment
+		this.limit = next > UNBOUNDED_SIZE ? Number.POSITIVE_INFINITY : Math.floor(next)
 	}
 }
