--- a/packages/jobs/src/lib/leader/steps/StepLog.ts
+++ b/packages/jobs/src/lib/leader/steps/StepLog.ts
@@ -38,9 +38,9 @@
 	closed(work: StepWork): void {
 		const { meter, log, clock } = this.context
 		const waiting = work.getWaitingTasks().length
-		work.waits.note(undefined, clock.now())
+		work.waits.setReason(undefined, clock.now())
 		const priority = String(work.queue.priority)
-		for (const [reason, span] of work.waits.all()) {
+		for (const [reason, span] of work.waits.getDurations()) {
 			meter.count(Measure.StepWaits, { priority, reason }, span)
 		}
 		if (waiting === 0 || work.readyAt === undefined) return
--- a/packages/jobs/src/lib/leader/steps/StepScheduler.ts
+++ b/packages/jobs/src/lib/leader/steps/StepScheduler.ts
@@ -34,7 +34,7 @@
 import { StepPlacement } from './StepPlacement'
 import { StepQuestions } from '../advice/StepQuestions'
 import { byUrgency, stepName, StepWork } from './StepWork'
-import { StepWaits } from './StepWaits'
+import { StepWaitMonitor } from './StepWaitMonitor'
 import { isBarred, reasonIn, waitOf, WaitReason, type Wait } from './waitReason'
 import type { WorkerRegistry } from '../workers/WorkerRegistry'
 
@@ -50,7 +50,7 @@
 	private order: StepWork[] = []
 	private readonly questions: StepQuestions
 	private readonly log: StepLog
-	private readonly waits: StepWaits
+	private readonly waits: StepWaitMonitor
 	private readonly preemption: Preemption
 	private readonly later = new DueRepeats()
 	private stale = true
@@ -83,7 +83,7 @@
 		const parts = { urgentCapacity, reservations, quarantine, gangs, openWorkers }
 		this.placement = new StepPlacement(context, accounts, parts)
 		this.log = new StepLog(context)
-		this.waits = new StepWaits(context, (work, pass) => this.waitOf(work, pass))
+		this.waits = new StepWaitMonitor(context, (work, pass) => this.waitOf(work, pass))
 		this.preemption = new Preemption(context, runs, (work, option) => this.admits(work, option))
 	}
 
@@ -270,7 +270,7 @@
 		const released = this.context.ledger.takeReleased()
 		const due = this.order.filter((work) => !work.isFullyPlaced && this.isReady(work))
 		const pass = new PlacementPass(now, full, this.openWorkers, released)
-		if (full) this.waits.tell(this.order, (work) => this.isWaiting(work), pass)
+		if (full) this.waits.logOverdueSteps(this.order, (work) => this.isWaiting(work), pass)
 		const tried = due.filter((work) => pass.tries(work))
 		if (tried.length === 0) return
 		if (full) this.openAtFullPass = pass.open
@@ -374,10 +374,10 @@
 		work.isFullyPlaced = waiting.length === 0
 		if (work.isFullyPlaced) {
 			const isHeld = work.getWaitingTasks().length > 0
-			return work.waits.note(isHeld ? WaitReason.Held : undefined, now)
+			return work.waits.setReason(isHeld ? WaitReason.Held : undefined, now)
 		}
 		if (!this.accounts.mayBegin(work.account, work.step)) {
-			work.waits.note(WaitReason.Quota, now)
+			work.waits.setReason(WaitReason.Quota, now)
 			return this.reservations.drop(work)
 		}
 		if (pass.isNarrowFor(work)) return this.placeOnFreed(work, waiting, pass)
@@ -387,7 +387,7 @@
 		if (!work.hasLoggedBarred && isBarred(work, eligible)) this.log.barred(work, eligible.length)
 		const left = this.placeAmong(work, waiting, options, now)
 		if (left === 0) return
-		if (full) work.waits.note(reasonIn(work, { eligible, options }), now)
+		if (full) work.waits.setReason(reasonIn(work, { eligible, options }), now)
 		if (needsPlan(work)) return full ? this.gangs.prepare(work, eligible, now) : undefined
 		if (full && this.reservations.canReserve(work))
 			this.reservations.reserveIfNeeded(work, left, workers.allowed)
@@ -421,7 +421,7 @@
 		work.isFullyPlaced = left === 0
 		if (placed.length > 0) this.begin(work, placed, now)
 		if (left > 0) return left
-		work.waits.note(undefined, now)
+		work.waits.setReason(undefined, now)
 		this.reservations.drop(work)
 		return 0
 	}
@@ -459,7 +459,7 @@
 /** A step waits until starts that are under way are confirmed. */
 function putOff(work: StepWork, { now, full }: PlacementPass): void {
 	work.readyAt ??= now
-	if (full) work.waits.note(WaitReason.Starts, now)
+	if (full) work.waits.setReason(WaitReason.Starts, now)
 }
 
 function nameOf(task: TaskName): string {
--- a/packages/jobs/src/lib/leader/steps/StepWaits.ts
+++ b/packages/jobs/src/lib/leader/steps/StepWaitMonitor.ts
@@ -7,13 +7,13 @@
 import { WaitReason, type Wait } from './waitReason'
 
 /** Steps whose reasons one measure looks up, those that have waited longest: each costs a look at all workers. */
-const MOST_MEASURED = 20
+const MAX_MEASURED_STEPS = 20
 /** Steps of which one pass tells that they are overdue: each costs a look at all workers, and the log takes as many lines in the time of a pass. */
-const MOST_TOLD = 10
+const MAX_OVERDUE_LOGS = 10
 /** Milliseconds after which a step that nothing but this controller keeps from beginning waits too long; a question to a policy takes up to 2 s. */
-const TOO_LONG = 5000
+const LONG_WAIT_MS = 5000
 /** What only workers, callers or operators can end. */
-const OUTSIDE: readonly WaitReason[] = [
+const EXTERNAL_REASONS: readonly WaitReason[] = [
 	WaitReason.Held,
 	WaitReason.Worker,
 	WaitReason.Barred,
@@ -27,14 +27,14 @@
  *
  * @internal
  */
-export class StepWaits {
+export class StepWaitMonitor {
 	/**
 	 * @param context - what the parts of the leader share.
-	 * @param waitOf - why a step waits.
+	 * @param explainWait - why a step waits.
 	 */
 	constructor(
 		private readonly context: LeaderContext,
-		private readonly waitOf: (work: StepWork, pass: PlacementPass) => Wait
+		private readonly explainWait: (work: StepWork, pass: PlacementPass) => Wait
 	) {}
 
 	/**
@@ -47,11 +47,11 @@
 	measure(waiting: readonly StepWork[], pass: PlacementPass): void {
 		const now = this.context.clock.now()
 		const oldest = new Map<WaitReason, number>()
-		for (const work of longestOf(waiting, now)) {
-			const wait = this.waitOf(work, pass)
+		for (const work of findLongestWaiting(waiting, now)) {
+			const wait = this.explainWait(work, pass)
 			const waited = work.getWaitTime(now)
 			oldest.set(wait.reason, Math.max(oldest.get(wait.reason) ?? 0, waited))
-			if (!work.hasLoggedLongWait && waited > TOO_LONG) this.tellTooLong(work, wait)
+			if (!work.hasLoggedLongWait && waited > LONG_WAIT_MS) this.logLongWait(work, wait)
 		}
 		for (const reason of Object.values(WaitReason)) {
 			this.context.meter.gauge(Measure.OldestWait, oldest.get(reason) ?? 0, { reason })
@@ -59,29 +59,29 @@
 	}
 
 	/** Tells once of each step that had to begin by now for its job to be in time. */
-	tell(
+	logOverdueSteps(
 		steps: readonly StepWork[],
 		isWaiting: (work: StepWork) => boolean,
 		pass: PlacementPass
 	): void {
 		const epoch = epochOf(this.context)
-		let told = 0
+		let logged = 0
 		for (const work of steps) {
 			if (work.hasLoggedOverdue || !work.isOverdue(epoch) || !isWaiting(work)) continue
 			work.hasLoggedOverdue = true
-			this.line(LeaderEvent.StepOverdue, work, this.waitOf(work, pass))
-			told += 1
-			if (told === MOST_TOLD) return
+			this.logWait(LeaderEvent.StepOverdue, work, this.explainWait(work, pass))
+			logged += 1
+			if (logged === MAX_OVERDUE_LOGS) return
 		}
 	}
 
-	private tellTooLong(work: StepWork, wait: Wait): void {
-		if (OUTSIDE.includes(wait.reason)) return
+	private logLongWait(work: StepWork, wait: Wait): void {
+		if (EXTERNAL_REASONS.includes(wait.reason)) return
 		work.hasLoggedLongWait = true
-		this.line(LeaderEvent.StepWaitsLong, work, wait)
+		this.logWait(LeaderEvent.StepWaitsLong, work, wait)
 	}
 
-	private line(event: LeaderEvent, work: StepWork, { text: reason, until }: Wait): void {
+	private logWait(event: LeaderEvent, work: StepWork, { text: reason, until }: Wait): void {
 		this.context.log.info(event, {
 			step: work.name,
 			priority: work.queue.priority,
@@ -93,7 +93,7 @@
 	}
 }
 
-function longestOf(waiting: readonly StepWork[], now: number): StepWork[] {
+function findLongestWaiting(waiting: readonly StepWork[], now: number): StepWork[] {
 	const sorted = [...waiting].sort((left, right) => right.getWaitTime(now) - left.getWaitTime(now))
-	return sorted.slice(0, MOST_MEASURED)
+	return sorted.slice(0, MAX_MEASURED_STEPS)
 }
--- a/packages/jobs/src/lib/leader/steps/WaitTimes.test.ts
+++ b/packages/jobs/src/lib/leader/steps/WaitTimes.test.ts
@@ -6,18 +6,18 @@
 
 test('each reason counts until the next one is noted, and again when it comes back', () => {
 	const times = new WaitTimes()
-	times.note(WaitReason.Advice, 100)
-	times.note(WaitReason.Room, 150)
-	times.note(WaitReason.Room, 400)
-	times.note(WaitReason.Advice, 1150)
-	times.note(undefined, 1160)
-	times.note(WaitReason.Room, 5000)
+	times.setReason(WaitReason.Advice, 100)
+	times.setReason(WaitReason.Room, 150)
+	times.setReason(WaitReason.Room, 400)
+	times.setReason(WaitReason.Advice, 1150)
+	times.setReason(undefined, 1160)
+	times.setReason(WaitReason.Room, 5000)
 	assert.equal(String(times), 'room:1000 advice:60')
 })
 
 test('a step that never waited has nothing to tell', () => {
 	const times = new WaitTimes()
-	times.note(undefined, 10)
-	times.note(undefined, 20)
+	times.setReason(undefined, 10)
+	times.setReason(undefined, 20)
 	assert.equal(String(times), '')
 })
--- a/packages/jobs/src/lib/leader/steps/WaitTimes.ts
+++ b/packages/jobs/src/lib/leader/steps/WaitTimes.ts
@@ -7,7 +7,7 @@
  * @internal
  */
 export class WaitTimes {
-	private readonly spans = new Map<WaitReason, number>()
+	private readonly durations = new Map<WaitReason, number>()
 	private reason: WaitReason | undefined
 	private since = 0
 
@@ -15,29 +15,29 @@
 	 * @param reason - what keeps the step from now on; undefined while nothing waits.
 	 * @param now - the moment, on the leader's clock.
 	 */
-	note(reason: WaitReason | undefined, now: number): void {
+	setReason(reason: WaitReason | undefined, now: number): void {
 		if (this.reason !== undefined) {
-			this.spans.set(this.reason, this.spanOf(this.reason) + now - this.since)
+			this.durations.set(this.reason, this.durationOf(this.reason) + now - this.since)
 		}
 		this.reason = reason
 		this.since = now
 	}
 
 	/** @returns the milliseconds that each reason has kept it, those that lasted longest first. */
-	all(): [reason: WaitReason, span: number][] {
-		return [...this.spans].sort(([, left], [, right]) => right - left)
+	getDurations(): [reason: WaitReason, duration: number][] {
+		return [...this.durations].sort(([, left], [, right]) => right - left)
 	}
 
 	/** The same as one text for the log, as in `room:1200 advice:85`; reasons of under a millisecond are left out. */
 	toString(): string {
-		return this.all()
-			.map(([reason, span]) => [reason, Math.round(span)] as const)
-			.filter(([, span]) => span > 0)
-			.map(([reason, span]) => `${reason}:${span}`)
+		return this.getDurations()
+			.map(([reason, duration]) => [reason, Math.round(duration)] as const)
+			.filter(([, duration]) => duration > 0)
+			.map(([reason, duration]) => `${reason}:${duration}`)
 			.join(' ')
 	}
 
-	private spanOf(reason: WaitReason): number {
-		return this.spans.get(reason) ?? 0
+	private durationOf(reason: WaitReason): number {
+		return this.durations.get(reason) ?? 0
 	}
 }
