--- a/packages/jobs/src/lib/leader/steps/StepScheduler.ts
+++ b/packages/jobs/src/lib/leader/steps/StepScheduler.ts
@@ -35,7 +35,13 @@
 import { StepQuestions } from '../advice/StepQuestions'
 import { byUrgency, stepName, StepWork } from './StepWork'
 import { StepWaitMonitor } from './StepWaitMonitor'
-import { isBarred, reasonIn, waitOf, WaitReason, type Wait } from './waitReason'
+import {
+	isBarred,
+	waitReasonInPass,
+	explainWait,
+	WaitReason,
+	type WaitExplanation,
+} from './waitReason'
 import type { WorkerRegistry } from '../workers/WorkerRegistry'
 
 const NOTHING_RELEASED: ReadonlySet<string> = new Set()
@@ -130,7 +136,7 @@
 		return `${text}; for ${waited} ms, until ${until}`
 	}
 
-	private waitOf(work: StepWork, pass: PlacementPass): Wait {
+	private waitOf(work: StepWork, pass: PlacementPass): WaitExplanation {
 		const eligible = pass.eligible(work)
 		const room = eligible.filter((option) => this.admits(work, option))
 		const kept = this.reservations.getExpectedTimes(work)
@@ -138,7 +144,15 @@
 		const held = this.quarantine.mayBegin(work).length === 0
 		const behind = !this.startWindow.admits(this.boundedStarts)
 		const now = this.context.clock.now()
-		return waitOf(work, { eligible, room, held, withinQuota, kept, behind, now })
+		return explainWait(work, {
+			eligible,
+			withCapacity: room,
+			isHeld: held,
+			isWithinQuota: withinQuota,
+			reservation: kept,
+			isStartWindowFull: behind,
+			now,
+		})
 	}
 
 	/** Takes up a job: all its repeats that are due. */
@@ -387,7 +401,7 @@
 		if (!work.hasLoggedBarred && isBarred(work, eligible)) this.log.barred(work, eligible.length)
 		const left = this.placeAmong(work, waiting, options, now)
 		if (left === 0) return
-		if (full) work.waits.setReason(reasonIn(work, { eligible, options }), now)
+		if (full) work.waits.setReason(waitReasonInPass(work, { eligible, options }), now)
 		if (needsPlan(work)) return full ? this.gangs.prepare(work, eligible, now) : undefined
 		if (full && this.reservations.canReserve(work))
 			this.reservations.reserveIfNeeded(work, left, workers.allowed)
@@ -459,7 +473,7 @@
 /** A step waits until starts that are under way are confirmed. */
 function putOff(work: StepWork, { now, full }: PlacementPass): void {
 	work.readyAt ??= now
-	if (full) work.waits.setReason(WaitReason.Starts, now)
+	if (full) work.waits.setReason(WaitReason.StartWindow, now)
 }
 
 function nameOf(task: TaskName): string {
--- a/packages/jobs/src/lib/leader/steps/StepWaitMonitor.ts
+++ b/packages/jobs/src/lib/leader/steps/StepWaitMonitor.ts
@@ -4,7 +4,7 @@
 import { LeaderEvent } from '../LeaderEvent'
 import type { PlacementPass } from './PlacementPass'
 import type { StepWork } from './StepWork'
-import { WaitReason, type Wait } from './waitReason'
+import { WaitReason, type WaitExplanation } from './waitReason'
 
 /** Steps whose reasons one measure looks up, those that have waited longest: each costs a look at all workers. */
 const MAX_MEASURED_STEPS = 20
@@ -18,7 +18,7 @@
 	WaitReason.Worker,
 	WaitReason.Barred,
 	WaitReason.Quota,
-	WaitReason.Room,
+	WaitReason.Capacity,
 	WaitReason.Policy,
 ]
 
@@ -34,7 +34,7 @@
 	 */
 	constructor(
 		private readonly context: LeaderContext,
-		private readonly explainWait: (work: StepWork, pass: PlacementPass) => Wait
+		private readonly explainWait: (work: StepWork, pass: PlacementPass) => WaitExplanation
 	) {}
 
 	/**
@@ -75,13 +75,17 @@
 		}
 	}
 
-	private logLongWait(work: StepWork, wait: Wait): void {
+	private logLongWait(work: StepWork, wait: WaitExplanation): void {
 		if (EXTERNAL_REASONS.includes(wait.reason)) return
 		work.hasLoggedLongWait = true
 		this.logWait(LeaderEvent.StepWaitsLong, work, wait)
 	}
 
-	private logWait(event: LeaderEvent, work: StepWork, { text: reason, until }: Wait): void {
+	private logWait(
+		event: LeaderEvent,
+		work: StepWork,
+		{ text: reason, until }: WaitExplanation
+	): void {
 		this.context.log.info(event, {
 			step: work.name,
 			priority: work.queue.priority,
--- a/packages/jobs/src/lib/leader/steps/WaitTimes.test.ts
+++ b/packages/jobs/src/lib/leader/steps/WaitTimes.test.ts
@@ -7,11 +7,11 @@
 test('each reason counts until the next one is noted, and again when it comes back', () => {
 	const times = new WaitTimes()
 	times.setReason(WaitReason.Advice, 100)
-	times.setReason(WaitReason.Room, 150)
-	times.setReason(WaitReason.Room, 400)
+	times.setReason(WaitReason.Capacity, 150)
+	times.setReason(WaitReason.Capacity, 400)
 	times.setReason(WaitReason.Advice, 1150)
 	times.setReason(undefined, 1160)
-	times.setReason(WaitReason.Room, 5000)
+	times.setReason(WaitReason.Capacity, 5000)
 	assert.equal(String(times), 'room:1000 advice:60')
 })
 
--- a/packages/jobs/src/lib/leader/steps/waitReason.ts
+++ b/packages/jobs/src/lib/leader/steps/waitReason.ts
@@ -14,7 +14,7 @@
 	/** The account has as much running as it may. */
 	Quota: 'quota',
 	/** No open worker has room for one. */
-	Room: 'room',
+	Capacity: 'room',
 	/** Room is kept until there is enough. */
 	Reservation: 'reservation',
 	/** Not all of a gang has room. */
@@ -24,7 +24,7 @@
 	/** The policy allows none of the workers with room. */
 	Policy: 'policy',
 	/** The cell is behind with its starts, and those that are under way are awaited. */
-	Starts: 'starts',
+	StartWindow: 'starts',
 	/** Nothing keeps them. */
 	None: 'none',
 } as const
@@ -32,7 +32,7 @@
 export type WaitReason = (typeof WaitReason)[keyof typeof WaitReason]
 
 /** Why tasks of a step wait, in words. @internal */
-export interface Wait {
+export interface WaitExplanation {
 	readonly reason: WaitReason
 	readonly text: string
 	/** What ends it. */
@@ -40,25 +40,25 @@
 }
 
 /** What is known of a waiting step at a moment. @internal */
-export interface StepSituation {
+export interface WaitContext {
 	/** Open workers of its service that have its label. */
 	readonly eligible: readonly WorkerOption[]
 	/** Those of them that have room for one of its tasks. */
-	readonly room: readonly WorkerOption[]
+	readonly withCapacity: readonly WorkerOption[]
 	/** Whether all its tasks that wait are held back until it is known whether workers that they have lost crashed. */
-	readonly held: boolean
+	readonly isHeld: boolean
 	/** Whether its account's quota has room for what it begins at a time. */
-	readonly withinQuota: boolean
+	readonly isWithinQuota: boolean
 	/** When room that is kept for it is expected; undefined when none is kept. */
-	readonly kept: ReservedTimes | undefined
+	readonly reservation: ReservedTimes | undefined
 	/** Whether no more starts may be under way at a time. */
-	readonly behind: boolean
+	readonly isStartWindowFull: boolean
 	/** The moment, on the leader's clock. */
 	readonly now: number
 }
 
 /** What a pass over the waiting steps has seen of a step, some of whose tasks found no place. @internal */
-export interface PassSight {
+export interface StepCandidates {
 	/** Open workers of its service that have its label. */
 	readonly eligible: readonly WorkerOption[]
 	/** Those of them that may run it now. */
@@ -66,12 +66,15 @@
 }
 
 /**
- * A cheaper answer than {@link waitOf}, for every step in every pass.
+ * A cheaper answer than {@link explainWait}, for every step in every pass.
  *
  * @returns why tasks of a step wait that a pass has just tried to place.
  * @internal
  */
-export function reasonIn(work: StepWork, { eligible, options }: PassSight): WaitReason {
+export function waitReasonInPass(
+	work: StepWork,
+	{ eligible, options }: StepCandidates
+): WaitReason {
 	if (eligible.length === 0) return WaitReason.Worker
 	if (options.some((option) => hasCapacity(work, option))) {
 		return work.step.gang ? WaitReason.Gang : WaitReason.Reservation
@@ -80,7 +83,7 @@
 	const others = eligible.some(
 		(option) => !advice.isUnfit(option.view.id) && hasCapacity(work, option)
 	)
-	if (!work.queue.advice || !others) return WaitReason.Room
+	if (!work.queue.advice || !others) return WaitReason.Capacity
 	return advice.asking ? WaitReason.Advice : WaitReason.Policy
 }
 
@@ -91,8 +94,16 @@
 }
 
 /** @returns why tasks of a step wait. @internal */
-export function waitOf(work: StepWork, situation: StepSituation): Wait {
-	const { eligible, room, withinQuota, kept, behind, now, held } = situation
+export function explainWait(work: StepWork, context: WaitContext): WaitExplanation {
+	const {
+		eligible,
+		withCapacity: room,
+		isWithinQuota: withinQuota,
+		reservation: kept,
+		isStartWindowFull: behind,
+		now,
+		isHeld: held,
+	} = context
 	if (held) {
 		return {
 			reason: WaitReason.Held,
@@ -124,7 +135,7 @@
 	}
 	if (room.length === 0) {
 		return {
-			reason: WaitReason.Room,
+			reason: WaitReason.Capacity,
 			text: `none of ${open} open workers has room for one task`,
 			until: 'runs end, or urgent work makes room',
 		}
@@ -139,17 +150,22 @@
 	}
 	if (behind) {
 		return {
-			reason: WaitReason.Starts,
+			reason: WaitReason.StartWindow,
 			text: 'the cell is behind with its starts',
 			until: 'workers confirm those that are under way',
 		}
 	}
-	return work.queue.advice ? waitForAdvice(work, room, now) : placedNext(work)
+	return work.queue.advice ? explainAdviceWait(work, room, now) : explainRemainingWait(work)
 }
 
-function waitForAdvice(work: StepWork, room: readonly WorkerOption[], now: number): Wait {
+function explainAdviceWait(
+	work: StepWork,
+	room: readonly WorkerOption[],
+	now: number
+): WaitExplanation {
 	const { advice } = work
-	if (room.some(({ view }) => advice.ticket(view.id, now) !== undefined)) return placedNext(work)
+	if (room.some(({ view }) => advice.ticket(view.id, now) !== undefined))
+		return explainRemainingWait(work)
 	if (advice.asking) {
 		return {
 			reason: WaitReason.Advice,
@@ -164,7 +180,7 @@
 	}
 }
 
-function placedNext({ step }: StepWork): Wait {
+function explainRemainingWait({ step }: StepWork): WaitExplanation {
 	if (step.gang) {
 		return {
 			reason: WaitReason.Gang,
