--- a/packages/jobs/src/lib/leader/steps/StepLog.ts
+++ b/packages/jobs/src/lib/leader/steps/StepLog.ts
@@ -2,7 +2,7 @@
 import { Measure } from '@rillrudder/telemetry'
 import type { LeaderContext } from '../LeaderContext'
 import { LeaderEvent } from '../LeaderEvent'
-import type { Placed } from './placeGang'
+import type { PlacedTask } from './placeGang'
 import type { StepWork } from './StepWork'
 
 /**
@@ -14,7 +14,7 @@
 	constructor(private readonly context: LeaderContext) {}
 
 	/** Runs of a step begin. */
-	placed(work: StepWork, placed: readonly Placed[], now: number): void {
+	placed(work: StepWork, placed: readonly PlacedTask[], now: number): void {
 		const { meter, log, state, term } = this.context
 		const waited = work.getWaitTime(now)
 		const priority = String(work.queue.priority)
@@ -63,7 +63,7 @@
 }
 
 /** The workers of placed tasks with their counts, as one text for the log. */
-function countedWorkers(placed: readonly Placed[]): string {
+function countedWorkers(placed: readonly PlacedTask[]): string {
 	const counts = new Map<string, number>()
 	for (const { worker } of placed) counts.set(worker, (counts.get(worker) ?? 0) + 1)
 	return [...counts].map(([worker, count]) => `${worker}:${count}`).join(' ')
--- a/packages/jobs/src/lib/leader/steps/StepPlacement.ts
+++ b/packages/jobs/src/lib/leader/steps/StepPlacement.ts
@@ -6,14 +6,14 @@
 import type { UrgentCapacity } from '../../placement/UrgentCapacity'
 import { epochOf, type LeaderContext } from '../LeaderContext'
 import { chooseWorkerForStep, type WorkerOption, type CapacityCheck } from './chooseWorkerForStep'
-import { placeGang, type Placed, type TaskChooser } from './placeGang'
+import { placeGang, type PlacedTask, type TaskChooser } from './placeGang'
 import type { OpenWorkerList } from './OpenWorkerList'
 import type { Quarantine } from './Quarantine'
 import { tryClaim } from './resourceClaim'
 import type { StepWork } from './StepWork'
 
 /** What decides whether room is free for a task. @internal */
-export interface PlacementParts {
+export interface PlacementDependencies {
 	readonly urgentCapacity: UrgentCapacity
 	readonly reservations: Reservations
 	readonly quarantine: Quarantine
@@ -32,20 +32,20 @@
 	 * nothing of another job is isolated there.
 	 */
 	private readonly isFree: CapacityCheck = (work, option) =>
-		this.parts.openWorkers.isOpen(option) &&
-		this.parts.urgentCapacity.allows(work) &&
-		this.parts.quarantine.admits(work.job.id, option.view.id, this.context.clock.now()) &&
-		this.parts.reservations.allows(work, option)
+		this.dependencies.openWorkers.isOpen(option) &&
+		this.dependencies.urgentCapacity.allows(work) &&
+		this.dependencies.quarantine.admits(work.job.id, option.view.id, this.context.clock.now()) &&
+		this.dependencies.reservations.allows(work, option)
 
 	/**
 	 * @param context - what the parts of the leader share.
 	 * @param accounts - what accounts may have.
-	 * @param parts - what decides whether room is free for a task.
+	 * @param dependencies - what decides whether room is free for a task.
 	 */
 	constructor(
 		private readonly context: LeaderContext,
 		private readonly accounts: AccountUsage,
-		private readonly parts: PlacementParts
+		private readonly dependencies: PlacementDependencies
 	) {}
 
 	/**
@@ -60,52 +60,53 @@
 		waiting: readonly number[],
 		options: readonly WorkerOption[],
 		now: number
-	): Placed[] {
+	): PlacedTask[] {
 		return work.step.gang
-			? this.placeWhole(work, waiting, options, now)
-			: this.placeEach(work, waiting, options, now)
+			? this.placeAsGang(work, waiting, options, now)
+			: this.placeSeparately(work, waiting, options, now)
 	}
 
 	private chooserFor(work: StepWork, now: number): TaskChooser {
 		return (index, options) =>
-			this.parts.quarantine.isDoubtful(work, index)
-				? this.parts.quarantine.choose(work, index, options, this.isFree, now)
+			this.dependencies.quarantine.isDoubtful(work, index)
+				? this.dependencies.quarantine.choose(work, index, options, this.isFree, now)
 				: chooseWorkerForStep(work, options, this.isFree, epochOf(this.context))
 	}
 
 	/** Places a gang, on workers that are unlikely to go where they have room for it. */
-	private placeWhole(
+	private placeAsGang(
 		work: StepWork,
 		waiting: readonly number[],
 		options: readonly WorkerOption[],
 		now: number
-	): Placed[] {
+	): PlacedTask[] {
 		if (roomIn(work, options, freeOf) < waiting.length) return []
 		const { ledger } = this.context
-		const place = (from: readonly WorkerOption[]): Placed[] =>
+		const place = (from: readonly WorkerOption[]): PlacedTask[] =>
 			placeGang(work, waiting, from, ledger, this.chooserFor(work, now), now)
-		const steady = this.parts.gangs.steady(work, options, now)
-		const first = place(steady)
-		const placed = first.length > 0 || steady.length === options.length ? first : place(options)
-		this.parts.urgentCapacity.onPlaced(work, placed.length)
-		if (placed.length > 0) this.parts.gangs.begun(work, now)
+		const reliable = this.dependencies.gangs.steady(work, options, now)
+		const onReliable = place(reliable)
+		const placed =
+			onReliable.length > 0 || reliable.length === options.length ? onReliable : place(options)
+		this.dependencies.urgentCapacity.onPlaced(work, placed.length)
+		if (placed.length > 0) this.dependencies.gangs.begun(work, now)
 		return placed
 	}
 
-	private placeEach(
+	private placeSeparately(
 		work: StepWork,
 		waiting: readonly number[],
 		options: readonly WorkerOption[],
 		now: number
-	): Placed[] {
-		const placed: Placed[] = []
+	): PlacedTask[] {
+		const placed: PlacedTask[] = []
 		const choose = this.chooserFor(work, now)
 		for (const index of waiting) {
 			if (!this.accounts.mayBegin(work.account, work.step)) break
 			const option = choose(index, options)
 			if (!option || !tryClaim(this.context.ledger, option.view.id, work)) break
 			work.adjustTaskCount(option.view.id, 1)
-			this.parts.urgentCapacity.onPlaced(work, 1)
+			this.dependencies.urgentCapacity.onPlaced(work, 1)
 			placed.push({ index, worker: option.view.id })
 		}
 		return placed
--- a/packages/jobs/src/lib/leader/steps/StepScheduler.ts
+++ b/packages/jobs/src/lib/leader/steps/StepScheduler.ts
@@ -22,7 +22,7 @@
 import { hasCapacity, type WorkerOption } from './chooseWorkerForStep'
 import { DueRepeats, dueOf } from './DueRepeats'
 import { epochOf, type LeaderContext } from '../LeaderContext'
-import type { Placed } from './placeGang'
+import type { PlacedTask } from './placeGang'
 import { Preemption } from './Preemption'
 import { Quarantine } from './Quarantine'
 import { OpenWorkerList } from './OpenWorkerList'
@@ -450,7 +450,7 @@
 		return freed.filter(({ view }) => work.advice.ticket(view.id, now) !== undefined)
 	}
 
-	private begin(work: StepWork, placed: readonly Placed[], now: number): void {
+	private begin(work: StepWork, placed: readonly PlacedTask[], now: number): void {
 		const { job, repeat, stepIndex: step, step: request, record } = work
 		const gangAttempt = 1 + Math.max(0, ...record.tasks.map((task) => task.attempt))
 		const runs = placed.map(({ index, worker }) => {
--- a/packages/jobs/src/lib/leader/steps/placeGang.ts
+++ b/packages/jobs/src/lib/leader/steps/placeGang.ts
@@ -5,10 +5,10 @@
 import type { StepWork } from './StepWork'
 
 /** Milliseconds that a gang waits for one rack with room before it takes any workers. */
-const RACK_PATIENCE = 1500
+const RACK_WAIT_MS = 1500
 
 /** A task and the worker it goes to. @internal */
-export interface Placed {
+export interface PlacedTask {
 	readonly index: number
 	readonly worker: string
 }
@@ -36,7 +36,7 @@
 	ledger: Ledger,
 	choose: TaskChooser,
 	now: number
-): Placed[] {
+): PlacedTask[] {
 	if (waiting.length !== work.record.tasks.length) return []
 	if (work.step.sameRack) {
 		for (const rack of new Set(options.map(({ account }) => account.rack))) {
@@ -44,7 +44,7 @@
 			const placed = placeAll(work, waiting, inRack, ledger, choose)
 			if (placed.length > 0) return placed
 		}
-		if (work.getWaitTime(now) < RACK_PATIENCE) return []
+		if (work.getWaitTime(now) < RACK_WAIT_MS) return []
 	}
 	return placeAll(work, waiting, options, ledger, choose)
 }
@@ -55,12 +55,12 @@
 	options: readonly WorkerOption[],
 	ledger: Ledger,
 	choose: TaskChooser
-): Placed[] {
-	const placed: Placed[] = []
+): PlacedTask[] {
+	const placed: PlacedTask[] = []
 	for (const index of waiting) {
 		const option = choose(index, options)
 		if (!option || !tryClaim(ledger, option.view.id, work)) {
-			undo(work, placed, ledger)
+			releaseAll(work, placed, ledger)
 			return []
 		}
 		work.adjustTaskCount(option.view.id, 1)
@@ -69,7 +69,7 @@
 	return placed
 }
 
-function undo(work: StepWork, placed: readonly Placed[], ledger: Ledger): void {
+function releaseAll(work: StepWork, placed: readonly PlacedTask[], ledger: Ledger): void {
 	for (const { worker } of placed) {
 		releaseClaim(ledger, worker, work)
 		work.adjustTaskCount(worker, -1)
