--- a/packages/jobs/src/lib/leader/steps/Preemption.ts
+++ b/packages/jobs/src/lib/leader/steps/Preemption.ts
@@ -2,16 +2,16 @@
 import type { WorkerOption, CapacityCheck } from './chooseWorkerForStep'
 import { epochOf, type LeaderContext } from '../LeaderContext'
 import type { Run } from '../runs/Run'
-import { runsToStop } from './runsToStop'
+import { chooseRunsToPreempt } from './chooseRunsToPreempt'
 import type { StepWork } from './StepWork'
 
 /** Milliseconds that an urgent step waits for room before runs of lower priority are stopped for it. */
-const PREEMPT_AFTER = 60
+const PREEMPT_AFTER_MS = 60
 /** Milliseconds within which urgent work is to begin; the users ask for 5.8 s, less the time that a stop takes. */
-const URGENT_START = 5000
+const URGENT_START_MS = 5000
 
 /** An urgent step that found no room. @internal */
-export interface RoomNeed {
+export interface CapacityNeed {
 	/** Open workers of its service that have its label. */
 	readonly eligible: readonly WorkerOption[]
 	/** Those of them that may run it now. */
@@ -19,7 +19,7 @@
 	/** How many of its tasks wait. */
 	readonly tasks: number
 	/** When room that is kept for the last of them is expected, on the leader's clock; undefined when none is kept. */
-	readonly roomAt: number | undefined
+	readonly capacityAt: number | undefined
 }
 
 /** Stops a run so that a step finds room. @internal */
@@ -46,13 +46,13 @@
 	) {}
 
 	/** Stops runs of lower priority where an urgent step has waited for room, and asking for advice finds none. */
-	makeRoom(work: StepWork, need: RoomNeed, now: number): void {
+	preemptFor(work: StepWork, need: CapacityNeed, now: number): void {
 		const { advice } = work
-		if (!this.needsRoomNow(work, need.roomAt, now)) return
+		if (!this.needsCapacityNow(work, need.capacityAt, now)) return
 		if (work.queue.advice && advice.firstAnswerAt === undefined) return
-		if (work.getWaitTime(now) < PREEMPT_AFTER) return
-		if (this.mayFindRoom(work, need)) return
-		for (const run of runsToStop(work, need.options, need.tasks, epochOf(this.context)))
+		if (work.getWaitTime(now) < PREEMPT_AFTER_MS) return
+		if (this.mayFitElsewhere(work, need)) return
+		for (const run of chooseRunsToPreempt(work, need.options, need.tasks, epochOf(this.context)))
 			this.runs.preempt(run, work.name)
 	}
 
@@ -60,14 +60,14 @@
 	 * Whether it pays to stop other work: not when the room that is kept comes soon and in time, nor when the step is
 	 * late anyway. A step that keeps no room is a small one, for which little has to stop.
 	 */
-	private needsRoomNow(work: StepWork, roomAt: number | undefined, now: number): boolean {
-		if (roomAt === undefined) return true
-		const inHand = work.urgency.latestStart - epochOf(this.context)
-		return inHand >= 0 && roomAt - now > Math.min(inHand, URGENT_START)
+	private needsCapacityNow(work: StepWork, capacityAt: number | undefined, now: number): boolean {
+		if (capacityAt === undefined) return true
+		const slack = work.urgency.latestStart - epochOf(this.context)
+		return slack >= 0 && capacityAt - now > Math.min(slack, URGENT_START_MS)
 	}
 
 	/** Whether a worker that has not been asked about has room. */
-	private mayFindRoom(work: StepWork, { eligible, options }: RoomNeed): boolean {
+	private mayFitElsewhere(work: StepWork, { eligible, options }: CapacityNeed): boolean {
 		const allowed = new Set(options.map(({ view }) => view.id))
 		return eligible.some((option) => {
 			const { id } = option.view
--- a/packages/jobs/src/lib/leader/steps/StepScheduler.ts
+++ b/packages/jobs/src/lib/leader/steps/StepScheduler.ts
@@ -408,7 +408,11 @@
 		const room = this.reservations.getExpectedTimes(work)
 		if (work.queue.advice) this.questions.ask(work, eligible, left, room?.next)
 		if (work.urgent && !work.step.gang) {
-			this.preemption.makeRoom(work, { eligible, options, tasks: left, roomAt: room?.last }, now)
+			this.preemption.preemptFor(
+				work,
+				{ eligible, options, tasks: left, capacityAt: room?.last },
+				now
+			)
 		}
 	}
 
--- a/packages/jobs/src/lib/leader/steps/runsToStop.ts
+++ b/packages/jobs/src/lib/leader/steps/chooseRunsToPreempt.ts
@@ -8,20 +8,20 @@
 import type { StepWork } from './StepWork'
 
 /** Percent from which a run is left alone, since it ends soon by itself. */
-const NEARLY_DONE = 85
+const NEARLY_DONE_PERCENT = 85
 /** Milliseconds that a job must have in hand for one of its runs to be stopped: a stop, a wait for room, a restart. */
-const LEAST_SLACK = 2000
+const MIN_SLACK_MS = 2000
 /** Attempts up to which a run may be stopped for others, so that none is stopped again and again. */
-const LAST_STOPPED_ATTEMPT = 3
+const MAX_PREEMPTED_ATTEMPT = 3
 /** Most runs that are stopped for one step at a time. */
-const MOST_STOPS = 8
+const MAX_STOPS_PER_STEP = 8
 
 /** Room that a worker has, or will have once what was told to stop there has stopped. */
-interface Prospect {
+interface PreemptionCandidate {
 	readonly option: WorkerOption
-	room: Resources
+	free: Resources
 	/** Runs that may be stopped, the smallest first. */
-	readonly stoppable: Run[]
+	readonly preemptible: Run[]
 }
 
 /**
@@ -32,20 +32,21 @@
  * @returns runs to stop; empty when that would not help, or room is on its way already.
  * @internal
  */
-export function runsToStop(
+export function chooseRunsToPreempt(
 	work: StepWork,
 	options: readonly WorkerOption[],
 	tasks: number,
 	epoch: number
 ): Run[] {
-	const prospects = options
+	const candidates = options
 		.filter(({ view }) => work.getAllowance(view.id) > 0)
-		.map((option) => toProspect(option, epoch))
+		.map((option) => toCandidate(option, epoch))
 	let missing = tasks
-	for (const { room, option } of prospects) missing -= work.countFittingTasks(option.view.id, room)
+	for (const { free: free, option } of candidates)
+		missing -= work.countFittingTasks(option.view.id, free)
 	const chosen: Run[] = []
-	while (missing > 0 && chosen.length < MOST_STOPS) {
-		const best = cheapest(work, prospects)
+	while (missing > 0 && chosen.length < MAX_STOPS_PER_STEP) {
+		const best = takeCheapestRun(work, candidates)
 		if (!best) break
 		missing -= best.gained
 		chosen.push(best.run)
@@ -53,46 +54,47 @@
 	return chosen
 }
 
-function toProspect(option: WorkerOption, epoch: number): Prospect {
-	let room = option.account.free
-	const stoppable: Run[] = []
+function toCandidate(option: WorkerOption, epoch: number): PreemptionCandidate {
+	let free = option.account.free
+	const preemptible: Run[] = []
 	for (const run of option.view.runs.values()) {
 		const stopping = run.phase === RunPhase.Stopping || run.phase === RunPhase.Stopped
-		if (stopping) room = plus(room, run.need)
-		else if (isStoppable(run, epoch)) stoppable.push(run)
+		if (stopping) free = plus(free, run.need)
+		else if (isPreemptible(run, epoch)) preemptible.push(run)
 	}
-	stoppable.sort((left, right) => left.need.cpu - right.need.cpu)
-	return { option, room, stoppable }
+	preemptible.sort((left, right) => left.need.cpu - right.need.cpu)
+	return { option, free: free, preemptible: preemptible }
 }
 
-function isStoppable(run: Run, epoch: number): boolean {
+function isPreemptible(run: Run, epoch: number): boolean {
 	const { yields, phase, percent, step, attempt } = run
-	const resumes = step.checkpoints && !step.gang && attempt <= LAST_STOPPED_ATTEMPT
-	if (!yields || !resumes || phase !== RunPhase.Running || percent >= NEARLY_DONE) return false
-	return slackOf(run, epoch) >= LEAST_SLACK
+	const resumes = step.checkpoints && !step.gang && attempt <= MAX_PREEMPTED_ATTEMPT
+	if (!yields || !resumes || phase !== RunPhase.Running || percent >= NEARLY_DONE_PERCENT)
+		return false
+	return slackOf(run, epoch) >= MIN_SLACK_MS
 }
 
 /** Takes the run that makes room for one more task, or for several, at the least processor time a task. */
-function cheapest(
+function takeCheapestRun(
 	work: StepWork,
-	prospects: readonly Prospect[]
+	candidates: readonly PreemptionCandidate[]
 ): { run: Run; gained: number } | undefined {
-	let best: { prospect: Prospect; run: Run; gained: number } | undefined
-	for (const prospect of prospects) {
-		const { id } = prospect.option.view
-		const before = work.countFittingTasks(id, prospect.room)
-		for (const run of prospect.stoppable) {
-			const gained = work.countFittingTasks(id, plus(prospect.room, run.need)) - before
+	let best: { prospect: PreemptionCandidate; run: Run; gained: number } | undefined
+	for (const candidate of candidates) {
+		const { id } = candidate.option.view
+		const before = work.countFittingTasks(id, candidate.free)
+		for (const run of candidate.preemptible) {
+			const gained = work.countFittingTasks(id, plus(candidate.free, run.need)) - before
 			if (gained === 0) continue
 			if (!best || run.need.cpu / gained < best.run.need.cpu / best.gained) {
-				best = { prospect, run, gained }
+				best = { prospect: candidate, run, gained }
 			}
 			break
 		}
 	}
 	if (!best) return undefined
-	const { prospect, run, gained } = best
-	prospect.room = plus(prospect.room, run.need)
-	prospect.stoppable.splice(prospect.stoppable.indexOf(run), 1)
+	const { prospect: candidate, run, gained } = best
+	candidate.free = plus(candidate.free, run.need)
+	candidate.preemptible.splice(candidate.preemptible.indexOf(run), 1)
 	return { run, gained }
 }
