--- a/packages/jobs/src/lib/leader/steps/Quarantine.ts
+++ b/packages/jobs/src/lib/leader/steps/Quarantine.ts
@@ -16,9 +16,9 @@
  * Milliseconds after its beginning for which an isolated task has its worker for itself: within them a task that crashes its
  * worker has done so, and its worker has been found silent.
  */
-const PROBATION = 500
+const PROBATION_MS = 500
 /** Milliseconds of work that a lasting task counts as having done: its callers wait while it begins elsewhere. */
-const LASTING_WORK = 10_000
+const LASTING_WORK_MS = 10_000
 
 interface Probation {
 	readonly job: string
@@ -28,7 +28,7 @@
 }
 
 /** Runs that are decided and not yet begun. @internal */
-export interface Decisions {
+export interface DecidedStarts {
 	/** @returns the jobs that have such runs for a worker. */
 	decidedFor(worker: string): readonly string[]
 }
@@ -44,7 +44,7 @@
 
 	constructor(
 		private readonly state: CellState,
-		private readonly decisions: Decisions
+		private readonly decidedStarts: DecidedStarts
 	) {}
 
 	/** @returns how a task of a step is to be treated. */
@@ -65,24 +65,24 @@
 	 * @param isFree - whether a worker's room is not kept for others.
 	 * @returns the worker on which the least is lost; undefined when it has to wait.
 	 */
-	choose(
+	chooseWorker(
 		work: StepWork,
 		index: number,
 		options: readonly WorkerOption[],
 		isFree: CapacityCheck,
 		now: number
 	): WorkerOption | undefined {
-		const isolated = this.suspicionOf(work, index) === Suspicion.Isolated
+		const isIsolated = this.suspicionOf(work, index) === Suspicion.Isolated
 		// A gang's members begin together or not at all, so none of them can wait for another one.
-		const alone = isolated && !work.step.gang
+		const needsOwnWorker = isIsolated && !work.step.gang
 		const job = work.job.id
-		const elsewhere = alone ? this.workerOf(job, now) : undefined
+		const probationWorker = needsOwnWorker ? this.probationWorkerOf(job, now) : undefined
 		let best: WorkerOption | undefined
 		let least = Number.POSITIVE_INFINITY
 		for (const option of options) {
-			if (elsewhere !== undefined && elsewhere !== option.view.id) continue
+			if (probationWorker !== undefined && probationWorker !== option.view.id) continue
 			if (!hasCapacity(work, option) || !isFree(work, option)) continue
-			if (alone && !this.isSettled(option.view, job, now)) continue
+			if (needsOwnWorker && !this.hasOnlySettledRuns(option.view, job, now)) continue
 			const loss = lossOn(option.view, job)
 			if (loss >= least) continue
 			least = loss
@@ -92,40 +92,40 @@
 	}
 
 	/** @returns tasks that wait and may begin, those that are under no suspicion first; of a gang all or none. */
-	mayBegin(work: StepWork): number[] {
+	getStartableTasks(work: StepWork): number[] {
 		const waiting = work.getWaitingTasks()
-		const doubtful = waiting.filter((index) => this.isDoubtful(work, index))
-		if (doubtful.length === 0) return waiting
-		const held = (index: number): boolean => this.suspicionOf(work, index) === Suspicion.Held
-		if (work.step.gang) return doubtful.some(held) ? [] : waiting
-		const plain = waiting.filter((index) => !doubtful.includes(index))
-		return [...plain, ...doubtful.filter((index) => !held(index))]
+		const suspected = waiting.filter((index) => this.isSuspected(work, index))
+		if (suspected.length === 0) return waiting
+		const isHeld = (index: number): boolean => this.suspicionOf(work, index) === Suspicion.Held
+		if (work.step.gang) return suspected.some(isHeld) ? [] : waiting
+		const unsuspected = waiting.filter((index) => !suspected.includes(index))
+		return [...unsuspected, ...suspected.filter((index) => !isHeld(index))]
 	}
 
 	/** @returns whether a task of a step is under suspicion. */
-	isDoubtful(work: StepWork, index: number): boolean {
+	isSuspected(work: StepWork, index: number): boolean {
 		return this.suspicionOf(work, index) !== Suspicion.None
 	}
 
 	/** An isolated task is to begin on a worker. */
-	decided(task: string, job: string, worker: string): void {
+	onStartDecided(task: string, job: string, worker: string): void {
 		this.probations.set(worker, { job, task, until: Number.POSITIVE_INFINITY })
 	}
 
 	/** A run has begun. */
-	begun(task: string, worker: string, now: number): void {
+	onRunStarted(task: string, worker: string, now: number): void {
 		const probation = this.probations.get(worker)
 		if (probation?.task !== task) return
-		this.probations.set(worker, { ...probation, until: now + PROBATION })
+		this.probations.set(worker, { ...probation, until: now + PROBATION_MS })
 	}
 
 	/** A run has ended, or will not begin. */
-	ended(task: string, worker: string): void {
+	onRunEnded(task: string, worker: string): void {
 		if (this.probations.get(worker)?.task === task) this.probations.delete(worker)
 	}
 
 	/** The worker on which an isolated task of a job has just begun, if there is one: the others of the job wait for it. */
-	private workerOf(job: string, now: number): string | undefined {
+	private probationWorkerOf(job: string, now: number): string | undefined {
 		for (const [worker, probation] of this.probations) {
 			if (probation.job === job && probation.until > now) return worker
 		}
@@ -133,11 +133,11 @@
 	}
 
 	/** Whether nothing of other jobs on a worker may crash it too: all has been at work for a while, and none is suspected. */
-	private isSettled(view: WorkerView, job: string, now: number): boolean {
-		if (this.decisions.decidedFor(view.id).some((other) => other !== job)) return false
+	private hasOnlySettledRuns(view: WorkerView, job: string, now: number): boolean {
+		if (this.decidedStarts.decidedFor(view.id).some((other) => other !== job)) return false
 		for (const { text, name, confirmedAt } of view.runs.values()) {
 			if (name.job === job) continue
-			if (confirmedAt === undefined || now - confirmedAt < PROBATION) return false
+			if (confirmedAt === undefined || now - confirmedAt < PROBATION_MS) return false
 			const task = this.state.jobs.locate(text)?.task
 			if (task && suspicionOf(task) !== Suspicion.None) return false
 		}
@@ -150,7 +150,7 @@
 	let loss = 0
 	for (const { name, need, step, percent } of view.runs.values()) {
 		if (name.job === job) continue
-		const work = step.lasting ? LASTING_WORK : (step.expectedTime * percent) / 100
+		const work = step.lasting ? LASTING_WORK_MS : (step.expectedTime * percent) / 100
 		loss += need.cpu * (work + 1)
 	}
 	return loss
--- a/packages/jobs/src/lib/leader/steps/StepPlacement.ts
+++ b/packages/jobs/src/lib/leader/steps/StepPlacement.ts
@@ -68,8 +68,8 @@
 
 	private chooserFor(work: StepWork, now: number): TaskChooser {
 		return (index, options) =>
-			this.dependencies.quarantine.isDoubtful(work, index)
-				? this.dependencies.quarantine.choose(work, index, options, this.isFree, now)
+			this.dependencies.quarantine.isSuspected(work, index)
+				? this.dependencies.quarantine.chooseWorker(work, index, options, this.isFree, now)
 				: chooseWorkerForStep(work, options, this.isFree, epochOf(this.context))
 	}
 
--- a/packages/jobs/src/lib/leader/steps/StepScheduler.ts
+++ b/packages/jobs/src/lib/leader/steps/StepScheduler.ts
@@ -141,7 +141,7 @@
 		const room = eligible.filter((option) => this.admits(work, option))
 		const kept = this.reservations.getExpectedTimes(work)
 		const withinQuota = this.accounts.mayBegin(work.account, work.step)
-		const held = this.quarantine.mayBegin(work).length === 0
+		const held = this.quarantine.getStartableTasks(work).length === 0
 		const behind = !this.startWindow.admits(this.boundedStarts)
 		const now = this.context.clock.now()
 		return explainWait(work, {
@@ -174,12 +174,12 @@
 	/** A run has begun. */
 	begun(task: TaskName, worker: string): void {
 		this.steps.get(nameOf(task))?.proposedTasks.delete(task.index)
-		this.quarantine.begun(formatTaskName(task), worker, this.context.clock.now())
+		this.quarantine.onRunStarted(formatTaskName(task), worker, this.context.clock.now())
 	}
 
 	/** A run that was decided will not begin. */
 	voided(task: TaskName, worker: string): void {
-		this.quarantine.ended(formatTaskName(task), worker)
+		this.quarantine.onRunEnded(formatTaskName(task), worker)
 		const work = this.steps.get(nameOf(task))
 		if (!work) return
 		work.proposedTasks.delete(task.index)
@@ -189,7 +189,7 @@
 
 	/** A run has ended: its task may have to begin again, or later steps may begin. */
 	ended(task: TaskName, worker: string, how: RunEnd): void {
-		this.quarantine.ended(formatTaskName(task), worker)
+		this.quarantine.onRunEnded(formatTaskName(task), worker)
 		const work = this.steps.get(nameOf(task))
 		work?.adjustTaskCount(worker, -1)
 		if (how === RunEnd.Failed) work?.recordFailure(worker)
@@ -384,7 +384,7 @@
 	private placeStep(work: StepWork, pass: PlacementPass): void {
 		const { now, full } = pass
 		work.readyAt ??= now
-		const waiting = this.quarantine.mayBegin(work)
+		const waiting = this.quarantine.getStartableTasks(work)
 		work.isFullyPlaced = waiting.length === 0
 		if (work.isFullyPlaced) {
 			const isHeld = work.getWaitingTasks().length > 0
@@ -462,7 +462,7 @@
 			const attempt = request.gang ? gangAttempt : record.tasks[index].attempt + 1
 			work.proposedTasks.add(index)
 			const isolated = this.quarantine.suspicionOf(work, index) === Suspicion.Isolated
-			if (isolated) this.quarantine.decided(task, job.id, worker)
+			if (isolated) this.quarantine.onStartDecided(task, job.id, worker)
 			const ticket = work.advice.ticket(worker, now) ?? ''
 			const { urgent, yields } = work
 			this.runs.decided(task, { worker, ticket, urgent, yields, at: now })
