--- a/packages/jobs/src/lib/leader/steps/OpenWorkerList.ts
+++ b/packages/jobs/src/lib/leader/steps/OpenWorkerList.ts
@@ -6,7 +6,7 @@
 import type { OpenWorkers } from './PlacementPass'
 
 /** Workers up to which each pass lists them anew; beyond, the listing of the last full pass serves until the next one. */
-const LISTED_EACH_PASS = 500
+const MAX_LISTED_EACH_PASS = 500
 
 /**
  * The open workers. Listing them looks at each; where there are thousands, passes between two full ones work on the last listing, so whoever
@@ -23,13 +23,13 @@
 	) {}
 
 	/** The next question for all workers lists them anew. */
-	renew(): void {
+	invalidate(): void {
 		this.listed = undefined
 	}
 
 	all(): readonly WorkerOption[] {
-		const mayServe = this.listed && this.workers.size > LISTED_EACH_PASS
-		if (!this.listed || !mayServe) this.listed = this.list()
+		const canReuse = this.listed && this.workers.size > MAX_LISTED_EACH_PASS
+		if (!this.listed || !canReuse) this.listed = this.list()
 		return this.listed
 	}
 
--- a/packages/jobs/src/lib/leader/steps/PlacementPass.ts
+++ b/packages/jobs/src/lib/leader/steps/PlacementPass.ts
@@ -25,13 +25,13 @@
 
 	/**
 	 * @param now - the moment, on the leader's clock.
-	 * @param full - whether all waiting steps are tried, and room is kept anew.
+	 * @param isFull - whether all waiting steps are tried, and room is kept anew.
 	 * @param workers - to which new work may go.
 	 * @param released - ids of workers where something has come free since the pass before.
 	 */
 	constructor(
 		readonly now: number,
-		readonly full: boolean,
+		readonly isFull: boolean,
 		private readonly workers: OpenWorkers,
 		private readonly released: ReadonlySet<string>
 	) {}
@@ -43,17 +43,17 @@
 	}
 
 	/** @returns whether a step is tried in this pass. */
-	tries(work: StepWork): boolean {
-		return this.full || work.shouldTryAllWorkers || this.freedFor(work).length > 0
+	shouldTry(work: StepWork): boolean {
+		return this.isFull || work.shouldTryAllWorkers || this.getFreedFor(work).length > 0
 	}
 
 	/** @returns whether a step is tried only where something has come free; a gang needs all its room at once. */
-	isNarrowFor(work: StepWork): boolean {
-		return !this.full && !work.shouldTryAllWorkers && !work.step.gang
+	isLimitedToFreed(work: StepWork): boolean {
+		return !this.isFull && !work.shouldTryAllWorkers && !work.step.gang
 	}
 
 	/** @returns workers of the right service with the right label. */
-	eligible(work: StepWork): readonly WorkerOption[] {
+	getEligible(work: StepWork): readonly WorkerOption[] {
 		const key = `${work.queue.service} ${work.step.requires}`
 		const known = this.byDemand.get(key)
 		if (known) return known
@@ -63,7 +63,7 @@
 	}
 
 	/** @returns of the workers named those that are open and eligible; few are looked at, however many workers there are. */
-	named(work: StepWork, ids: Iterable<string>): WorkerOption[] {
+	findEligible(work: StepWork, ids: Iterable<string>): WorkerOption[] {
 		const found: WorkerOption[] = []
 		for (const id of ids) {
 			const option = this.workers.find(id)
@@ -73,7 +73,7 @@
 	}
 
 	/** @returns eligible workers where something has come free, and that may have a task of the step and have room for it. */
-	freedFor(work: StepWork): WorkerOption[] {
+	getFreedFor(work: StepWork): WorkerOption[] {
 		return this.freed.filter(
 			(option) =>
 				hasCapacity(work, option) &&
--- a/packages/jobs/src/lib/leader/steps/StepScheduler.ts
+++ b/packages/jobs/src/lib/leader/steps/StepScheduler.ts
@@ -29,7 +29,7 @@
 import { PlacementPass } from './PlacementPass'
 import type { RunController } from '../runs/RunController'
 import { StepLog } from './StepLog'
-import { StepOptions } from './StepOptions'
+import { StepWorkerOptions } from './StepWorkerOptions'
 import type { StartWindow } from './StartWindow'
 import { StepPlacement } from './StepPlacement'
 import { StepQuestions } from '../advice/StepQuestions'
@@ -137,7 +137,7 @@
 	}
 
 	private waitOf(work: StepWork, pass: PlacementPass): WaitExplanation {
-		const eligible = pass.eligible(work)
+		const eligible = pass.getEligible(work)
 		const room = eligible.filter((option) => this.admits(work, option))
 		const kept = this.reservations.getExpectedTimes(work)
 		const withinQuota = this.accounts.mayBegin(work.account, work.step)
@@ -280,12 +280,12 @@
 		if (!full && !this.startWindow.admits(underWay)) return
 		if (this.stale) this.sort()
 		if (full && this.noteClaims(now)) this.sort()
-		if (full) this.openWorkers.renew()
+		if (full) this.openWorkers.invalidate()
 		const released = this.context.ledger.takeReleased()
 		const due = this.order.filter((work) => !work.isFullyPlaced && this.isReady(work))
 		const pass = new PlacementPass(now, full, this.openWorkers, released)
 		if (full) this.waits.logOverdueSteps(this.order, (work) => this.isWaiting(work), pass)
-		const tried = due.filter((work) => pass.tries(work))
+		const tried = due.filter((work) => pass.shouldTry(work))
 		if (tried.length === 0) return
 		if (full) this.openAtFullPass = pass.open
 		this.urgentCapacity.beginPass(this.openAtFullPass, now)
@@ -365,7 +365,7 @@
 		job.request.steps.forEach((later, number) => {
 			if (!later.dependsOn.includes(step)) return
 			const work = this.open(job, repeat, number)
-			const eligible = this.lookAround().eligible(work)
+			const eligible = this.lookAround().getEligible(work)
 			if (needsPlan(work)) this.gangs.learn(work, eligible, this.context.clock.now())
 			else this.questions.ask(work, eligible, work.step.count)
 		})
@@ -382,7 +382,7 @@
 	}
 
 	private placeStep(work: StepWork, pass: PlacementPass): void {
-		const { now, full } = pass
+		const { now, isFull: full } = pass
 		work.readyAt ??= now
 		const waiting = this.quarantine.getStartableTasks(work)
 		work.isFullyPlaced = waiting.length === 0
@@ -394,9 +394,9 @@
 			work.waits.setReason(WaitReason.Quota, now)
 			return this.reservations.drop(work)
 		}
-		if (pass.isNarrowFor(work)) return this.placeOnFreed(work, waiting, pass)
+		if (pass.isLimitedToFreed(work)) return this.placeOnFreed(work, waiting, pass)
 		work.shouldTryAllWorkers = false
-		const workers = new StepOptions(work, pass)
+		const workers = new StepWorkerOptions(work, pass)
 		const { eligible, ready: options } = workers
 		if (!work.hasLoggedBarred && isBarred(work, eligible)) this.log.barred(work, eligible.length)
 		const left = this.placeAmong(work, waiting, options, now)
@@ -418,13 +418,13 @@
 
 	/** Places what finds a place where something has come free, and asks about that where nothing is known of it. */
 	private placeOnFreed(work: StepWork, waiting: readonly number[], pass: PlacementPass): void {
-		const freed = pass.freedFor(work)
+		const freed = pass.getFreedFor(work)
 		if (freed.length === 0) return
 		const options = this.readyAmong(work, freed, pass.now)
 		const left = this.placeAmong(work, waiting, options, pass.now)
 		if (left === 0 || options.length === freed.length || work.advice.asking) return
 		const room = this.reservations.getExpectedTimes(work)
-		this.questions.ask(work, pass.eligible(work), left, room?.next)
+		this.questions.ask(work, pass.getEligible(work), left, room?.next)
 	}
 
 	/** @returns how many tasks are left that found no place. */
@@ -475,7 +475,7 @@
 }
 
 /** A step waits until starts that are under way are confirmed. */
-function putOff(work: StepWork, { now, full }: PlacementPass): void {
+function putOff(work: StepWork, { now, isFull: full }: PlacementPass): void {
 	work.readyAt ??= now
 	if (full) work.waits.setReason(WaitReason.StartWindow, now)
 }
--- a/packages/jobs/src/lib/leader/steps/StepOptions.ts
+++ b/packages/jobs/src/lib/leader/steps/StepWorkerOptions.ts
@@ -9,36 +9,36 @@
  *
  * @internal
  */
-export class StepOptions {
+export class StepWorkerOptions {
 	/** Open workers of the right service, label and speed. */
 	readonly eligible: readonly WorkerOption[]
-	private readonly hasLikeSpeed: boolean
+	private readonly isFilteredBySpeed: boolean
 
 	constructor(
 		private readonly work: StepWork,
 		private readonly pass: PlacementPass
 	) {
-		const open = pass.eligible(work)
+		const open = pass.getEligible(work)
 		this.eligible = atLikeSpeed(work, open, pass.now)
-		this.hasLikeSpeed = this.eligible !== open
+		this.isFilteredBySpeed = this.eligible !== open
 	}
 
 	/** Those that may run it now. */
 	get ready(): readonly WorkerOption[] {
 		const { queue, advice } = this.work
-		return queue.advice ? this.named(advice.holding(this.pass.now)) : this.eligible
+		return queue.advice ? this.findByIds(advice.holding(this.pass.now)) : this.eligible
 	}
 
 	/** Those that its queue's policy is known to allow. */
 	get allowed(): readonly WorkerOption[] {
 		const { queue, advice } = this.work
-		return queue.advice ? this.named(advice.allowed) : this.eligible
+		return queue.advice ? this.findByIds(advice.allowed) : this.eligible
 	}
 
-	private named(ids: Iterable<string>): readonly WorkerOption[] {
-		const found = this.pass.named(this.work, ids)
-		if (!this.hasLikeSpeed) return found
-		const alike = new Set(this.eligible.map(({ view }) => view.id))
-		return found.filter(({ view }) => alike.has(view.id))
+	private findByIds(ids: Iterable<string>): readonly WorkerOption[] {
+		const found = this.pass.findEligible(this.work, ids)
+		if (!this.isFilteredBySpeed) return found
+		const eligibleIds = new Set(this.eligible.map(({ view }) => view.id))
+		return found.filter(({ view }) => eligibleIds.has(view.id))
 	}
 }
