--- a/packages/jobs/src/lib/leader/steps/DueRepeats.ts
+++ b/packages/jobs/src/lib/leader/steps/PendingRepeats.ts
@@ -9,7 +9,7 @@
 }
 
 /** @returns when a repeat of a job is due, milliseconds since the epoch; 0 for a job that does not repeat. @internal */
-export function dueOf({ request: { repeat } }: JobRecord, number: number): number {
+export function dueTimeOf({ request: { repeat } }: JobRecord, number: number): number {
 	return repeat ? repeat.first + number * repeat.interval : 0
 }
 
@@ -18,23 +18,23 @@
  *
  * @internal
  */
-export class DueRepeats {
-	private later: (JobRepeat & { readonly due: number })[] = []
+export class PendingRepeats {
+	private pending: (JobRepeat & { readonly due: number })[] = []
 
 	/** Takes in a repeat, until it is due. */
 	add(job: JobRecord, repeat: number): void {
-		this.later.push({ job, repeat, due: dueOf(job, repeat) })
+		this.pending.push({ job, repeat, due: dueTimeOf(job, repeat) })
 	}
 
 	/** Drops all repeats of a job. */
 	drop(job: JobRecord): void {
-		this.later = this.later.filter((item) => item.job !== job)
+		this.pending = this.pending.filter((item) => item.job !== job)
 	}
 
 	/** @returns the repeats that have become due, which are kept no more. @param epoch - now, in milliseconds since the epoch. */
-	take(epoch: number): readonly JobRepeat[] {
-		const due = this.later.filter((item) => item.due <= epoch)
-		if (due.length > 0) this.later = this.later.filter((item) => item.due > epoch)
+	takeDue(epoch: number): readonly JobRepeat[] {
+		const due = this.pending.filter((item) => item.due <= epoch)
+		if (due.length > 0) this.pending = this.pending.filter((item) => item.due > epoch)
 		return due
 	}
 }
--- a/packages/jobs/src/lib/leader/steps/StepLog.ts
+++ b/packages/jobs/src/lib/leader/steps/StepLog.ts
@@ -14,7 +14,7 @@
 	constructor(private readonly context: LeaderContext) {}
 
 	/** Runs of a step begin. */
-	placed(work: StepWork, placed: readonly PlacedTask[], now: number): void {
+	logPlaced(work: StepWork, placed: readonly PlacedTask[], now: number): void {
 		const { meter, log, state, term } = this.context
 		const waited = work.getWaitTime(now)
 		const priority = String(work.queue.priority)
@@ -28,20 +28,20 @@
 			questions: work.advice.questions,
 			advised: Math.round(work.getWaitTime(work.advice.firstAnswerAt ?? 0)),
 			waits: String(work.waits),
-			workers: countedWorkers(placed),
+			workers: formatWorkerCounts(placed),
 			configuration: state.configuration?.version ?? 0,
 			term,
 		})
 	}
 
 	/** A step will not be placed any more, as its job has ended; what it waited for counts, whether it was placed or not. */
-	closed(work: StepWork): void {
+	recordClosed(work: StepWork): void {
 		const { meter, log, clock } = this.context
 		const waiting = work.getWaitingTasks().length
 		work.waits.setReason(undefined, clock.now())
 		const priority = String(work.queue.priority)
-		for (const [reason, span] of work.waits.getDurations()) {
-			meter.count(Measure.StepWaits, { priority, reason }, span)
+		for (const [reason, duration] of work.waits.getDurations()) {
+			meter.count(Measure.StepWaits, { priority, reason }, duration)
 		}
 		if (waiting === 0 || work.readyAt === undefined) return
 		log.info(LeaderEvent.StepDropped, {
@@ -54,7 +54,7 @@
 	}
 
 	/** The policy of a step's queue allows none of so many open workers; to be told once for each step. */
-	barred(work: StepWork, workers: number): void {
+	logBarred(work: StepWork, workers: number): void {
 		work.hasLoggedBarred = true
 		const { name: step, queue } = work
 		this.context.meter.count(Measure.StepsBarred, { priority: String(queue.priority) })
@@ -63,7 +63,7 @@
 }
 
 /** The workers of placed tasks with their counts, as one text for the log. */
-function countedWorkers(placed: readonly PlacedTask[]): string {
+function formatWorkerCounts(placed: readonly PlacedTask[]): string {
 	const counts = new Map<string, number>()
 	for (const { worker } of placed) counts.set(worker, (counts.get(worker) ?? 0) + 1)
 	return [...counts].map(([worker, count]) => `${worker}:${count}`).join(' ')
--- a/packages/jobs/src/lib/leader/steps/StepScheduler.ts
+++ b/packages/jobs/src/lib/leader/steps/StepScheduler.ts
@@ -20,7 +20,7 @@
 import { UrgentCapacity } from '../../placement/UrgentCapacity'
 import type { AccountUsage } from '../../accounts/AccountUsage'
 import { hasCapacity, type WorkerOption } from './chooseWorkerForStep'
-import { DueRepeats, dueOf } from './DueRepeats'
+import { PendingRepeats, dueTimeOf } from './PendingRepeats'
 import { epochOf, type LeaderContext } from '../LeaderContext'
 import type { PlacedTask } from './placeGang'
 import { Preemption } from './Preemption'
@@ -58,7 +58,7 @@
 	private readonly log: StepLog
 	private readonly waits: StepWaitMonitor
 	private readonly preemption: Preemption
-	private readonly later = new DueRepeats()
+	private readonly later = new PendingRepeats()
 	private stale = true
 	/** The open workers as of the latest full pass; between two, the room left to urgent work is told by these. */
 	private openAtFullPass: readonly WorkerOption[] = []
@@ -159,7 +159,7 @@
 	accept(job: JobRecord): void {
 		this.precedence.recordQueue(job.queue, this.context.clock.now())
 		job.repeats.forEach((_, number) => {
-			if (dueOf(job, number) > epochOf(this.context)) this.later.add(job, number)
+			if (dueTimeOf(job, number) > epochOf(this.context)) this.later.add(job, number)
 			else this.openReady(job, number)
 		})
 	}
@@ -218,7 +218,7 @@
 		if (!isActive(job)) return []
 		const missed: string[] = []
 		job.repeats.forEach((steps, repeat) => {
-			if (dueOf(job, repeat) > epochOf(this.context)) return
+			if (dueTimeOf(job, repeat) > epochOf(this.context)) return
 			steps.forEach(({ tasks }, step) => {
 				const waits = tasks.some(({ status }) => status === TaskStatus.Waiting)
 				if (!waits || !isStepReady(job, repeat, step)) return
@@ -264,7 +264,7 @@
 	/** Opens repeats that have become due. */
 	tick(now: number): void {
 		this.questions.tick(now)
-		for (const { job, repeat } of this.later.take(epochOf(this.context)))
+		for (const { job, repeat } of this.later.takeDue(epochOf(this.context)))
 			this.openReady(job, repeat)
 	}
 
@@ -321,7 +321,7 @@
 
 	private close(work: StepWork): void {
 		this.steps.delete(work.name)
-		this.log.closed(work)
+		this.log.recordClosed(work)
 		this.reservations.drop(work)
 	}
 
@@ -398,7 +398,7 @@
 		work.shouldTryAllWorkers = false
 		const workers = new StepWorkerOptions(work, pass)
 		const { eligible, ready: options } = workers
-		if (!work.hasLoggedBarred && isBarred(work, eligible)) this.log.barred(work, eligible.length)
+		if (!work.hasLoggedBarred && isBarred(work, eligible)) this.log.logBarred(work, eligible.length)
 		const left = this.placeAmong(work, waiting, options, now)
 		if (left === 0) return
 		if (full) work.waits.setReason(waitReasonInPass(work, { eligible, options }), now)
@@ -468,7 +468,7 @@
 			this.runs.decided(task, { worker, ticket, urgent, yields, at: now })
 			return { task, attempt, worker }
 		})
-		this.log.placed(work, placed, now)
+		this.log.logPlaced(work, placed, now)
 		const whole = request.gang ? true : undefined
 		this.context.proposals.propose({ kind: 'begin', runs, whole })
 	}
