--- a/packages/jobs/src/lib/leader/JobController.ts
+++ b/packages/jobs/src/lib/leader/JobController.ts
@@ -83,8 +83,8 @@
 		this.speeds = new SpeedWatch(context, this.workers, use)
 		this.precedence.onQueuesConfigured(state.configuration?.queues ?? [], context.clock.now())
 		this.runs = new RunController(context, this.workers, this.precedence, this.accounts, {
-			ticketRefused: (task, worker) => this.steps.ticketRefused(task, worker),
-			moved: (task, worker) => this.steps.movedAway(task, worker),
+			ticketRefused: (task, worker) => this.steps.onTicketRefused(task, worker),
+			moved: (task, worker) => this.steps.onRunMoved(task, worker),
 			started: (delay) => this.startDelays.confirmed(delay),
 		})
 		const { workers, runs, precedence, accounts, shares } = this
@@ -158,25 +158,25 @@
 			case 'configured':
 				return this.configured(change.configuration)
 			case 'job-accepted':
-				return this.steps.accept(change.job)
+				return this.steps.addJob(change.job)
 			case 'job-ended':
 				return this.jobEnded(change.job)
 			case 'run-begun':
-				this.steps.begun(change.task, change.worker)
+				this.steps.onRunStarted(change.task, change.worker)
 				return this.runs.begun(change.task, change.attempt, change.worker)
 			case 'run-void':
-				this.steps.voided(change.task, change.worker)
+				this.steps.onRunVoided(change.task, change.worker)
 				return this.runs.voided(change.task, change.attempt, change.worker)
 			case 'run-ended':
 				this.runs.ended(change.task, change.attempt, change.worker, change.how)
-				return this.steps.ended(change.task, change.worker, change.how)
+				return this.steps.onRunEnded(change.task, change.worker, change.how)
 			case 'crash-counted':
 				return this.crashCounted(change)
 			case 'task-cleared':
 				return this.steps.reconsider(change.task)
 			case 'task-done':
 				this.runs.stopTask(change.task)
-				return this.steps.settled(change.task)
+				return this.steps.onTaskSettled(change.task)
 			case 'worker-joined':
 				return this.workers.joined(change.worker)
 			case 'worker-draining':
@@ -240,7 +240,7 @@
 	private takeUp(job: JobRecord): void {
 		this.workers.restoreGivenUp(job)
 		this.runs.restore(job)
-		if (isActive(job)) this.steps.accept(job)
+		if (isActive(job)) this.steps.addJob(job)
 	}
 
 	private explain(id: string): CellReply {
@@ -252,7 +252,7 @@
 
 	private listAccounts(): AccountSummary[] {
 		const { state, ledger } = this.context
-		const work = { jobs: state.jobs.all(), waiting: this.steps.waitingByAccount() }
+		const work = { jobs: state.jobs.all(), waiting: this.steps.countWaitingByAccount() }
 		const refused = (name: string): number => this.clients.refusedOf(name)
 		return listAccounts(this.accounts, work, refused, ledger.total, [...this.shares.rooms.all()])
 	}
@@ -303,7 +303,7 @@
 		log.info(LeaderEvent.JobEnded, { job: job.id, state: job.state, took, objective })
 		meter.count(Measure.JobsEnded, { state: job.state })
 		meter.observe(Measure.JobTime, took, { state: job.state })
-		this.steps.drop(job)
+		this.steps.removeJob(job)
 		this.runs.stopJob(job)
 	}
 
--- a/packages/jobs/src/lib/leader/steps/StepScheduler.ts
+++ b/packages/jobs/src/lib/leader/steps/StepScheduler.ts
@@ -44,7 +44,7 @@
 } from './waitReason'
 import type { WorkerRegistry } from '../workers/WorkerRegistry'
 
-const NOTHING_RELEASED: ReadonlySet<string> = new Set()
+const NO_WORKERS: ReadonlySet<string> = new Set()
 
 /**
  * The steps that have tasks to begin.
@@ -58,8 +58,8 @@
 	private readonly log: StepLog
 	private readonly waits: StepWaitMonitor
 	private readonly preemption: Preemption
-	private readonly later = new PendingRepeats()
-	private stale = true
+	private readonly pendingRepeats = new PendingRepeats()
+	private isOrderStale = true
 	/** The open workers as of the latest full pass; between two, the room left to urgent work is told by these. */
 	private openAtFullPass: readonly WorkerOption[] = []
 	private readonly urgentCapacity = new UrgentCapacity()
@@ -89,7 +89,7 @@
 		const parts = { urgentCapacity, reservations, quarantine, gangs, openWorkers }
 		this.placement = new StepPlacement(context, accounts, parts)
 		this.log = new StepLog(context)
-		this.waits = new StepWaitMonitor(context, (work, pass) => this.waitOf(work, pass))
+		this.waits = new StepWaitMonitor(context, (work, pass) => this.explainWork(work, pass))
 		this.preemption = new Preemption(context, runs, (work, option) => this.admits(work, option))
 	}
 
@@ -104,11 +104,11 @@
 		for (const [priority, count] of counts) {
 			this.context.meter.gauge(Measure.StepsWaiting, count, { priority: String(priority) })
 		}
-		this.waits.measure(this.waiting(), this.lookAround())
+		this.waits.measure(this.getWaitingSteps(), this.createInspectionPass())
 	}
 
 	/** The steps that could begin and have tasks without a place. */
-	private waiting(): StepWork[] {
+	private getWaitingSteps(): StepWork[] {
 		return [...this.steps.values()].filter((work) => this.isWaiting(work))
 	}
 
@@ -117,7 +117,7 @@
 	}
 
 	/** @returns how many steps of each account have tasks that could begin and have no place. */
-	waitingByAccount(): ReadonlyMap<string, number> {
+	countWaitingByAccount(): ReadonlyMap<string, number> {
 		const counts = new Map<string, number>()
 		for (const work of this.steps.values()) {
 			const name = work.account?.terms.name
@@ -128,21 +128,21 @@
 	}
 
 	/** @returns why tasks of a step wait, since when and until what, for people. */
-	whyWaiting(name: string): string {
+	explainWaitOf(name: string): string {
 		const work = this.steps.get(name)
 		if (!work) return 'it is not due yet'
-		const { text, until } = this.waitOf(work, this.lookAround())
+		const { text, until } = this.explainWork(work, this.createInspectionPass())
 		const waited = Math.round(work.getWaitTime(this.context.clock.now()))
 		return `${text}; for ${waited} ms, until ${until}`
 	}
 
-	private waitOf(work: StepWork, pass: PlacementPass): WaitExplanation {
+	private explainWork(work: StepWork, pass: PlacementPass): WaitExplanation {
 		const eligible = pass.getEligible(work)
 		const room = eligible.filter((option) => this.admits(work, option))
 		const kept = this.reservations.getExpectedTimes(work)
 		const withinQuota = this.accounts.mayBegin(work.account, work.step)
 		const held = this.quarantine.getStartableTasks(work).length === 0
-		const behind = !this.startWindow.admits(this.boundedStarts)
+		const behind = !this.startWindow.admits(this.countedStarts)
 		const now = this.context.clock.now()
 		return explainWait(work, {
 			eligible,
@@ -156,31 +156,31 @@
 	}
 
 	/** Takes up a job: all its repeats that are due. */
-	accept(job: JobRecord): void {
+	addJob(job: JobRecord): void {
 		this.precedence.recordQueue(job.queue, this.context.clock.now())
 		job.repeats.forEach((_, number) => {
-			if (dueTimeOf(job, number) > epochOf(this.context)) this.later.add(job, number)
+			if (dueTimeOf(job, number) > epochOf(this.context)) this.pendingRepeats.add(job, number)
 			else this.openReady(job, number)
 		})
 	}
 
 	/** Drops a job that has ended. */
-	drop(job: JobRecord): void {
+	removeJob(job: JobRecord): void {
 		for (const work of this.steps.values()) if (work.job === job) this.close(work)
-		this.later.drop(job)
-		this.stale = true
+		this.pendingRepeats.drop(job)
+		this.isOrderStale = true
 	}
 
 	/** A run has begun. */
-	begun(task: TaskName, worker: string): void {
-		this.steps.get(nameOf(task))?.proposedTasks.delete(task.index)
+	onRunStarted(task: TaskName, worker: string): void {
+		this.steps.get(stepNameOf(task))?.proposedTasks.delete(task.index)
 		this.quarantine.onRunStarted(formatTaskName(task), worker, this.context.clock.now())
 	}
 
 	/** A run that was decided will not begin. */
-	voided(task: TaskName, worker: string): void {
+	onRunVoided(task: TaskName, worker: string): void {
 		this.quarantine.onRunEnded(formatTaskName(task), worker)
-		const work = this.steps.get(nameOf(task))
+		const work = this.steps.get(stepNameOf(task))
 		if (!work) return
 		work.proposedTasks.delete(task.index)
 		work.isFullyPlaced = false
@@ -188,28 +188,28 @@
 	}
 
 	/** A run has ended: its task may have to begin again, or later steps may begin. */
-	ended(task: TaskName, worker: string, how: RunEnd): void {
+	onRunEnded(task: TaskName, worker: string, how: RunEnd): void {
 		this.quarantine.onRunEnded(formatTaskName(task), worker)
-		const work = this.steps.get(nameOf(task))
+		const work = this.steps.get(stepNameOf(task))
 		work?.adjustTaskCount(worker, -1)
 		if (how === RunEnd.Failed) work?.recordFailure(worker)
-		this.settled(task)
+		this.onTaskSettled(task)
 	}
 
 	/** A task has no run any more: it is done, or has to begin again. */
-	settled(task: TaskName): void {
+	onTaskSettled(task: TaskName): void {
 		const job = this.context.state.jobs.find(task.job)
 		if (!job || !isActive(job)) return
 		const record = job.repeats[task.repeat][task.step]
 		if (isStepDone(record)) {
-			const work = this.steps.get(nameOf(task))
+			const work = this.steps.get(stepNameOf(task))
 			if (work) this.close(work)
-			this.stale = true
+			this.isOrderStale = true
 			this.openReady(job, task.repeat)
 		} else {
 			const again = record.tasks[task.index].status === TaskStatus.Waiting
 			if (again) this.reopen(job, task)
-			else if (record.done === 1) this.askAhead(job, task.repeat, task.step)
+			else if (record.done === 1) this.requestAdviceAhead(job, task.repeat, task.step)
 		}
 	}
 
@@ -222,23 +222,23 @@
 			steps.forEach(({ tasks }, step) => {
 				const waits = tasks.some(({ status }) => status === TaskStatus.Waiting)
 				if (!waits || !isStepReady(job, repeat, step)) return
-				if (this.isMissed(job, repeat, step)) missed.push(stepName(job.id, repeat, step))
+				if (this.reopenIfMissed(job, repeat, step)) missed.push(stepName(job.id, repeat, step))
 			})
 		})
 		return missed
 	}
 
-	private isMissed(job: JobRecord, repeat: number, step: number): boolean {
+	private reopenIfMissed(job: JobRecord, repeat: number, step: number): boolean {
 		const known = this.steps.get(stepName(job.id, repeat, step))
 		const work = known ?? this.open(job, repeat, step)
-		const passedOver = work.isFullyPlaced && work.getWaitingTasks().length > 0
-		if (passedOver) work.isFullyPlaced = false
-		return !known || passedOver
+		const wasOverlooked = work.isFullyPlaced && work.getWaitingTasks().length > 0
+		if (wasOverlooked) work.isFullyPlaced = false
+		return !known || wasOverlooked
 	}
 
 	/** A task that could not begin may do so now. */
 	reconsider(task: TaskName): void {
-		const work = this.steps.get(nameOf(task))
+		const work = this.steps.get(stepNameOf(task))
 		if (!work) return
 		work.shouldTryAllWorkers = true
 		work.isFullyPlaced = false
@@ -252,19 +252,19 @@
 	}
 
 	/** A ticket does not hold. */
-	ticketRefused(task: TaskName, worker: string): void {
-		this.steps.get(nameOf(task))?.advice.refused(worker)
+	onTicketRefused(task: TaskName, worker: string): void {
+		this.steps.get(stepNameOf(task))?.advice.refused(worker)
 	}
 
 	/** A run was moved away from a worker on which it stood still: another one is taken, if there is one. */
-	movedAway(task: TaskName, worker: string): void {
-		this.steps.get(nameOf(task))?.recordFailure(worker)
+	onRunMoved(task: TaskName, worker: string): void {
+		this.steps.get(stepNameOf(task))?.recordFailure(worker)
 	}
 
 	/** Opens repeats that have become due. */
 	tick(now: number): void {
 		this.questions.tick(now)
-		for (const { job, repeat } of this.later.takeDue(epochOf(this.context)))
+		for (const { job, repeat } of this.pendingRepeats.takeDue(epochOf(this.context)))
 			this.openReady(job, repeat)
 	}
 
@@ -275,11 +275,11 @@
 	 * @param full - whether steps that found no room are tried although nothing has come free.
 	 */
 	place(now: number, full: boolean): void {
-		const underWay = this.boundedStarts
+		const underWay = this.countedStarts
 		// What comes free meanwhile is kept for the next pass.
 		if (!full && !this.startWindow.admits(underWay)) return
-		if (this.stale) this.sort()
-		if (full && this.noteClaims(now)) this.sort()
+		if (this.isOrderStale) this.sort()
+		if (full && this.updateShares(now)) this.sort()
 		if (full) this.openWorkers.invalidate()
 		const released = this.context.ledger.takeReleased()
 		const due = this.order.filter((work) => !work.isFullyPlaced && this.isReady(work))
@@ -294,12 +294,12 @@
 		for (const work of this.shares.inOrder(tried)) {
 			if (this.startWindow.admits(underWay + this.runs.decidedStarts - before))
 				this.placeStep(work, pass)
-			else putOff(work, pass)
+			else deferStep(work, pass)
 		}
 	}
 
 	/** How many starts are under way; they are counted only where there is a bound. */
-	private get boundedStarts(): number {
+	private get countedStarts(): number {
 		return this.startWindow.isBounded ? this.runs.startsUnderWay : 0
 	}
 
@@ -308,7 +308,7 @@
 	}
 
 	/** What can't be in time any more, or is of an account over its share, lets others go first. */
-	private noteClaims(now: number): boolean {
+	private updateShares(now: number): boolean {
 		const { order: steps, reservations } = this
 		const waits = (work: StepWork): boolean => this.isWaiting(work)
 		return this.shares.note({ steps, workers: this.workers.all(), waits, reservations }, now)
@@ -316,7 +316,7 @@
 
 	private sort(): void {
 		this.order = [...this.steps.values()].sort(byUrgency)
-		this.stale = false
+		this.isOrderStale = false
 	}
 
 	private close(work: StepWork): void {
@@ -348,7 +348,7 @@
 		const account = this.accounts.of(job)
 		const work = new StepWork(job, queue, repeat, step, times, standing, account)
 		this.steps.set(name, work)
-		this.stale = true
+		this.isOrderStale = true
 		this.shares.opened(work)
 		return work
 	}
@@ -360,20 +360,20 @@
 	}
 
 	/** The first task of a step is done, so the others soon will be: asks for the steps after it. */
-	private askAhead(job: JobRecord, repeat: number, step: number): void {
+	private requestAdviceAhead(job: JobRecord, repeat: number, step: number): void {
 		if (!this.queueOf(job).advice) return
 		job.request.steps.forEach((later, number) => {
 			if (!later.dependsOn.includes(step)) return
 			const work = this.open(job, repeat, number)
-			const eligible = this.lookAround().getEligible(work)
+			const eligible = this.createInspectionPass().getEligible(work)
 			if (needsPlan(work)) this.gangs.learn(work, eligible, this.context.clock.now())
 			else this.questions.ask(work, eligible, work.step.count)
 		})
 	}
 
 	/** The workers as they are outside of any pass. */
-	private lookAround(): PlacementPass {
-		return new PlacementPass(this.context.clock.now(), false, this.openWorkers, NOTHING_RELEASED)
+	private createInspectionPass(): PlacementPass {
+		return new PlacementPass(this.context.clock.now(), false, this.openWorkers, NO_WORKERS)
 	}
 
 	/** Whether a worker has room for one more task of a step, and that leaves room to urgent work. */
@@ -420,7 +420,7 @@
 	private placeOnFreed(work: StepWork, waiting: readonly number[], pass: PlacementPass): void {
 		const freed = pass.getFreedFor(work)
 		if (freed.length === 0) return
-		const options = this.readyAmong(work, freed, pass.now)
+		const options = this.filterReady(work, freed, pass.now)
 		const left = this.placeAmong(work, waiting, options, pass.now)
 		if (left === 0 || options.length === freed.length || work.advice.asking) return
 		const room = this.reservations.getExpectedTimes(work)
@@ -437,7 +437,7 @@
 		const placed = this.placement.place(work, waiting, options, now)
 		const left = waiting.length - placed.length
 		work.isFullyPlaced = left === 0
-		if (placed.length > 0) this.begin(work, placed, now)
+		if (placed.length > 0) this.startTasks(work, placed, now)
 		if (left > 0) return left
 		work.waits.setReason(undefined, now)
 		this.reservations.drop(work)
@@ -445,7 +445,7 @@
 	}
 
 	/** Of workers where something has come free those that may run the step now. */
-	private readyAmong(
+	private filterReady(
 		work: StepWork,
 		freed: readonly WorkerOption[],
 		now: number
@@ -454,7 +454,7 @@
 		return freed.filter(({ view }) => work.advice.ticket(view.id, now) !== undefined)
 	}
 
-	private begin(work: StepWork, placed: readonly PlacedTask[], now: number): void {
+	private startTasks(work: StepWork, placed: readonly PlacedTask[], now: number): void {
 		const { job, repeat, stepIndex: step, step: request, record } = work
 		const gangAttempt = 1 + Math.max(0, ...record.tasks.map((task) => task.attempt))
 		const runs = placed.map(({ index, worker }) => {
@@ -475,11 +475,11 @@
 }
 
 /** A step waits until starts that are under way are confirmed. */
-function putOff(work: StepWork, { now, isFull: full }: PlacementPass): void {
+function deferStep(work: StepWork, { now, isFull: full }: PlacementPass): void {
 	work.readyAt ??= now
 	if (full) work.waits.setReason(WaitReason.StartWindow, now)
 }
 
-function nameOf(task: TaskName): string {
+function stepNameOf(task: TaskName): string {
 	return stepName(task.job, task.repeat, task.step)
 }
