--- a/packages/jobs/src/lib/placement/CapacityForecast.ts
+++ b/packages/jobs/src/lib/placement/CapacityForecast.ts
@@ -1,27 +1,30 @@
-/** When room is expected on a worker: what its runs have, and when they are expected to end. */
+/** Forecasts the free capacity of a worker from its runs and when they are expected to end. */
 import { NOTHING, plus, type LedgerWorker, type Resources } from '@rillrudder/scheduler'
 import type { WorkerOption } from '../leader/steps/chooseWorkerForStep'
 import { RunPhase, type Run } from '../leader/runs/Run'
 
-/** Milliseconds from a stop's order until its room is free: a stop, its listing and the commit of the end. */
+/**
+ * Milliseconds from ordering a stop until the capacity is free: the stop, its report by the worker,
+ * and the commit of the end.
+ */
 const STOP_DURATION_MS = 500
 
-/** What one more run's end adds to what is free. */
+/** The end of a run and the capacity that is free by then. */
 interface Release {
 	readonly at: number
-	/** What this and all earlier ends free. */
+	/** The capacity freed by this and all earlier ends. */
 	readonly freed: Resources
 }
 
-/** What is expected at a moment. @internal */
+/** The free capacity expected at one time. @internal */
 export interface ForecastPoint {
-	/** When, on the leader's clock. */
+	/** The time, on the leader's clock. */
 	readonly at: number
 	readonly free: Resources
 }
 
 /**
- * What is expected to be free on one worker from now on, if nothing new begins there.
+ * The capacity expected to be free on one worker if nothing new starts there.
  *
  * @internal
  */
@@ -31,7 +34,7 @@
 
 	/**
 	 * @param option - the worker.
-	 * @param now - the moment, on the leader's clock.
+	 * @param now - the current time, on the leader's clock.
 	 */
 	constructor(
 		{ view, account }: WorkerOption,
@@ -49,7 +52,7 @@
 		})
 	}
 
-	/** @returns what is expected to be free at a moment. */
+	/** @returns the capacity expected to be free at a time. */
 	getFreeAt(moment: number): Resources {
 		let freed = NOTHING
 		for (const release of this.releases) {
@@ -59,7 +62,7 @@
 		return plus(this.account.free, freed)
 	}
 
-	/** What is expected now and after each end. */
+	/** Yields the free capacity now and after the end of each run. */
 	*getPoints(): IterableIterator<ForecastPoint> {
 		const { free } = this.account
 		yield { at: this.now, free }
--- a/packages/jobs/src/lib/placement/Precedence.ts
+++ b/packages/jobs/src/lib/placement/Precedence.ts
@@ -1,39 +1,44 @@
 /**
- * Which work goes before which at each service. That follows from the priorities that are configured or were seen there
- * of late, not from a number: the highest of them counts as urgent, and what is below leaves it a share of each worker.
+ * Decides which work is urgent at each service. This follows from the priorities that are
+ * configured or were recently seen there, not from a fixed number: the highest of them counts as
+ * urgent, and lower ones leave it a share of the service.
  */
 import type { Queue } from '../records/Cell'
 import type { Step } from '../records/Job'
 
 /**
- * Milliseconds for which a priority counts after its last job was handed in, or after it was configured: longer than the
- * pause between bursts, and a queue that nobody uses holds nothing back for ever.
+ * Milliseconds for which a priority counts after its last job was submitted or it was configured:
+ * longer than the pause between bursts, yet a queue that nobody uses doesn't hold back others
+ * forever.
  */
 const RETENTION_MS = 60_000
 
-/** What a task of a step is to the others at its service. @internal */
+/** How tasks of a step relate to other tasks at their service. @internal */
 export interface StepPrecedence {
-	/** Whether it is of the highest priority there, and other work leaves it room. */
+	/** Whether it has the highest priority there, so that other work leaves capacity for it. */
 	readonly urgent: boolean
-	/** Whether it leaves room for what is. Lasting work holds its place anyway. */
+	/**
+	 * Whether it leaves capacity for urgent work. Lasting work never does: it holds its place
+	 * anyway.
+	 */
 	readonly yields: boolean
 }
 
 /**
- * The priorities seen at each service.
+ * Tracks the priorities seen at each service.
  *
  * @internal
  */
 export class Precedence {
-	/** For each service when each priority was last seen, on the leader's clock. */
+	/** When each priority was last seen, by service, on the leader's clock. */
 	private readonly lastSeen = new Map<string, Map<number, number>>()
 
-	/** These queues are configured from now on. */
+	/** Records the priorities of newly configured queues. */
 	onQueuesConfigured(queues: readonly Queue[], now: number): void {
 		for (const queue of queues) this.recordQueue(queue, now)
 	}
 
-	/** A job was handed in to a queue. */
+	/** Records that a job was submitted to a queue. */
 	recordQueue({ service, priority }: Queue, now: number): void {
 		const priorities = this.lastSeen.get(service) ?? new Map<number, number>()
 		this.lastSeen.set(service, priorities)
@@ -41,11 +46,12 @@
 	}
 
 	/**
-	 * @param queue - the queue of a job.
-	 * @param step - a step of it.
-	 * @param now - the moment, on the leader's clock.
-	 * @param beyondRate - whether its account sent it beyond its rate: then it is urgent nowhere.
-	 * @returns what tasks of the step are to the others at their service.
+	 * @param queue - the queue of the job.
+	 * @param step - a step of the job.
+	 * @param now - the current time, on the leader's clock.
+	 * @param beyondRate - whether the account exceeded its rate with this job; such a job is never
+	 * urgent.
+	 * @returns how tasks of the step relate to other tasks at their service.
 	 */
 	precedenceOf(queue: Queue, step: Step, now: number, beyondRate = false): StepPrecedence {
 		const isBelowHighest = beyondRate || queue.priority > this.getHighestPriority(queue, now)
--- a/packages/jobs/src/lib/placement/Reservations.test.ts
+++ b/packages/jobs/src/lib/placement/Reservations.test.ts
@@ -14,7 +14,7 @@
 	return `00000000000001${number.toString(16).padStart(2, '0')}`
 }
 
-/** Two workers on which small tasks come and go, so that neither is ever empty by itself. */
+/** Two workers on which small tasks start and end so that neither worker is ever empty. */
 function busySubject(): LeaderSubject {
 	const subject = new LeaderSubject({ latencyTarget: 200_000 })
 	for (const id of WORKERS) {
@@ -24,8 +24,8 @@
 	return subject
 }
 
-/** Hands in small tasks of which each takes a second; they end in the order in which they came. */
-function playSmall(subject: LeaderSubject, from: number, seconds: number): void {
+/** Submits two small tasks a second and ends them in the order of submission. */
+function runSmallTasks(subject: LeaderSubject, from: number, seconds: number): void {
 	for (let second = 0; second < seconds; second++) {
 		for (let each = 0; each < 2; each++) {
 			const number = from + second * 2 + each
@@ -44,19 +44,19 @@
 	}
 }
 
-test('a task that takes a whole worker begins although smaller ones keep coming', () => {
+test('a task that needs a whole worker starts although smaller ones keep arriving', () => {
 	const subject = busySubject()
-	playSmall(subject, 0, 6)
+	runSmallTasks(subject, 0, 6)
 	subject.submit(BIG, jobOf({ need: WHOLE_WORKER, expectedTime: 3000 }))
-	playSmall(subject, 12, 12)
+	runSmallTasks(subject, 12, 12)
 	assert.equal(subject.state.jobs.find(BIG)?.state, JobState.Running)
 })
 
-test('tasks of a wide step begin as room comes, however long the last of them has to wait', () => {
+test('tasks of a wide step start as capacity is freed, however long the last of them has to wait', () => {
 	const subject = new LeaderSubject({ advice: { base: 20, each: 1, valid: 2000 } })
 	for (const id of WORKERS) subject.heartbeat(id)
 	const half = { cpu: 2000, memory: 512, accelerators: 0 }
-	// What runs on the other worker goes on for long, so the last tasks have to wait.
+	// The task on the other worker runs for long, so the last tasks have to wait.
 	subject.allowed = (worker) => worker === 'w2'
 	subject.submit(smallId(1), jobOf({ need: WHOLE_WORKER, expectedTime: 120_000 }))
 	subject.run(500, ...WORKERS)
@@ -65,24 +65,24 @@
 	subject.run(3000, ...WORKERS)
 	const fake = subject.worker('w1')
 	assert.equal(fake.running.length, 2)
-	// Their tickets have run out by now; as they end the next ones begin all the same.
+	// Their tickets have expired; the next tasks must start as soon as these end.
 	for (const { task } of fake.running) fake.end(task, 'done')
 	subject.run(1500, ...WORKERS)
 	assert.equal(subject.worker('w1').running.length, 2)
 })
 
-test('small work goes on beside what is kept, on the other workers', () => {
+test('small tasks still start on workers without a reservation', () => {
 	const subject = busySubject()
-	playSmall(subject, 0, 6)
+	runSmallTasks(subject, 0, 6)
 	subject.submit(BIG, jobOf({ need: WHOLE_WORKER, expectedTime: 3000 }))
 	const before = subject.startCount
-	playSmall(subject, 12, 4)
+	runSmallTasks(subject, 12, 4)
 	assert.ok(subject.startCount > before, 'the other worker takes small tasks')
 })
 
-test('what is kept is given up with its job', () => {
+test('a reservation is removed when its job is cancelled', () => {
 	const subject = busySubject()
-	playSmall(subject, 0, 6)
+	runSmallTasks(subject, 0, 6)
 	subject.submit(BIG, jobOf({ need: WHOLE_WORKER, expectedTime: 3000 }))
 	subject.submit(LATER_BIG, jobOf({ need: WHOLE_WORKER, expectedTime: 3000 }))
 	subject.run(200, ...WORKERS)
--- a/packages/jobs/src/lib/placement/Reservations.ts
+++ b/packages/jobs/src/lib/placement/Reservations.ts
@@ -1,7 +1,8 @@
 /**
- * Room that is kept for steps that wait for it. A gang, or a task that takes much of a worker, never finds
- * room by itself while smaller tasks take each piece as it comes free. So the workers on which its room is expected
- * soonest are set aside for it; other work may still begin there when it will be gone by then, or fits beside it.
+ * Reserves capacity for steps that wait for it. A gang, or a task that needs a large part of a
+ * worker, would starve while smaller tasks take each piece of capacity that is freed. The workers
+ * on which its capacity is expected soonest are therefore reserved for it. Other work may still
+ * start there (backfill) if it is expected to end before the reservation begins or fits beside it.
  */
 import { fits, minus, times, type Resources } from '@rillrudder/scheduler'
 import type { WorkerOption } from '../leader/steps/chooseWorkerForStep'
@@ -9,50 +10,58 @@
 import type { Place } from '../gangs/GangPlan'
 import { CapacityForecast } from './CapacityForecast'
 
-/** Share of a worker's largest resource from which a task counts as one that finds no room by itself. */
+/** Share of any of a worker's resources from which a task is large enough to need a reservation. */
 const LARGE_TASK_SHARE = 0.25
-/** Steps of one service that may have room kept at a time, the most urgent ones; bounds the time of a pass. */
+/**
+ * Steps per service that may hold a reservation, the most urgent ones; bounds the duration of a
+ * pass.
+ */
 const MAX_STEPS_PER_SERVICE = 12
-/** What a task's time is multiplied by before it may begin on kept room: declared times are off by half. */
+/**
+ * Factor on a task's expected time before it may start on reserved capacity: declared times are off
+ * by half.
+ */
 const TIME_MARGIN = 1.3
 
-/** Room that is kept on one worker. */
+/** Capacity that is reserved on one worker. */
 interface Reservation {
 	readonly work: StepWork
-	/** What is kept, for all tasks of the step that are to go there. */
+	/** What is reserved, for all tasks of the step that are to run there. */
 	readonly resources: Resources
 	/** When it is expected to be free, on the leader's clock. */
 	readonly at: number
 }
 
-/** When kept room is expected, on the leader's clock. @internal */
+/** When reserved capacity is expected to be free, on the leader's clock. @internal */
 export interface ReservedTimes {
-	/** For the next task that can begin; of a gang none begins before all can. */
+	/** For the next task that can start; for a gang, when all of its tasks can. */
 	readonly next: number
-	/** For the last one that waits. */
+	/** For the last waiting task. */
 	readonly last: number
-	/** How much room is kept. */
+	/** The total that is reserved. */
 	readonly resources: Resources
 }
 
 /**
- * The room that is kept for waiting steps.
+ * The reservations of waiting steps.
  *
  * @internal
  */
 export class Reservations {
 	private readonly byWorker = new Map<string, Reservation[]>()
 	private readonly expectedTimes = new Map<StepWork, ReservedTimes>()
-	/** How many steps of each service have room kept. */
+	/** How many steps of each service hold a reservation. */
 	private readonly counts = new Map<string, number>()
-	/** Forecasts of this pass, by worker. */
+	/** Forecasts of this pass, by worker id. */
 	private readonly forecasts = new Map<string, CapacityForecast>()
 	private now = 0
 
 	/**
-	 * A new pass over the waiting steps begins.
+	 * Starts a new pass over the waiting steps.
 	 *
-	 * @param full - whether all waiting steps are tried, in their order: then what is kept is told anew.
+	 * @param now - the current time, on the leader's clock.
+	 * @param full - whether all waiting steps are tried, in their order; reservations are then
+	 * rebuilt.
 	 */
 	beginPass(now: number, full: boolean): void {
 		this.now = now
@@ -63,12 +72,14 @@
 		this.counts.clear()
 	}
 
-	/** @returns when a step's room is expected, on the leader's clock; undefined when none is kept. */
+	/**
+	 * @returns when a step's reserved capacity is expected; undefined when it has no reservation.
+	 */
 	getExpectedTimes(work: StepWork): ReservedTimes | undefined {
 		return this.expectedTimes.get(work)
 	}
 
-	/** Keeps nothing for a step any more. */
+	/** Removes a step's reservation. */
 	drop(work: StepWork): void {
 		if (!this.expectedTimes.delete(work)) return
 		this.counts.set(work.queue.service, this.countOf(work) - 1)
@@ -80,8 +91,9 @@
 	}
 
 	/**
-	 * @param work - a step that wants to begin a task on a worker that has room for it.
-	 * @returns whether that would delay no step that goes before it and for which room is kept there.
+	 * @param work - a step that could start a task on a worker with free capacity.
+	 * @param option - the worker.
+	 * @returns whether that would delay no step of higher urgency that holds a reservation there.
 	 */
 	allows(work: StepWork, option: WorkerOption): boolean {
 		const preceding = this.getPrecedingReservations(work, option.view.id)
@@ -93,9 +105,9 @@
 	}
 
 	/**
-	 * Keeps room for a step's tasks that found none.
+	 * Reserves capacity for waiting tasks of a step, if it needs a reservation.
 	 *
-	 * @param work - the step, for which nothing is kept yet.
+	 * @param work - the step, which has no reservation yet.
 	 * @param tasks - how many of its tasks wait.
 	 * @param options - workers that may run it.
 	 */
@@ -106,24 +118,25 @@
 		this.reservePlaces(work, places, places[places.length - 1].at)
 	}
 
-	/** @returns whether room can be kept for one more step of a service. */
+	/** @returns whether one more step of the service may hold a reservation. */
 	canReserve(work: StepWork): boolean {
 		return this.countOf(work) < MAX_STEPS_PER_SERVICE
 	}
 
 	/**
-	 * Keeps places for tasks of a step, for which nothing is kept yet.
+	 * Reserves given places for tasks of a step that has no reservation yet.
 	 *
 	 * @param work - the step.
-	 * @param places - one for each task, the soonest first.
-	 * @param last - when the last of them begins, on the leader's clock.
+	 * @param places - one for each task, the earliest first.
+	 * @param last - when the last of them is free, on the leader's clock.
 	 */
 	reservePlaces(work: StepWork, places: readonly Place[], last: number): void {
 		if (!this.canReserve(work)) return
 		const first = places[0].at
 		for (const [worker, { count, at }] of groupByWorker(places)) {
 			const reserved = this.byWorker.get(worker) ?? []
-			// A gang begins at once everywhere; of other steps each task as soon as there is room for it.
+			// All tasks of a gang start together; tasks of other steps start as soon as each has
+			// capacity.
 			const until = work.step.gang ? last : at
 			this.byWorker.set(worker, [
 				...reserved,
@@ -135,7 +148,10 @@
 		this.counts.set(work.queue.service, this.countOf(work) + 1)
 	}
 
-	/** @returns the places of a step's tasks, the soonest first, beside what is kept for steps that go before. */
+	/**
+	 * @returns the places where tasks of a step would fit beside reservations of higher urgency,
+	 * the earliest first.
+	 */
 	findPlaces(work: StepWork, tasks: number, options: readonly WorkerOption[]): Place[] {
 		const places: Place[] = []
 		for (const option of options) {
@@ -169,7 +185,7 @@
 	}
 }
 
-/** How many of the places are on each worker, and when the last of them is free. */
+/** Counts the places on each worker and finds when the last of them is free. */
 function groupByWorker(places: readonly Place[]): Map<string, { count: number; at: number }> {
 	const byWorker = new Map<string, { count: number; at: number }>()
 	for (const { worker, at } of places) {
@@ -183,7 +199,7 @@
 	return reserved.reduce((left, one) => minus(left, one.resources), room)
 }
 
-/** Whether a step's tasks find no room by themselves. */
+/** Whether a step's tasks would starve without a reservation. */
 function needsReservation(work: StepWork, options: readonly WorkerOption[]): boolean {
 	if (work.step.gang) return true
 	return options.some(({ account: { most } }) => largestShare(work.need, most) >= LARGE_TASK_SHARE)
--- a/packages/jobs/src/lib/placement/RunProgress.test.ts
+++ b/packages/jobs/src/lib/placement/RunProgress.test.ts
@@ -4,24 +4,24 @@
 
 const EXPECTED = 4000
 
-test('before it is read a run is expected to take what its step declares', () => {
+test('before its first reading a run is expected to take the time that its step declares', () => {
 	const progress = new RunProgress(1000, EXPECTED)
 	assert.equal(progress.getExpectedEnd(1500), 5000)
 	assert.equal(progress.getExpectedEnd(9000), 9000)
 })
 
-test('the end follows from the speed that is seen, and from that of late', () => {
+test('the expected end follows from the observed speed, and recent readings count', () => {
 	const progress = new RunProgress(0, EXPECTED)
 	progress.addReading(10, 500, 500)
 	progress.addReading(20, 1000, 1000)
 	assert.equal(progress.getExpectedEnd(1000), 5000)
-	// It turns five times as slow.
+	// The run becomes five times slower.
 	for (let half = 1; half <= 6; half++)
 		progress.addReading(20 + 2 * half, 1000 + 500 * half, 1000 + 500 * half)
 	assert.equal(Math.round(progress.observedDuration ?? 0), 25_000)
 })
 
-test('standing still is told from readings, not from the time without any', () => {
+test('a stall is measured between readings, not by the time since the last one', () => {
 	const progress = new RunProgress(0, EXPECTED)
 	progress.addReading(10, 500, 500)
 	progress.addReading(20, 1000, 1000)
@@ -31,7 +31,7 @@
 	assert.equal(progress.stalledForMs, 1000)
 })
 
-test('an answer that is read late does not look like a run that stands still', () => {
+test('a reading that arrives late does not look like a stalled run', () => {
 	const progress = new RunProgress(0, EXPECTED)
 	progress.addReading(10, 500, 500)
 	progress.addReading(20, 1000, 6000)
--- a/packages/jobs/src/lib/placement/RunProgress.ts
+++ b/packages/jobs/src/lib/placement/RunProgress.ts
@@ -1,34 +1,40 @@
-/** How far a run has got, how fast it goes, and when it is expected to end. */
+/** Tracks how far a run has got, estimates its speed and forecasts its end. */
 
-/** Milliseconds of the shortest span from which a speed is told; workers are read at least once a second. */
+/**
+ * Shortest span in milliseconds from which a speed is estimated; workers are polled at least once a
+ * second.
+ */
 const MIN_SPAN_MS = 250
-/** Milliseconds after which older readings are left out, so that a change of speed shows. */
+/** Milliseconds after which older readings are dropped, so that a change of speed shows. */
 const WINDOW_MS = 700
-/** Percent of a whole task. */
+/** Progress in percent of a completed task. */
 const FULL_PERCENT = 100
 
 /** One reading of a run's progress. */
 interface Reading {
 	/** From 0 to 100. */
 	readonly percent: number
-	/** When it was taken, on the worker's own clock: neither the way here nor a late leader changes it. */
+	/**
+	 * When it was taken, on the worker's own clock, which neither network delay nor a slow leader
+	 * affects.
+	 */
 	readonly at: number
 }
 
 /**
- * The progress of one run, from what its worker lists.
+ * The progress of one run, as its worker reports it.
  *
  * @internal
  */
 export class RunProgress {
-	/** Where the span begins from which the speed is told. */
+	/** Start of the span from which the speed is estimated. */
 	private first: Reading | undefined
-	/** Where the next such span begins. */
+	/** Start of the next such span. */
 	private next: Reading | undefined
 	private latest: Reading | undefined
-	/** When the percentage last rose, on the worker's own clock. */
+	/** When the percentage last increased, on the worker's own clock. */
 	private lastProgressAt = 0
-	/** When the latest reading came, on the leader's clock. */
+	/** When the latest reading arrived, on the leader's clock. */
 	private readAt: number
 
 	/**
@@ -43,11 +49,11 @@
 	}
 
 	/**
-	 * Takes what the worker has listed.
+	 * Adds a reading that the worker has reported.
 	 *
 	 * @param percent - from 0 to 100.
-	 * @param at - when it was so, on the worker's own clock.
-	 * @param now - the moment, on the leader's clock.
+	 * @param at - when it was taken, on the worker's own clock.
+	 * @param now - the current time, on the leader's clock.
 	 */
 	addReading(percent: number, at: number, now: number): void {
 		this.readAt = now
@@ -66,7 +72,10 @@
 		return this.latest ? this.latest.at - this.lastProgressAt : 0
 	}
 
-	/** Milliseconds that a whole task takes at the speed seen of late; undefined while none can be told. */
+	/**
+	 * Milliseconds that a whole task takes at the recent speed; undefined while it cannot be
+	 * estimated.
+	 */
 	get observedDuration(): number | undefined {
 		const { first, latest } = this
 		if (!first || !latest) return undefined
@@ -77,8 +86,9 @@
 	}
 
 	/**
-	 * @param at - when it had done all its work, on the worker's own clock.
-	 * @returns milliseconds that a whole task took at its last speed; undefined when none can be told.
+	 * @param at - when the run completed all its work, on the worker's own clock.
+	 * @returns milliseconds that a whole task took at its last speed; undefined when it cannot be
+	 * estimated.
 	 */
 	getObservedDurationAtEnd(at: number): number | undefined {
 		const { first } = this
@@ -87,19 +97,19 @@
 	}
 
 	/**
-	 * @param now - the moment, on the leader's clock.
-	 * @returns when it is expected to end; never before now.
+	 * @param now - the current time, on the leader's clock.
+	 * @returns when the run is expected to end; never before now.
 	 */
 	getExpectedEnd(now: number): number {
 		return Math.max(now, this.forecastEnd)
 	}
 
-	/** @returns for how many milliseconds it should have ended; below 0 while it should not. */
+	/** @returns for how many milliseconds the run is overdue; negative before its expected end. */
 	getOverdueTime(now: number): number {
 		return now - this.forecastEnd
 	}
 
-	/** When it should end by what was read last, also where that has passed. */
+	/** The end expected from the latest reading, even if it has passed. */
 	private get forecastEnd(): number {
 		const whole = this.observedDuration ?? this.expectedDuration
 		const left = (whole * (FULL_PERCENT - (this.latest?.percent ?? 0))) / FULL_PERCENT
--- a/packages/jobs/src/lib/placement/StallDetector.ts
+++ b/packages/jobs/src/lib/placement/StallDetector.ts
@@ -1,54 +1,56 @@
 /**
- * Finds workers on which runs stand still although the workers answer, by the progress that they report. Such a worker
- * gets nothing new for a while, and what stands still there begins elsewhere.
+ * Finds workers that answer polls while their runs make no progress. Such a worker gets no new work
+ * for a while, and its stalled runs are moved to other workers.
  *
- * Runs that only get on slowly are left alone: declared times are so far off that on a calm day one worker in two
- * seemed slow at some moment (see docs/POLICY.md).
+ * Runs that are merely slow are left alone: declared times are so far off that even at low load
+ * half of the workers appeared slow at some point (see docs/POLICY.md).
  */
 import type { Run } from '../leader/runs/Run'
 import { tellsOfWorker } from '../leader/runs/tellsOfWorker'
 import type { WorkerView } from '../leader/workers/WorkerView'
 
 /**
- * Milliseconds without progress after which a run counts as standing, at least: a poll and a half, or one reading in
- * which nothing has moved where polls wait longer.
+ * Least milliseconds without progress after which a run counts as stalled: one and a half polls, or
+ * one reading without progress where polls are further apart.
  */
 const MIN_STALL_MS = 750
-/** The same as a share of the declared time: progress is told in whole percents. */
+/** The same as a share of the declared time, since progress is reported in whole percents. */
 const STALL_TIME_SHARE = 0.2
-/** Share of a worker's runs that must stand before the worker is the cause. */
+/** Share of a worker's runs that must be stalled before the worker is taken as the cause. */
 const MIN_STALLED_RUN_SHARE = 0.5
-/** Share of all workers that may be closed at a time; with more of them the cause is not theirs. */
+/** Share of all workers that may be closed at a time; if more stall, the cause lies elsewhere. */
 const MAX_CLOSED_WORKER_SHARE = 0.25
-/** Milliseconds for which a worker stays closed after a run was last seen to stand there. */
+/** Milliseconds for which a worker stays closed after a stalled run was last seen there. */
 const CLOSED_FOR_MS = 1500
-/** Attempts up to which a run may be moved, so that none is moved again and again. */
+/** Highest attempt whose run may be moved, so that no task is moved over and over. */
 const MAX_MOVED_ATTEMPT = 3
 
 /**
- * Watches whether runs get on.
+ * Detects workers whose runs are stalled.
  *
  * @internal
  */
 export class StallDetector {
-	/** Until when workers stay closed, on the leader's clock. */
+	/** Until when each worker stays closed, on the leader's clock. */
 	private readonly closedUntil = new Map<string, number>()
 
-	/** @returns whether runs were seen to stand still on a worker of late. */
+	/** @returns whether stalled runs were recently seen on a worker. */
 	isStalled(worker: string, now: number): boolean {
 		return (this.closedUntil.get(worker) ?? 0) > now
 	}
 
-	/** Forgets a worker that has ended. */
+	/** Forgets a worker whose incarnation has ended. */
 	forget(worker: string): void {
 		this.closedUntil.delete(worker)
 	}
 
 	/**
-	 * Judges a worker that has just been read.
+	 * Updates the state of a worker that was just polled.
 	 *
+	 * @param view - the worker.
 	 * @param workers - how many workers there are.
-	 * @returns whether it was found to stand still, and was not known to.
+	 * @param now - the current time, on the leader's clock.
+	 * @returns whether the worker is found stalled now and was not before.
 	 */
 	update(view: WorkerView, workers: number, now: number): boolean {
 		const judgeable = [...view.runs.values()].filter(tellsOfWorker)
@@ -62,7 +64,7 @@
 		return !wasStalled
 	}
 
-	/** @returns the runs of a worker that stand still and may begin elsewhere. */
+	/** @returns the stalled runs of a worker that may start elsewhere. */
 	getRunsToMove(view: WorkerView): Run[] {
 		return [...view.runs.values()].filter(
 			(run) => tellsOfWorker(run) && isStalledRun(run) && run.attempt <= MAX_MOVED_ATTEMPT
--- a/packages/jobs/src/lib/placement/StepUrgency.ts
+++ b/packages/jobs/src/lib/placement/StepUrgency.ts
@@ -1,36 +1,40 @@
 /**
- * In which order waiting steps are placed: work that accounts sent within their rates first, then priority; of one priority what can still
- * be in time, then what its caller has still some use of, then the rest; of these what is within its account's share; and of these the latest moment at which a step has to begin for
- * its job to be in time.
+ * The order in which waiting steps are placed:
+ *
+ * 1. work that accounts submitted within their rates;
+ * 2. priority;
+ * 3. usefulness: what can still be in time, then what is still useful to its caller, then the rest;
+ * 4. work within its account's share;
+ * 5. the latest moment at which a step has to start for its job to be in time.
  */
 import { Usefulness } from './Usefulness'
 
-/** When a step has to begin; milliseconds since the epoch. @internal */
+/** When a step has to start; in milliseconds since the epoch. @internal */
 export interface StepTimes {
 	/** When its job should be done. */
 	readonly deadline: number
-	/** When its job is of no use to its caller any more. */
+	/** When its job is no longer useful to its caller. */
 	readonly usefulUntil: number
-	/** Milliseconds that it and the longest chain of steps after it are expected to take. */
+	/** Milliseconds that the step and the longest chain of steps after it are expected to take. */
 	readonly remaining: number
 }
 
-/** What orders steps: lower goes first. @internal */
+/** Sort key of a step; lower values go first. @internal */
 export interface Urgency {
 	/** Whether its account sent its job beyond its rate. */
 	readonly beyondRate: boolean
 	readonly priority: number
-	/** Of how much use it still is. */
+	/** How useful the step still is. */
 	readonly usefulness: Usefulness
-	/** Whether its account has more than its share. */
+	/** Whether its account uses more than its share. */
 	readonly overShare: boolean
-	/** The latest moment to begin, milliseconds since the epoch. */
+	/** The latest time to start, in milliseconds since the epoch. */
 	readonly latestStart: number
 }
 
-/** What a step's place in the order follows from, besides its times. @internal */
+/** What determines a step's urgency besides its times. @internal */
 export interface UrgencyFactors {
-	/** Of the step's queue; 0 goes first. */
+	/** Priority of the step's queue; 0 is the highest. */
 	readonly priority: number
 	/** Whether its account sent its job beyond its rate. */
 	readonly beyondRate?: boolean
@@ -38,7 +42,7 @@
 	readonly overShare?: boolean
 }
 
-/** @returns what orders a step that has to begin at these times. @internal */
+/** @returns the urgency of a step with the given times. @internal */
 export function urgencyOf(
 	{ deadline, remaining }: StepTimes,
 	{
@@ -51,29 +55,39 @@
 	return { beyondRate, priority, usefulness, overShare, latestStart: deadline - remaining }
 }
 
-/** Orders by what goes before any account's share, the most urgent first. @internal */
+/**
+ * Compares what takes precedence over any account's share; the most urgent goes first.
+ *
+ * @internal
+ */
 export function compareTier(left: Urgency, right: Urgency): number {
 	const rate = Number(left.beyondRate) - Number(right.beyondRate)
 	const priority = left.priority - right.priority
 	return rate || priority || left.usefulness - right.usefulness
 }
 
-/** Orders by urgency, the most urgent first. @internal */
+/** Compares urgencies; the most urgent goes first. @internal */
 export function compareUrgency(left: Urgency, right: Urgency): number {
 	const share = Number(left.overShare) - Number(right.overShare)
 	return compareTier(left, right) || share || left.latestStart - right.latestStart
 }
 
-/** Makes what is within its account's share rank before all deadlines, which are milliseconds since the epoch. */
+/**
+ * Ranks everything within its account's share before everything over it; larger than any deadline
+ * in milliseconds since the epoch.
+ */
 const SHARE_RANK = 2e12
-/** Makes every degree of usefulness rank before all shares. */
+/** Ranks by usefulness before account shares. */
 const USEFULNESS_RANK = 4e12
-/** Makes every priority rank before all degrees of usefulness. */
+/** Ranks by priority before usefulness. */
 const PRIORITY_RANK = 2e13
-/** Makes every priority within its account's rate rank before all that is beyond; fifty of them are told apart. */
+/**
+ * Ranks everything within its account's rate before everything beyond it; leaves room for fifty
+ * priorities.
+ */
 const BEYOND_RATE_RANK = 1e15
 
-/** @returns the urgency as a number, lower for what goes first. @internal */
+/** @returns the urgency as a number; lower values go first. @internal */
 export function rankOf(urgency: Urgency): number {
 	const { beyondRate, priority, usefulness, overShare, latestStart } = urgency
 	const rate = beyondRate ? BEYOND_RATE_RANK : 0
--- a/packages/jobs/src/lib/placement/UrgentCapacity.test.ts
+++ b/packages/jobs/src/lib/placement/UrgentCapacity.test.ts
@@ -1,4 +1,4 @@
-/** What other work leaves to urgent work: as much as that was seen to have, over the whole service. */
+/** Other work leaves free as much of a service as urgent work was seen to use. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import { LeaderSubject } from '../testing/LeaderSubject'
@@ -32,11 +32,13 @@
 	}
 }
 
-/** Takes 2.4 of the 4 processors of a worker, and more than a quarter with any other task. */
+/**
+ * Takes 2.4 of the 4 processors of a worker; with any other task less than a quarter stays free.
+ */
 const MUCH = { cpu: 2400, memory: 512, accelerators: 0 }
 const SOME = { cpu: 1200, memory: 512, accelerators: 0 }
 
-test('in a calm service nothing waits for urgent work that is not there', () => {
+test('in a service with little load nothing waits for urgent work that does not exist', () => {
 	const subject = subjectWithWorkers(...FOUR)
 	subject.allowed = (worker) => worker === 'w1'
 	subject.submit(LASTING, jobOf({ need: MUCH, lasting: true }))
@@ -46,7 +48,7 @@
 	assert.equal(subject.worker('w1').running.length, 2)
 })
 
-test('a worker is filled by large tasks while the service has room elsewhere', () => {
+test('large tasks may fill a worker while the service has capacity elsewhere', () => {
 	const subject = subjectWithWorkers(...FOUR)
 	subject.allowed = (worker) => worker === 'w1'
 	subject.submit(LATER, jobOf({ count: 3, need: { ...SOME, cpu: 1300 } }))
@@ -54,14 +56,14 @@
 	assert.equal(subject.worker('w1').running.length, 3)
 })
 
-test('where no urgent work was seen, a little of the service is left to it', () => {
+test('a small share of a service is left free even if no urgent work was seen', () => {
 	const subject = subjectWithWorkers(...FOUR)
 	subject.submit(LATER, jobOf({ count: 16, need: ONE }))
 	subject.run(1000, ...FOUR)
 	assert.equal(running(subject, LATER), 15)
 })
 
-test('what urgent work had is left to it after it has gone, and given up with time', () => {
+test('capacity that urgent work used stays free after it has ended, and is released over time', () => {
 	const subject = subjectWithWorkers(...FOUR)
 	subject.submit(URGENT_JOB, jobOf({ count: 2, need: ONE }), URGENT.name)
 	subject.run(500, ...FOUR)
@@ -74,7 +76,7 @@
 	assert.equal(running(subject, LATER), 15)
 })
 
-test('what urgent work has does not count twice, and other work keeps most of the service', () => {
+test('capacity in use by urgent work is not kept free a second time, and other work gets most of the service', () => {
 	const subject = subjectWithWorkers(...FOUR)
 	subject.submit(URGENT_JOB, jobOf({ count: 8, need: ONE }), URGENT.name)
 	subject.run(500, ...FOUR)
--- a/packages/jobs/src/lib/placement/UrgentCapacity.ts
+++ b/packages/jobs/src/lib/placement/UrgentCapacity.ts
@@ -1,41 +1,47 @@
 /**
- * Room that other work leaves to urgent work, which is short and comes in bursts: as much as urgent work was seen to have
- * of late, over the whole service and not on each worker. A share of each worker would leave more idle than that: of 32
- * processors a quarter, where large tasks take nine, keeps a third such task out and leaves fourteen. What large tasks
- * leave over on each worker is where urgent work finds its room.
+ * Capacity that other work leaves free for urgent work, which is short and arrives in bursts: as
+ * much as urgent work recently used, over the whole service and not on each worker. A share of each
+ * worker would leave more idle: with a quarter of 32 processors kept free and large tasks of nine,
+ * a third such task no longer fits and fourteen processors stay idle. Urgent work finds its
+ * capacity in what large tasks leave over on each worker.
  *
- * Answers a cell that is full of large tasks all day.
+ * This matters in a cell that is full of large tasks all day.
  */
 import type { WorkerOption } from '../leader/steps/chooseWorkerForStep'
 import type { StepWork } from '../leader/steps/StepWork'
 
-/** Least share of a service's processors that is left, where no urgent work was seen. */
+/** Share of a service's processors that is left free even if no urgent work was seen. */
 const MIN_SHARE = 0.05
-/** Most share that is left, however much urgent work was seen: other work must go on. */
+/**
+ * Largest share that is left free, however much urgent work was seen, so that other work proceeds.
+ */
 const MAX_SHARE = 0.25
-/** Milliseconds in which a peak of urgent work comes to count for half; bursts last for 4 s, some tens of seconds apart. */
+/**
+ * Milliseconds after which a peak of urgent work counts for half; bursts last for 4 s, some tens of
+ * seconds apart.
+ */
 const HALF_LIFE_MS = 15_000
-/** What is left as a multiple of the peak that was seen: urgent work that waited was not seen. */
+/** Target as a multiple of the peak seen: urgent work that waited is not part of the peak. */
 const PEAK_FACTOR = 1.3
 
-/** Thousandths of processors of a service. */
+/** Use of a service, in thousandths of a processor. */
 interface ServiceUsage {
 	reserved: number
 	capacity: number
-	/** What urgent work has of what is reserved. */
+	/** The part of `reserved` that urgent work has. */
 	urgent: number
 }
 
-/** The most that urgent work had. */
+/** The peak use of urgent work. */
 interface Peak {
-	/** Thousandths of processors. */
+	/** In thousandths of a processor. */
 	readonly amount: number
-	/** When, on the leader's clock. */
+	/** When it was reached, on the leader's clock. */
 	readonly at: number
 }
 
 /**
- * The room that is left to urgent work.
+ * Keeps capacity free for urgent work.
  *
  * @internal
  */
@@ -44,7 +50,7 @@
 	private readonly peaks = new Map<string, Peak>()
 	private now = 0
 
-	/** A new pass over the waiting steps begins, with these open workers. */
+	/** Starts a new pass over the waiting steps with the given open workers. */
 	beginPass(open: readonly WorkerOption[], now: number): void {
 		this.now = now
 		this.usages = new Map()
@@ -57,7 +63,7 @@
 		for (const [service, { urgent }] of this.usages) this.updatePeak(service, urgent)
 	}
 
-	/** So many tasks of a step have been given room in this pass. */
+	/** Records that tasks of a step were placed in this pass. */
 	onPlaced({ queue, need, urgent }: StepWork, tasks: number): void {
 		const usage = this.usageOf(queue.service)
 		usage.reserved += need.cpu * tasks
@@ -66,7 +72,10 @@
 		this.updatePeak(queue.service, usage.urgent)
 	}
 
-	/** @returns whether one more task of a step leaves room to urgent work; the only such work at a service may begin anyway. */
+	/**
+	 * @returns whether one more task of a step leaves enough capacity for urgent work. A task is
+	 * always allowed where nothing but urgent work has capacity.
+	 */
 	allows({ yields, need, queue }: StepWork): boolean {
 		if (!yields || need.cpu === 0) return true
 		const usage = this.usageOf(queue.service)
@@ -75,7 +84,10 @@
 		return usage.capacity - usage.reserved - headroom >= need.cpu
 	}
 
-	/** What urgent work should find at a service, with what it has. */
+	/**
+	 * The capacity that urgent work should be able to use at a service, including what it already
+	 * has.
+	 */
 	private getTarget(service: string, { capacity }: ServiceUsage): number {
 		const least = capacity * MIN_SHARE
 		const most = capacity * MAX_SHARE
--- a/packages/jobs/src/lib/placement/Usefulness.test.ts
+++ b/packages/jobs/src/lib/placement/Usefulness.test.ts
@@ -6,14 +6,14 @@
 /** A step of 4 s, due after 10 s, whose caller waits for 30 s. */
 const TIMES = { deadline: 10_000, usefulUntil: 30_000, remaining: 4000 }
 
-test('a step is in time while all that is left of its job can be done by then, and of some use while its caller waits', () => {
+test('a step is in time while the rest of its job can meet the deadline, and late while its caller still waits', () => {
 	assert.equal(usefulnessOf(TIMES, 6000), Usefulness.InTime)
 	assert.equal(usefulnessOf(TIMES, 6001), Usefulness.Late)
 	assert.equal(usefulnessOf(TIMES, 26_000), Usefulness.Late)
 	assert.equal(usefulnessOf(TIMES, 26_001), Usefulness.TooLate)
 })
 
-test('of one priority what can be in time goes before what is late, though that had to begin earlier', () => {
+test('within a priority a step that can be in time goes before a late one with an earlier latest start', () => {
 	const late = { deadline: 5000, usefulUntil: 15_000, remaining: 4000 }
 	const inTime = urgencyOf(TIMES, { priority: 1, usefulness: Usefulness.InTime })
 	const behind = urgencyOf(late, { priority: 1, usefulness: Usefulness.Late })
@@ -24,7 +24,7 @@
 	assert.ok(rankOf(behind) < rankOf(lower))
 })
 
-test('of one usefulness what is within its account’s share goes first, and ranks agree with the order', () => {
+test('within a degree of usefulness work within its account’s share goes first, and ranks agree with the order', () => {
 	const early = { ...TIMES, deadline: 9000 }
 	const over = urgencyOf(early, { priority: 1, overShare: true })
 	const within = urgencyOf(TIMES, { priority: 1 })
--- a/packages/jobs/src/lib/placement/Usefulness.ts
+++ b/packages/jobs/src/lib/placement/Usefulness.ts
@@ -1,22 +1,22 @@
-/** Of how much use a step still is to its caller. */
+/** How useful a step still is to its caller. */
 import type { StepTimes } from './StepUrgency'
 
-/** Of how much use a step still is: lower goes first. @internal */
+/** How useful a step still is; lower values go first. @internal */
 export const Usefulness = {
 	/** Its job can still be in time. */
 	InTime: 0,
-	/** Its job will be late, and its caller has some use of it. */
+	/** Its job will be late but is still useful to its caller. */
 	Late: 1,
-	/** Its job will come too late to be of use. It is done all the same, after the rest. */
+	/** Its job will end too late to be useful. It is still done, after the rest. */
 	TooLate: 2,
 } as const
-/** One of the degrees. @internal */
+/** One of the degrees of usefulness. @internal */
 export type Usefulness = (typeof Usefulness)[keyof typeof Usefulness]
 
 /**
- * @param times - when the step has to begin.
- * @param epoch - now, in milliseconds since the epoch.
- * @returns of how much use the step is if it begins now.
+ * @param times - when the step has to start.
+ * @param epoch - the current time, in milliseconds since the epoch.
+ * @returns how useful the step is if it starts now.
  * @internal
  */
 export function usefulnessOf(times: StepTimes, epoch: number): Usefulness {
--- a/packages/jobs/src/lib/placement/UsefulnessOrder.test.ts
+++ b/packages/jobs/src/lib/placement/UsefulnessOrder.test.ts
@@ -5,7 +5,7 @@
 import { jobOf } from '../testing/samples'
 import { UsefulnessOrder } from './UsefulnessOrder'
 
-test('the order by use is in force where settings call for it, speeds differ much, or gangs are planned', () => {
+test('the order by usefulness applies when the settings ask for it, speeds differ or gangs are planned', () => {
 	const plain = new UsefulnessOrder(PLAIN_POLICY)
 	assert.equal(plain.isEnabled, false)
 	plain.hasDifferingSpeeds = true
@@ -21,8 +21,13 @@
 const LATE = '00000000000000bb'
 const FRESH = '00000000000000cc'
 
-/** A worker that is full while one job waits until it can't be in time any more; then another one is handed in, and room comes free. */
-function begunFirst(overload: boolean): string {
+/**
+ * Fills a worker while one job waits until it can't finish in time, submits another job, and then
+ * frees the capacity.
+ *
+ * @returns the id of the job that starts first.
+ */
+function firstStarted(overload: boolean): string {
 	const subject = new LeaderSubject()
 	subject.policy = { ...PLAIN_POLICY, overload }
 	subject.lead()
@@ -40,7 +45,7 @@
 	return second.task.slice(0, EARLY.length)
 }
 
-test('when too little room comes free, what can still be in time goes before what has become late, where that is called for', () => {
-	assert.equal(begunFirst(true), FRESH)
-	assert.equal(begunFirst(false), LATE)
+test('a step that can still be in time goes before a late one only when ordering by usefulness is enabled', () => {
+	assert.equal(firstStarted(true), FRESH)
+	assert.equal(firstStarted(false), LATE)
 })
--- a/packages/jobs/src/lib/placement/UsefulnessOrder.ts
+++ b/packages/jobs/src/lib/placement/UsefulnessOrder.ts
@@ -1,24 +1,28 @@
 /**
- * Whether waiting steps are ordered by the use that they still are of, besides their latest start. It is called for where callers compete for
- * too little room, by the settings; where workers differ so much in speed that work becomes late by where it landed; and where gangs are
- * planned as a whole, since a late one that goes first takes room and advice for long, and so makes the next one late.
+ * Decides whether waiting steps are ordered by how useful they still are to their callers, before
+ * their latest start. This applies:
+ *
+ * - where the settings ask for it, since callers compete for too little capacity;
+ * - where worker speeds differ so much that work becomes late because of where it was placed;
+ * - where gangs are planned as a whole: a late gang that goes first takes capacity and advice for
+ *   long and makes the next one late too.
  */
 import type { LeaderPolicy } from '../leader/LeaderPolicy'
 
 /**
- * Whether the order by use is in force.
+ * Tracks the conditions under which steps are ordered by usefulness.
  *
  * @internal
  */
 export class UsefulnessOrder {
-	/** Whether the speeds of workers differ so much that decisions heed them. */
+	/** Whether worker speeds differ so much that placement takes them into account. */
 	hasDifferingSpeeds = false
-	/** Whether gangs have been planned as a whole in this leadership. */
+	/** Whether a gang has been planned as a whole during this leadership. */
 	hasPlannedGangs = false
 
 	constructor(private readonly policy: LeaderPolicy) {}
 
-	/** Whether what can still be in time goes before what can't. */
+	/** Whether steps that can still finish in time go before those that are late. */
 	get isEnabled(): boolean {
 		return this.policy.overload || this.hasDifferingSpeeds || this.hasPlannedGangs
 	}
