--- a/packages/jobs/src/lib/leader/explainJob.ts
+++ b/packages/jobs/src/lib/leader/explainJob.ts
@@ -128,5 +128,5 @@
 function reasonOf(steps: StepScheduler, job: JobRecord, repeat: number, number: number): string {
 	if (!isActive(job)) return `the job is ${job.state}`
 	if (!isStepReady(job, repeat, number)) return 'earlier steps are not done'
-	return steps.explainWaitOf(stepName(job.id, repeat, number))
+	return steps.explainWaitByName(stepName(job.id, repeat, number))
 }
--- a/packages/jobs/src/lib/leader/steps/OpenWorkerList.ts
+++ b/packages/jobs/src/lib/leader/steps/OpenWorkerList.ts
@@ -1,16 +1,20 @@
-/** The workers to which new work may go, with their accounts. */
+/** Lists the workers that accept new work, with their ledger accounts. */
 import type { LeaderContext } from '../LeaderContext'
 import type { WorkerRegistry } from '../workers/WorkerRegistry'
 import type { WorkerView } from '../workers/WorkerView'
 import type { WorkerOption } from './chooseWorkerForStep'
 import type { OpenWorkers } from './PlacementPass'
 
-/** Workers up to which each pass lists them anew; beyond, the listing of the last full pass serves until the next one. */
+/**
+ * Most workers that are listed in each pass; with more of them, the list of the last full pass is
+ * used until the next one.
+ */
 const MAX_LISTED_EACH_PASS = 500
 
 /**
- * The open workers. Listing them looks at each; where there are thousands, passes between two full ones work on the last listing, so whoever
- * chooses a worker from it asks whether it is still open.
+ * The open workers: those that accept new work. Listing them visits every worker. With thousands of
+ * workers, the passes between two full ones therefore use the last list, and a caller that chooses
+ * a worker from it checks {@link OpenWorkerList.isOpen} first.
  *
  * @internal
  */
@@ -22,7 +26,7 @@
 		private readonly workers: Pick<WorkerRegistry, 'all' | 'find' | 'isOpen' | 'size'>
 	) {}
 
-	/** The next question for all workers lists them anew. */
+	/** Discards the list, so that the next call of {@link OpenWorkerList.all} builds a new one. */
 	invalidate(): void {
 		this.listed = undefined
 	}
@@ -38,7 +42,7 @@
 		return view && this.optionOf(view)
 	}
 
-	/** @returns whether a worker that was listed still takes new work. */
+	/** @returns whether a listed worker still accepts new work. */
 	isOpen({ view }: WorkerOption): boolean {
 		return this.workers.find(view.id) === view && this.workers.isOpen(view)
 	}
--- a/packages/jobs/src/lib/leader/steps/PendingRepeats.ts
+++ b/packages/jobs/src/lib/leader/steps/PendingRepeats.ts
@@ -4,34 +4,44 @@
 /** One repeat of a job. @internal */
 export interface JobRepeat {
 	readonly job: JobRecord
-	/** Its number, from 0. */
+	/** The index of the repeat, from 0. */
 	readonly repeat: number
 }
 
-/** @returns when a repeat of a job is due, milliseconds since the epoch; 0 for a job that does not repeat. @internal */
+/**
+ * @returns when a repeat of a job is due, in milliseconds since the epoch; 0 for a job that does
+ * not repeat.
+ *
+ * @internal
+ */
 export function dueTimeOf({ request: { repeat } }: JobRecord, number: number): number {
 	return repeat ? repeat.first + number * repeat.interval : 0
 }
 
 /**
- * The repeats that are not due yet.
+ * Holds repeats until they are due.
  *
  * @internal
  */
 export class PendingRepeats {
 	private pending: (JobRepeat & { readonly due: number })[] = []
 
-	/** Takes in a repeat, until it is due. */
+	/** Adds a repeat that is not due yet. */
 	add(job: JobRecord, repeat: number): void {
 		this.pending.push({ job, repeat, due: dueTimeOf(job, repeat) })
 	}
 
-	/** Drops all repeats of a job. */
+	/** Removes all repeats of a job. */
 	drop(job: JobRecord): void {
 		this.pending = this.pending.filter((item) => item.job !== job)
 	}
 
-	/** @returns the repeats that have become due, which are kept no more. @param epoch - now, in milliseconds since the epoch. */
+	/**
+	 * Removes the repeats that are due.
+	 *
+	 * @param epoch - the current time, in milliseconds since the epoch.
+	 * @returns the removed repeats.
+	 */
 	takeDue(epoch: number): readonly JobRepeat[] {
 		const due = this.pending.filter((item) => item.due <= epoch)
 		if (due.length > 0) this.pending = this.pending.filter((item) => item.due > epoch)
--- a/packages/jobs/src/lib/leader/steps/PlacementPass.ts
+++ b/packages/jobs/src/lib/leader/steps/PlacementPass.ts
@@ -1,15 +1,16 @@
 /**
- * One pass over the waiting steps. A full pass tries every step on every worker; between two of them a step that found no
- * place is tried only where something has come free since, so that a cell in which many steps wait costs no more than what changes in it.
+ * One pass over the waiting steps. A full pass tries every step on every worker. Between full
+ * passes, a step that could not be placed is tried only on workers where capacity was released
+ * since, so that the cost in a cell with many waiting steps depends on what changes.
  */
 import { hasCapacity, type WorkerOption } from './chooseWorkerForStep'
 import type { StepWork } from './StepWork'
 
-/** The workers to which new work may go. @internal */
+/** The open workers: those that accept new work. @internal */
 export interface OpenWorkers {
 	/** @returns all of them. */
 	all(): readonly WorkerOption[]
-	/** @returns one by its id; undefined where no new work may go to it. */
+	/** @returns a worker by its id; undefined if it accepts no new work. */
 	find(id: string): WorkerOption | undefined
 }
 
@@ -24,10 +25,10 @@
 	private readonly byDemand = new Map<string, readonly WorkerOption[]>()
 
 	/**
-	 * @param now - the moment, on the leader's clock.
-	 * @param isFull - whether all waiting steps are tried, and room is kept anew.
-	 * @param workers - to which new work may go.
-	 * @param released - ids of workers where something has come free since the pass before.
+	 * @param now - the current time, on the leader's clock.
+	 * @param isFull - whether all waiting steps are tried and reservations are rebuilt.
+	 * @param workers - the open workers.
+	 * @param released - ids of workers where capacity was released since the previous pass.
 	 */
 	constructor(
 		readonly now: number,
@@ -36,7 +37,7 @@
 		private readonly released: ReadonlySet<string>
 	) {}
 
-	/** All workers to which new work may go. */
+	/** All open workers. */
 	get open(): readonly WorkerOption[] {
 		this.openWorkers ??= this.workers.all()
 		return this.openWorkers
@@ -47,12 +48,15 @@
 		return this.isFull || work.shouldTryAllWorkers || this.getFreedFor(work).length > 0
 	}
 
-	/** @returns whether a step is tried only where something has come free; a gang needs all its room at once. */
+	/**
+	 * @returns whether a step is tried only on workers where capacity was released. A gang is not:
+	 * it needs all its capacity at once.
+	 */
 	isLimitedToFreed(work: StepWork): boolean {
 		return !this.isFull && !work.shouldTryAllWorkers && !work.step.gang
 	}
 
-	/** @returns workers of the right service with the right label. */
+	/** @returns open workers of the right service with the required label. */
 	getEligible(work: StepWork): readonly WorkerOption[] {
 		const key = `${work.queue.service} ${work.step.requires}`
 		const known = this.byDemand.get(key)
@@ -62,7 +66,10 @@
 		return found
 	}
 
-	/** @returns of the workers named those that are open and eligible; few are looked at, however many workers there are. */
+	/**
+	 * @returns those of the given workers that are open and eligible. Only these are looked up,
+	 * however many workers there are.
+	 */
 	findEligible(work: StepWork, ids: Iterable<string>): WorkerOption[] {
 		const found: WorkerOption[] = []
 		for (const id of ids) {
@@ -72,7 +79,10 @@
 		return found
 	}
 
-	/** @returns eligible workers where something has come free, and that may have a task of the step and have room for it. */
+	/**
+	 * @returns eligible workers where capacity was released, which have capacity for a task of the
+	 * step and are not ruled out by the queue's policy.
+	 */
 	getFreedFor(work: StepWork): WorkerOption[] {
 		return this.freed.filter(
 			(option) =>
@@ -88,7 +98,7 @@
 	}
 }
 
-/** Whether a worker is of the right service and has the right label. */
+/** Whether a worker has the right service and the required label. */
 function isEligible({ queue, step }: StepWork, { view: { worker } }: WorkerOption): boolean {
 	if (worker.service !== queue.service) return false
 	return step.requires === '' || worker.labels.includes(step.requires)
--- a/packages/jobs/src/lib/leader/steps/Preemption.ts
+++ b/packages/jobs/src/lib/leader/steps/Preemption.ts
@@ -1,43 +1,55 @@
-/** Makes room for urgent steps: when it pays to stop other work, and which runs. */
+/** Preempts runs for urgent steps: decides when that pays and which runs are stopped. */
 import type { WorkerOption, CapacityCheck } from './chooseWorkerForStep'
 import { epochOf, type LeaderContext } from '../LeaderContext'
 import type { Run } from '../runs/Run'
 import { chooseRunsToPreempt } from './chooseRunsToPreempt'
 import type { StepWork } from './StepWork'
 
-/** Milliseconds that an urgent step waits for room before runs of lower priority are stopped for it. */
+/**
+ * Milliseconds that an urgent step waits for capacity before runs of lower priority are stopped for
+ * it.
+ */
 const PREEMPT_AFTER_MS = 60
-/** Milliseconds within which urgent work is to begin; the users ask for 5.8 s, less the time that a stop takes. */
+/**
+ * Milliseconds within which urgent work is to start: users require 5.8 s, less the time that a stop
+ * takes.
+ */
 const URGENT_START_MS = 5000
 
-/** An urgent step that found no room. @internal */
+/** What an urgent step that could not be placed needs. @internal */
 export interface CapacityNeed {
-	/** Open workers of its service that have its label. */
+	/** Open workers of its service with the required label. */
 	readonly eligible: readonly WorkerOption[]
 	/** Those of them that may run it now. */
 	readonly options: readonly WorkerOption[]
 	/** How many of its tasks wait. */
 	readonly tasks: number
-	/** When room that is kept for the last of them is expected, on the leader's clock; undefined when none is kept. */
+	/**
+	 * When its reserved capacity for the last of them is expected, on the leader's clock; undefined
+	 * without a reservation.
+	 */
 	readonly capacityAt: number | undefined
 }
 
-/** Stops a run so that a step finds room. @internal */
+/** Stops runs to free capacity for a step. @internal */
 export interface RunStopper {
-	/** @param step - name of the step that it is stopped for. */
+	/**
+	 * @param run - the run to stop.
+	 * @param step - name of the step that it is stopped for.
+	 */
 	preempt(run: Run, step: string): void
 }
 
 /**
- * Preemption.
+ * Stops runs of lower priority for urgent steps.
  *
  * @internal
  */
 export class Preemption {
 	/**
-	 * @param context - what the parts of the leader share.
+	 * @param context - state and services that the parts of the leader share.
 	 * @param runs - stops runs.
-	 * @param admits - whether a worker has room for one more task of a step.
+	 * @param admits - whether a worker has capacity for one more task of a step.
 	 */
 	constructor(
 		private readonly context: LeaderContext,
@@ -45,7 +57,10 @@
 		private readonly admits: CapacityCheck
 	) {}
 
-	/** Stops runs of lower priority where an urgent step has waited for room, and asking for advice finds none. */
+	/**
+	 * Stops runs of lower priority once an urgent step has waited long enough for capacity and
+	 * advice about other workers cannot find any.
+	 */
 	preemptFor(work: StepWork, need: CapacityNeed, now: number): void {
 		const { advice } = work
 		if (!this.needsCapacityNow(work, need.capacityAt, now)) return
@@ -57,8 +72,9 @@
 	}
 
 	/**
-	 * Whether it pays to stop other work: not when the room that is kept comes soon and in time, nor when the step is
-	 * late anyway. A step that keeps no room is a small one, for which little has to stop.
+	 * Whether preemption pays: not if the reserved capacity is expected soon and in time, nor if
+	 * the step is late anyway. A step without a reservation is a small one, for which little has to
+	 * be stopped.
 	 */
 	private needsCapacityNow(work: StepWork, capacityAt: number | undefined, now: number): boolean {
 		if (capacityAt === undefined) return true
@@ -66,7 +82,7 @@
 		return slack >= 0 && capacityAt - now > Math.min(slack, URGENT_START_MS)
 	}
 
-	/** Whether a worker that has not been asked about has room. */
+	/** Whether a worker that the policy was not asked about yet has capacity. */
 	private mayFitElsewhere(work: StepWork, { eligible, options }: CapacityNeed): boolean {
 		const allowed = new Set(options.map(({ view }) => view.id))
 		return eligible.some((option) => {
--- a/packages/jobs/src/lib/leader/steps/Quarantine.ts
+++ b/packages/jobs/src/lib/leader/steps/Quarantine.ts
@@ -1,10 +1,12 @@
 /**
- * Where tasks begin under which workers have crashed. Most of them are innocent: they shared a worker with the task that did
- * it. So none waits for an empty worker. A suspected task goes where the least work is lost if its worker crashes, and an
- * isolated one besides where all tasks of other jobs have been at work for a while and none is under suspicion; nothing of other jobs begins beside it until it has
- * lived past the moment at which it would have crashed its worker.
+ * Decides where tasks start that were running on workers when these crashed. Most of them are
+ * innocent: they merely shared the worker with the task that crashed it. So none of them waits for
+ * an empty worker. A suspected task goes where the least work is lost if its worker crashes. An
+ * isolated task needs, besides, a worker on which all tasks of other jobs have been running for a
+ * while and none is suspected; no task of another job starts beside it until it has outlived the
+ * time in which it would have crashed its worker.
  *
- * Answers a cell in which a few tasks crash each worker that starts them while the rest of the work goes on.
+ * This keeps a cell working in which a few tasks crash every worker that starts them.
  */
 import { suspicionOf, Suspicion } from '../../state/TaskCrashes'
 import type { CellState } from '../../state/CellState'
@@ -13,33 +15,36 @@
 import type { WorkerView } from '../workers/WorkerView'
 
 /**
- * Milliseconds after its beginning for which an isolated task has its worker for itself: within them a task that crashes its
- * worker has done so, and its worker has been found silent.
+ * Milliseconds after its start for which an isolated task has its worker to itself. By then a
+ * crashing task has crashed its worker, and the worker was found unreachable.
  */
 const PROBATION_MS = 500
-/** Milliseconds of work that a lasting task counts as having done: its callers wait while it begins elsewhere. */
+/**
+ * Milliseconds of work that a lasting task counts as having done, since its callers wait while it
+ * starts elsewhere.
+ */
 const LASTING_WORK_MS = 10_000
 
 interface Probation {
 	readonly job: string
 	readonly task: string
-	/** When it ends, on the leader's clock; infinite until the run has begun. */
+	/** When it ends, on the leader's clock; infinite until the run has started. */
 	readonly until: number
 }
 
-/** Runs that are decided and not yet begun. @internal */
+/** Runs whose start is decided but not yet committed. @internal */
 export interface DecidedStarts {
-	/** @returns the jobs that have such runs for a worker. */
+	/** @returns the jobs that have such runs on a worker. */
 	decidedFor(worker: string): readonly string[]
 }
 
 /**
- * Suspected tasks and the workers that they are on.
+ * Tracks suspected tasks and chooses workers for them.
  *
  * @internal
  */
 export class Quarantine {
-	/** Isolated tasks that have begun of late, by worker. */
+	/** Isolated tasks that have recently started, by worker id. */
 	private readonly probations = new Map<string, Probation>()
 
 	constructor(
@@ -47,23 +52,27 @@
 		private readonly decidedStarts: DecidedStarts
 	) {}
 
-	/** @returns how a task of a step is to be treated. */
+	/** @returns how strongly a task of a step is suspected. */
 	suspicionOf({ record }: StepWork, index: number): Suspicion {
 		return suspicionOf(record.tasks[index])
 	}
 
-	/** @returns whether a task of a job may begin on a worker beside what is isolated there. */
+	/** @returns whether a task of a job may start on a worker beside an isolated task there. */
 	admits(job: string, worker: string, now: number): boolean {
 		const probation = this.probations.get(worker)
 		return !probation || probation.job === job || probation.until <= now
 	}
 
 	/**
-	 * @param work - the step of a task under suspicion.
-	 * @param index - the task.
+	 * Chooses the worker for a suspected task.
+	 *
+	 * @param work - the step of the task.
+	 * @param index - index of the task.
 	 * @param options - workers that may run the step.
-	 * @param isFree - whether a worker's room is not kept for others.
-	 * @returns the worker on which the least is lost; undefined when it has to wait.
+	 * @param isFree - whether a worker has capacity that is not reserved for others.
+	 * @param now - the current time, on the leader's clock.
+	 * @returns the worker on which a crash would lose the least work; undefined if the task has to
+	 * wait.
 	 */
 	chooseWorker(
 		work: StepWork,
@@ -73,7 +82,7 @@
 		now: number
 	): WorkerOption | undefined {
 		const isIsolated = this.suspicionOf(work, index) === Suspicion.Isolated
-		// A gang's members begin together or not at all, so none of them can wait for another one.
+		// Members of a gang start together or not at all, so none of them can wait for another one.
 		const needsOwnWorker = isIsolated && !work.step.gang
 		const job = work.job.id
 		const probationWorker = needsOwnWorker ? this.probationWorkerOf(job, now) : undefined
@@ -91,7 +100,10 @@
 		return best
 	}
 
-	/** @returns tasks that wait and may begin, those that are under no suspicion first; of a gang all or none. */
+	/**
+	 * @returns indexes of waiting tasks that may start, unsuspected ones first; all or none for a
+	 * gang.
+	 */
 	getStartableTasks(work: StepWork): number[] {
 		const waiting = work.getWaitingTasks()
 		const suspected = waiting.filter((index) => this.isSuspected(work, index))
@@ -102,29 +114,32 @@
 		return [...unsuspected, ...suspected.filter((index) => !isHeld(index))]
 	}
 
-	/** @returns whether a task of a step is under suspicion. */
+	/** @returns whether a task of a step is suspected. */
 	isSuspected(work: StepWork, index: number): boolean {
 		return this.suspicionOf(work, index) !== Suspicion.None
 	}
 
-	/** An isolated task is to begin on a worker. */
+	/** Records that the start of an isolated task on a worker is decided. */
 	onStartDecided(task: string, job: string, worker: string): void {
 		this.probations.set(worker, { job, task, until: Number.POSITIVE_INFINITY })
 	}
 
-	/** A run has begun. */
+	/** Records that a run has started. */
 	onRunStarted(task: string, worker: string, now: number): void {
 		const probation = this.probations.get(worker)
 		if (probation?.task !== task) return
 		this.probations.set(worker, { ...probation, until: now + PROBATION_MS })
 	}
 
-	/** A run has ended, or will not begin. */
+	/** Records that a run has ended or will not start. */
 	onRunEnded(task: string, worker: string): void {
 		if (this.probations.get(worker)?.task === task) this.probations.delete(worker)
 	}
 
-	/** The worker on which an isolated task of a job has just begun, if there is one: the others of the job wait for it. */
+	/**
+	 * @returns the worker on which an isolated task of the job is on probation, if any: other
+	 * isolated tasks of the job start only there.
+	 */
 	private probationWorkerOf(job: string, now: number): string | undefined {
 		for (const [worker, probation] of this.probations) {
 			if (probation.job === job && probation.until > now) return worker
@@ -132,7 +147,10 @@
 		return undefined
 	}
 
-	/** Whether nothing of other jobs on a worker may crash it too: all has been at work for a while, and none is suspected. */
+	/**
+	 * Whether every run of other jobs on a worker has been running for a while and none is
+	 * suspected, so that none of them is likely to crash it.
+	 */
 	private hasOnlySettledRuns(view: WorkerView, job: string, now: number): boolean {
 		if (this.decidedStarts.decidedFor(view.id).some((other) => other !== job)) return false
 		for (const { text, name, confirmedAt } of view.runs.values()) {
@@ -145,7 +163,10 @@
 	}
 }
 
-/** What other jobs would lose with a worker, in thousandths of a core times milliseconds; a run that has done nothing counts a little. */
+/**
+ * Estimates the work that other jobs would lose with a worker, in thousandths of a core times
+ * milliseconds; a run without progress counts a little.
+ */
 function lossOn(view: WorkerView, job: string): number {
 	let loss = 0
 	for (const { name, need, step, percent } of view.runs.values()) {
--- a/packages/jobs/src/lib/leader/steps/StartWindow.ts
+++ b/packages/jobs/src/lib/leader/steps/StartWindow.ts
@@ -1,34 +1,35 @@
 /**
- * How many starts may be under way at a time: decided, and not yet confirmed by their workers. Starts that wait in queues between the leader and the
- * workers time out and are sent again, and no order of urgency holds there; while the cell is behind with them, what waits does so here, the most
- * urgent first.
+ * Limits how many starts may be under way at a time: decided and not yet confirmed by their
+ * workers. Starts that wait in queues between the leader and the workers time out and are sent
+ * again, and these queues ignore urgency. While the cell is behind with starts, the rest therefore
+ * waits here, ordered by urgency.
  */
 
-/** Starts that may be under way at least. */
+/** Least size of the window. */
 const MIN_SIZE = 16
-/** The window is multiplied by no less than this when the cell is behind. */
+/** Smallest factor that one decrease applies to the window. */
 const MIN_DECREASE_FACTOR = 0.5
-/** By how much the window grows after a period in which the cell kept up. */
+/** How the window grows after a period in which the cell kept up. */
 const INCREASE = { factor: 1.2, increment: 4 } as const
-/** Starts under way from which a window has no effect. */
+/** Size above which a window has no effect and is removed. */
 const UNBOUNDED_SIZE = 4000
-/** Share of the bound below which half of the starts must be for the window to grow. */
+/** Share of the target delay below which the median delay has to be for the window to grow. */
 const INCREASE_BELOW = 0.5
 
 /**
- * The window of starts.
+ * Adapts the number of concurrent starts to their delay.
  *
  * @internal
  */
 export class StartWindow {
 	private limit = Number.POSITIVE_INFINITY
 
-	/** Starts that may be under way; infinite while the cell keeps up. */
+	/** How many starts may be under way; infinite while the cell keeps up. */
 	get size(): number {
 		return this.limit
 	}
 
-	/** Whether there is a bound. */
+	/** Whether the number of starts is limited. */
 	get isBounded(): boolean {
 		return Number.isFinite(this.limit)
 	}
@@ -39,11 +40,11 @@
 	}
 
 	/**
-	 * Takes what the starts of a period have shown.
+	 * Updates the window from the starts of a period.
 	 *
-	 * @param delay - milliseconds that half of them took at least.
-	 * @param targetDelay - milliseconds that half of them may take.
-	 * @param underWay - starts that are under way.
+	 * @param delay - median delay of the starts in milliseconds, the upper one of two.
+	 * @param targetDelay - milliseconds that the median may take.
+	 * @param underWay - how many starts are under way.
 	 */
 	update(delay: number, targetDelay: number, underWay: number): void {
 		if (delay > targetDelay) this.decrease(targetDelay / delay, underWay)
--- a/packages/jobs/src/lib/leader/steps/StepLog.ts
+++ b/packages/jobs/src/lib/leader/steps/StepLog.ts
@@ -1,4 +1,4 @@
-/** Log lines and measures of steps: that they begin, and that they never may. */
+/** Log lines and metrics of steps: when they are placed, dropped or barred. */
 import { Measure } from '@rillrudder/telemetry'
 import type { LeaderContext } from '../LeaderContext'
 import { LeaderEvent } from '../LeaderEvent'
@@ -6,14 +6,14 @@
 import type { StepWork } from './StepWork'
 
 /**
- * Tells of steps.
+ * Writes log lines and metrics of steps.
  *
  * @internal
  */
 export class StepLog {
 	constructor(private readonly context: LeaderContext) {}
 
-	/** Runs of a step begin. */
+	/** Logs that runs of a step start. */
 	logPlaced(work: StepWork, placed: readonly PlacedTask[], now: number): void {
 		const { meter, log, state, term } = this.context
 		const waited = work.getWaitTime(now)
@@ -34,7 +34,10 @@
 		})
 	}
 
-	/** A step will not be placed any more, as its job has ended; what it waited for counts, whether it was placed or not. */
+	/**
+	 * Records that a step is closed because its job has ended. Its waits are counted whether it was
+	 * placed or not.
+	 */
 	recordClosed(work: StepWork): void {
 		const { meter, log, clock } = this.context
 		const waiting = work.getWaitingTasks().length
@@ -53,7 +56,7 @@
 		})
 	}
 
-	/** The policy of a step's queue allows none of so many open workers; to be told once for each step. */
+	/** Logs, once for each step, that the policy of its queue allows none of the open workers. */
 	logBarred(work: StepWork, workers: number): void {
 		work.hasLoggedBarred = true
 		const { name: step, queue } = work
@@ -62,7 +65,7 @@
 	}
 }
 
-/** The workers of placed tasks with their counts, as one text for the log. */
+/** Formats the workers of placed tasks with their counts for the log. */
 function formatWorkerCounts(placed: readonly PlacedTask[]): string {
 	const counts = new Map<string, number>()
 	for (const { worker } of placed) counts.set(worker, (counts.get(worker) ?? 0) + 1)
--- a/packages/jobs/src/lib/leader/steps/StepPlacement.ts
+++ b/packages/jobs/src/lib/leader/steps/StepPlacement.ts
@@ -1,4 +1,7 @@
-/** Gives the tasks of one step workers that may run them and have room beside what is kept there for others. */
+/**
+ * Assigns the tasks of a step to workers that may run them and have capacity beside reservations of
+ * others.
+ */
 import type { AccountUsage } from '../../accounts/AccountUsage'
 import type { GangPlanner } from '../../gangs/GangPlanner'
 import { freeOf, roomIn } from '../../gangs/learnWorkers'
@@ -12,7 +15,7 @@
 import { tryClaim } from './resourceClaim'
 import type { StepWork } from './StepWork'
 
-/** What decides whether room is free for a task. @internal */
+/** What decides whether capacity is free for a task. @internal */
 export interface PlacementDependencies {
 	readonly urgentCapacity: UrgentCapacity
 	readonly reservations: Reservations
@@ -28,8 +31,9 @@
  */
 export class StepPlacement {
 	/**
-	 * Whether a task may begin in a worker's room: the worker is open, and its room is kept neither for urgent work nor for a step that goes before, and
-	 * nothing of another job is isolated there.
+	 * Whether a task may start on a worker: the worker is open, its capacity is neither kept for
+	 * urgent work nor reserved for a more urgent step, and no task of another job is isolated
+	 * there.
 	 */
 	private readonly isFree: CapacityCheck = (work, option) =>
 		this.dependencies.openWorkers.isOpen(option) &&
@@ -38,9 +42,9 @@
 		this.dependencies.reservations.allows(work, option)
 
 	/**
-	 * @param context - what the parts of the leader share.
-	 * @param accounts - what accounts may have.
-	 * @param dependencies - what decides whether room is free for a task.
+	 * @param context - state and services that the parts of the leader share.
+	 * @param accounts - the quotas of accounts and their use.
+	 * @param dependencies - what decides whether capacity is free for a task.
 	 */
 	constructor(
 		private readonly context: LeaderContext,
@@ -50,10 +54,10 @@
 
 	/**
 	 * @param work - the step.
-	 * @param waiting - indexes of its tasks that may begin.
+	 * @param waiting - indexes of its tasks that may start.
 	 * @param options - workers that may run it.
-	 * @param now - the moment, on the leader's clock.
-	 * @returns where tasks go, with their room reserved; of a gang all or none.
+	 * @param now - the current time, on the leader's clock.
+	 * @returns the placed tasks, with their capacity claimed; all or none for a gang.
 	 */
 	place(
 		work: StepWork,
@@ -73,7 +77,10 @@
 				: chooseWorkerForStep(work, options, this.isFree, epochOf(this.context))
 	}
 
-	/** Places a gang, on workers that are unlikely to go where they have room for it. */
+	/**
+	 * Places a gang, preferably on workers that are unlikely to leave, if these have enough
+	 * capacity.
+	 */
 	private placeAsGang(
 		work: StepWork,
 		waiting: readonly number[],
--- a/packages/jobs/src/lib/leader/steps/StepScheduler.ts
+++ b/packages/jobs/src/lib/leader/steps/StepScheduler.ts
@@ -1,4 +1,7 @@
-/** The steps that have tasks to begin: which goes where, and what must be asked before. */
+/**
+ * Schedules the steps that have tasks to start: what is placed where, and what advice is requested
+ * before.
+ */
 import { Measure } from '@rillrudder/telemetry'
 import type { Queue } from '../../records/Cell'
 import { formatTaskName, RunEnd, type TaskName } from '../../records/Job'
@@ -47,7 +50,7 @@
 const NO_WORKERS: ReadonlySet<string> = new Set()
 
 /**
- * The steps that have tasks to begin.
+ * Schedules the steps that have tasks to start.
  *
  * @internal
  */
@@ -60,7 +63,10 @@
 	private readonly preemption: Preemption
 	private readonly pendingRepeats = new PendingRepeats()
 	private isOrderStale = true
-	/** The open workers as of the latest full pass; between two, the room left to urgent work is told by these. */
+	/**
+	 * The open workers as of the latest full pass; passes in between compute the capacity left to
+	 * urgent work from them.
+	 */
 	private openAtFullPass: readonly WorkerOption[] = []
 	private readonly urgentCapacity = new UrgentCapacity()
 	private readonly reservations = new Reservations()
@@ -89,17 +95,17 @@
 		const parts = { urgentCapacity, reservations, quarantine, gangs, openWorkers }
 		this.placement = new StepPlacement(context, accounts, parts)
 		this.log = new StepLog(context)
-		this.waits = new StepWaitMonitor(context, (work, pass) => this.explainWork(work, pass))
+		this.waits = new StepWaitMonitor(context, (work, pass) => this.explainWaitOf(work, pass))
 		this.preemption = new Preemption(context, runs, (work, option) => this.admits(work, option))
 	}
 
-	/** Sets the gauges of how many steps wait, by priority. */
+	/** Updates the gauges of waiting steps. */
 	measure(): void {
 		const counts = new Map<number, number>()
 		for (const work of this.steps.values()) {
 			const { priority } = work.queue
-			const waits = work.getWaitingTasks().length > 0 && this.isReady(work)
-			counts.set(priority, (counts.get(priority) ?? 0) + (waits ? 1 : 0))
+			const isWaiting = work.getWaitingTasks().length > 0 && this.isReady(work)
+			counts.set(priority, (counts.get(priority) ?? 0) + (isWaiting ? 1 : 0))
 		}
 		for (const [priority, count] of counts) {
 			this.context.meter.gauge(Measure.StepsWaiting, count, { priority: String(priority) })
@@ -107,7 +113,7 @@
 		this.waits.measure(this.getWaitingSteps(), this.createInspectionPass())
 	}
 
-	/** The steps that could begin and have tasks without a place. */
+	/** The steps that could start and have unplaced tasks. */
 	private getWaitingSteps(): StepWork[] {
 		return [...this.steps.values()].filter((work) => this.isWaiting(work))
 	}
@@ -116,7 +122,7 @@
 		return work.readyAt !== undefined && this.isReady(work) && work.getWaitingTasks().length > 0
 	}
 
-	/** @returns how many steps of each account have tasks that could begin and have no place. */
+	/** @returns for each account how many of its steps could start and have unplaced tasks. */
 	countWaitingByAccount(): ReadonlyMap<string, number> {
 		const counts = new Map<string, number>()
 		for (const work of this.steps.values()) {
@@ -127,35 +133,37 @@
 		return counts
 	}
 
-	/** @returns why tasks of a step wait, since when and until what, for people. */
-	explainWaitOf(name: string): string {
+	/**
+	 * @returns a text for people: why tasks of a step wait, for how long, and what ends the wait.
+	 */
+	explainWaitByName(name: string): string {
 		const work = this.steps.get(name)
 		if (!work) return 'it is not due yet'
-		const { text, until } = this.explainWork(work, this.createInspectionPass())
+		const { text, until } = this.explainWaitOf(work, this.createInspectionPass())
 		const waited = Math.round(work.getWaitTime(this.context.clock.now()))
 		return `${text}; for ${waited} ms, until ${until}`
 	}
 
-	private explainWork(work: StepWork, pass: PlacementPass): WaitExplanation {
+	private explainWaitOf(work: StepWork, pass: PlacementPass): WaitExplanation {
 		const eligible = pass.getEligible(work)
-		const room = eligible.filter((option) => this.admits(work, option))
-		const kept = this.reservations.getExpectedTimes(work)
-		const withinQuota = this.accounts.mayBegin(work.account, work.step)
-		const held = this.quarantine.getStartableTasks(work).length === 0
-		const behind = !this.startWindow.admits(this.countedStarts)
+		const withCapacity = eligible.filter((option) => this.admits(work, option))
+		const reservation = this.reservations.getExpectedTimes(work)
+		const isWithinQuota = this.accounts.mayBegin(work.account, work.step)
+		const isHeld = this.quarantine.getStartableTasks(work).length === 0
+		const isStartWindowFull = !this.startWindow.admits(this.countedStarts)
 		const now = this.context.clock.now()
 		return explainWait(work, {
 			eligible,
-			withCapacity: room,
-			isHeld: held,
-			isWithinQuota: withinQuota,
-			reservation: kept,
-			isStartWindowFull: behind,
+			withCapacity,
+			isHeld,
+			isWithinQuota,
+			reservation,
+			isStartWindowFull,
 			now,
 		})
 	}
 
-	/** Takes up a job: all its repeats that are due. */
+	/** Adds a job: opens the repeats that are due and keeps the others until they are. */
 	addJob(job: JobRecord): void {
 		this.precedence.recordQueue(job.queue, this.context.clock.now())
 		job.repeats.forEach((_, number) => {
@@ -164,20 +172,20 @@
 		})
 	}
 
-	/** Drops a job that has ended. */
+	/** Removes a job that has ended. */
 	removeJob(job: JobRecord): void {
 		for (const work of this.steps.values()) if (work.job === job) this.close(work)
 		this.pendingRepeats.drop(job)
 		this.isOrderStale = true
 	}
 
-	/** A run has begun. */
+	/** Handles the start of a run. */
 	onRunStarted(task: TaskName, worker: string): void {
 		this.steps.get(stepNameOf(task))?.proposedTasks.delete(task.index)
 		this.quarantine.onRunStarted(formatTaskName(task), worker, this.context.clock.now())
 	}
 
-	/** A run that was decided will not begin. */
+	/** Handles a run whose start was decided but will not happen. */
 	onRunVoided(task: TaskName, worker: string): void {
 		this.quarantine.onRunEnded(formatTaskName(task), worker)
 		const work = this.steps.get(stepNameOf(task))
@@ -187,7 +195,7 @@
 		work.adjustTaskCount(worker, -1)
 	}
 
-	/** A run has ended: its task may have to begin again, or later steps may begin. */
+	/** Handles the end of a run: its task may have to start again, or later steps may start. */
 	onRunEnded(task: TaskName, worker: string, how: RunEnd): void {
 		this.quarantine.onRunEnded(formatTaskName(task), worker)
 		const work = this.steps.get(stepNameOf(task))
@@ -196,7 +204,7 @@
 		this.onTaskSettled(task)
 	}
 
-	/** A task has no run any more: it is done, or has to begin again. */
+	/** Handles a task that has no run any more: it is done or has to start again. */
 	onTaskSettled(task: TaskName): void {
 		const job = this.context.state.jobs.find(task.job)
 		if (!job || !isActive(job)) return
@@ -207,21 +215,25 @@
 			this.isOrderStale = true
 			this.openReady(job, task.repeat)
 		} else {
-			const again = record.tasks[task.index].status === TaskStatus.Waiting
-			if (again) this.reopen(job, task)
+			const mustStartAgain = record.tasks[task.index].status === TaskStatus.Waiting
+			if (mustStartAgain) this.reopen(job, task)
 			else if (record.done === 1) this.requestAdviceAhead(job, task.repeat, task.step)
 		}
 	}
 
-	/** Opens steps of a job, and tries those again, that have tasks to begin and that no change has told of. */
+	/**
+	 * Opens or reopens steps of a job that have tasks to start but that no event has reported.
+	 *
+	 * @returns the names of these steps.
+	 */
 	lookAgain(job: JobRecord): readonly string[] {
 		if (!isActive(job)) return []
 		const missed: string[] = []
 		job.repeats.forEach((steps, repeat) => {
 			if (dueTimeOf(job, repeat) > epochOf(this.context)) return
 			steps.forEach(({ tasks }, step) => {
-				const waits = tasks.some(({ status }) => status === TaskStatus.Waiting)
-				if (!waits || !isStepReady(job, repeat, step)) return
+				const isWaiting = tasks.some(({ status }) => status === TaskStatus.Waiting)
+				if (!isWaiting || !isStepReady(job, repeat, step)) return
 				if (this.reopenIfMissed(job, repeat, step)) missed.push(stepName(job.id, repeat, step))
 			})
 		})
@@ -236,7 +248,7 @@
 		return !known || wasOverlooked
 	}
 
-	/** A task that could not begin may do so now. */
+	/** Tries a task again that could not start before. */
 	reconsider(task: TaskName): void {
 		const work = this.steps.get(stepNameOf(task))
 		if (!work) return
@@ -244,19 +256,21 @@
 		work.isFullyPlaced = false
 	}
 
-	/** A task has to begin again. */
+	/** Reopens the step of a task that has to start again. */
 	private reopen(job: JobRecord, task: TaskName): void {
 		const work = this.open(job, task.repeat, task.step)
 		work.shouldTryAllWorkers = true
 		work.isFullyPlaced = false
 	}
 
-	/** A ticket does not hold. */
+	/** Handles a ticket that a worker has refused. */
 	onTicketRefused(task: TaskName, worker: string): void {
 		this.steps.get(stepNameOf(task))?.advice.refused(worker)
 	}
 
-	/** A run was moved away from a worker on which it stood still: another one is taken, if there is one. */
+	/**
+	 * Handles a run that was moved because it stalled: the step prefers other workers from now on.
+	 */
 	onRunMoved(task: TaskName, worker: string): void {
 		this.steps.get(stepNameOf(task))?.recordFailure(worker)
 	}
@@ -269,15 +283,15 @@
 	}
 
 	/**
-	 * Begins what can begin now.
+	 * Starts the tasks that can start now.
 	 *
-	 * @param now - the moment, on the leader's clock.
-	 * @param full - whether steps that found no room are tried although nothing has come free.
+	 * @param now - the current time, on the leader's clock.
+	 * @param full - whether unplaced steps are tried although no capacity was released.
 	 */
 	place(now: number, full: boolean): void {
-		const underWay = this.countedStarts
-		// What comes free meanwhile is kept for the next pass.
-		if (!full && !this.startWindow.admits(underWay)) return
+		const startsUnderWay = this.countedStarts
+		// Capacity that is released meanwhile stays recorded for the next pass.
+		if (!full && !this.startWindow.admits(startsUnderWay)) return
 		if (this.isOrderStale) this.sort()
 		if (full && this.updateShares(now)) this.sort()
 		if (full) this.openWorkers.invalidate()
@@ -290,15 +304,15 @@
 		if (full) this.openAtFullPass = pass.open
 		this.urgentCapacity.beginPass(this.openAtFullPass, now)
 		this.reservations.beginPass(now, full)
-		const before = this.runs.decidedStarts
+		const decidedBefore = this.runs.decidedStarts
 		for (const work of this.shares.inOrder(tried)) {
-			if (this.startWindow.admits(underWay + this.runs.decidedStarts - before))
+			if (this.startWindow.admits(startsUnderWay + this.runs.decidedStarts - decidedBefore))
 				this.placeStep(work, pass)
 			else deferStep(work, pass)
 		}
 	}
 
-	/** How many starts are under way; they are counted only where there is a bound. */
+	/** How many starts are under way; counted only while the window limits them. */
 	private get countedStarts(): number {
 		return this.startWindow.isBounded ? this.runs.startsUnderWay : 0
 	}
@@ -307,7 +321,12 @@
 		return isStepReady(job, repeat, number)
 	}
 
-	/** What can't be in time any more, or is of an account over its share, lets others go first. */
+	/**
+	 * Updates usefulness and account shares: steps that are late or belong to an account over its
+	 * share go after others.
+	 *
+	 * @returns whether the order has changed.
+	 */
 	private updateShares(now: number): boolean {
 		const { order: steps, reservations } = this
 		const waits = (work: StepWork): boolean => this.isWaiting(work)
@@ -353,17 +372,23 @@
 		return work
 	}
 
-	/** The queue as it is configured now; a removed queue's jobs go on as they were accepted. */
+	/**
+	 * The queue as currently configured; jobs of a removed queue keep the configuration that they
+	 * were accepted with.
+	 */
 	private queueOf(job: JobRecord): Queue {
 		const { configuration } = this.context.state
 		return configuration?.queues.find((queue) => queue.name === job.queue.name) ?? job.queue
 	}
 
-	/** The first task of a step is done, so the others soon will be: asks for the steps after it. */
+	/**
+	 * Requests advice for the steps after a step whose first task is done, since its other tasks
+	 * will soon be done too.
+	 */
 	private requestAdviceAhead(job: JobRecord, repeat: number, step: number): void {
 		if (!this.queueOf(job).advice) return
-		job.request.steps.forEach((later, number) => {
-			if (!later.dependsOn.includes(step)) return
+		job.request.steps.forEach((laterStep, number) => {
+			if (!laterStep.dependsOn.includes(step)) return
 			const work = this.open(job, repeat, number)
 			const eligible = this.createInspectionPass().getEligible(work)
 			if (needsPlan(work)) this.gangs.learn(work, eligible, this.context.clock.now())
@@ -371,12 +396,14 @@
 		})
 	}
 
-	/** The workers as they are outside of any pass. */
+	/** Creates a pass for looking at the current workers outside of placement. */
 	private createInspectionPass(): PlacementPass {
 		return new PlacementPass(this.context.clock.now(), false, this.openWorkers, NO_WORKERS)
 	}
 
-	/** Whether a worker has room for one more task of a step, and that leaves room to urgent work. */
+	/**
+	 * Whether a worker has capacity for one more task of a step and enough is left for urgent work.
+	 */
 	private admits(work: StepWork, option: WorkerOption): boolean {
 		return hasCapacity(work, option) && this.urgentCapacity.allows(work)
 	}
@@ -405,29 +432,32 @@
 		if (needsPlan(work)) return full ? this.gangs.prepare(work, eligible, now) : undefined
 		if (full && this.reservations.canReserve(work))
 			this.reservations.reserveIfNeeded(work, left, workers.allowed)
-		const room = this.reservations.getExpectedTimes(work)
-		if (work.queue.advice) this.questions.ask(work, eligible, left, room?.next)
+		const reserved = this.reservations.getExpectedTimes(work)
+		if (work.queue.advice) this.questions.ask(work, eligible, left, reserved?.next)
 		if (work.urgent && !work.step.gang) {
 			this.preemption.preemptFor(
 				work,
-				{ eligible, options, tasks: left, capacityAt: room?.last },
+				{ eligible, options, tasks: left, capacityAt: reserved?.last },
 				now
 			)
 		}
 	}
 
-	/** Places what finds a place where something has come free, and asks about that where nothing is known of it. */
+	/**
+	 * Places tasks on workers where capacity was released, and requests advice if nothing is known
+	 * about some of these workers.
+	 */
 	private placeOnFreed(work: StepWork, waiting: readonly number[], pass: PlacementPass): void {
 		const freed = pass.getFreedFor(work)
 		if (freed.length === 0) return
 		const options = this.filterReady(work, freed, pass.now)
 		const left = this.placeAmong(work, waiting, options, pass.now)
 		if (left === 0 || options.length === freed.length || work.advice.asking) return
-		const room = this.reservations.getExpectedTimes(work)
-		this.questions.ask(work, pass.getEligible(work), left, room?.next)
+		const reserved = this.reservations.getExpectedTimes(work)
+		this.questions.ask(work, pass.getEligible(work), left, reserved?.next)
 	}
 
-	/** @returns how many tasks are left that found no place. */
+	/** @returns how many tasks could not be placed. */
 	private placeAmong(
 		work: StepWork,
 		waiting: readonly number[],
@@ -444,7 +474,7 @@
 		return 0
 	}
 
-	/** Of workers where something has come free those that may run the step now. */
+	/** Of workers where capacity was released, those that may run the step now. */
 	private filterReady(
 		work: StepWork,
 		freed: readonly WorkerOption[],
@@ -474,7 +504,7 @@
 	}
 }
 
-/** A step waits until starts that are under way are confirmed. */
+/** Leaves a step waiting until starts that are under way are confirmed. */
 function deferStep(work: StepWork, { now, isFull: full }: PlacementPass): void {
 	work.readyAt ??= now
 	if (full) work.waits.setReason(WaitReason.StartWindow, now)
--- a/packages/jobs/src/lib/leader/steps/StepWaitMonitor.test.ts
+++ b/packages/jobs/src/lib/leader/steps/StepWaitMonitor.test.ts
@@ -1,4 +1,4 @@
-/** How long steps wait and why is told by a measure, a line and the explanation of a job. */
+/** Waits of steps and their reasons show in a gauge, a log line and the explanation of a job. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import { LeaderSubject } from '../../testing/LeaderSubject'
@@ -14,7 +14,7 @@
 	return reply.explanation.steps[0].reason
 }
 
-async function oldest(subject: LeaderSubject, reason: string): Promise<number> {
+async function oldestWait(subject: LeaderSubject, reason: string): Promise<number> {
 	subject.controller.measure()
 	const line = (await subject.meter.text())
 		.split('\n')
@@ -22,22 +22,25 @@
 	return Number(line?.split(' ').at(-1))
 }
 
-function told(subject: LeaderSubject): string[] {
+function longWaitLines(subject: LeaderSubject): string[] {
 	return subject.lines.filter((line) => line.includes(`"${LeaderEvent.StepWaitsLong}"`))
 }
 
-test('a step without room is told by its reason, since when and until what, and by no line of waits that nobody keeps', async () => {
+test('a step without capacity is explained with reason, duration and end, and is not logged as a long wait', async () => {
 	const subject = new LeaderSubject()
 	subject.heartbeat('w1')
 	subject.submit(JOB, jobOf({ count: 2, ...WIDE }))
 	subject.run(8000, 'w1')
-	assert.match(reasonOf(subject), /^none of 1 open workers has room .* for 8000 ms, until runs end/)
-	assert.equal(await oldest(subject, 'room'), 8000)
-	assert.equal(await oldest(subject, 'advice'), 0)
-	assert.deepEqual(told(subject), [])
+	assert.match(
+		reasonOf(subject),
+		/^none of 1 open workers has capacity .* for 8000 ms, until runs end/
+	)
+	assert.equal(await oldestWait(subject, 'room'), 8000)
+	assert.equal(await oldestWait(subject, 'advice'), 0)
+	assert.deepEqual(longWaitLines(subject), [])
 })
 
-test('a step that waits too long with room there is told once', async () => {
+test('a step that waits too long although there is capacity is logged once', async () => {
 	const subject = new LeaderSubject({ advice: { base: 30, each: 0, valid: 2000 } })
 	subject.allowed = (worker) => worker === 'w9'
 	for (const worker of ['w1', 'w9']) subject.heartbeat(worker)
@@ -45,9 +48,12 @@
 	subject.run(9000, 'w1', 'w9')
 	subject.controller.measure()
 	subject.controller.measure()
-	const [line, ...more] = told(subject)
+	const [line, ...more] = longWaitLines(subject)
 	assert.deepEqual(more, [])
 	assert.match(line, /"step":"00000000000000aa\.0\.0".*"waiting":1,/)
-	assert.match(line, /"reason":"room for all of it is expected in .*"until":"the runs there end"/)
-	assert.ok((await oldest(subject, 'reservation')) > 5000)
+	assert.match(
+		line,
+		/"reason":"capacity for all its tasks is reserved and expected in .*"until":"the runs on that capacity end"/
+	)
+	assert.ok((await oldestWait(subject, 'reservation')) > 5000)
 })
--- a/packages/jobs/src/lib/leader/steps/StepWaitMonitor.ts
+++ b/packages/jobs/src/lib/leader/steps/StepWaitMonitor.ts
@@ -1,4 +1,7 @@
-/** Tells how long steps wait and why: a gauge of the oldest wait by reason, a line for each that lasts too long. */
+/**
+ * Reports how long steps wait and why: a gauge of the oldest wait by reason, and a log line for
+ * each long wait.
+ */
 import { Measure } from '@rillrudder/telemetry'
 import { epochOf, type LeaderContext } from '../LeaderContext'
 import { LeaderEvent } from '../LeaderEvent'
@@ -6,13 +9,22 @@
 import type { StepWork } from './StepWork'
 import { WaitReason, type WaitExplanation } from './waitReason'
 
-/** Steps whose reasons one measure looks up, those that have waited longest: each costs a look at all workers. */
+/**
+ * Most steps whose wait reasons are determined per measurement, the longest waits first: each
+ * visits all workers.
+ */
 const MAX_MEASURED_STEPS = 20
-/** Steps of which one pass tells that they are overdue: each costs a look at all workers, and the log takes as many lines in the time of a pass. */
+/**
+ * Most overdue steps that one pass logs: each visits all workers, and the log accepts about as many
+ * lines in the time of a pass.
+ */
 const MAX_OVERDUE_LOGS = 10
-/** Milliseconds after which a step that nothing but this controller keeps from beginning waits too long; a question to a policy takes up to 2 s. */
+/**
+ * Milliseconds after which a step that only this controller keeps from starting waits too long; a
+ * question to a policy takes up to 2 s.
+ */
 const LONG_WAIT_MS = 5000
-/** What only workers, callers or operators can end. */
+/** Reasons that only workers, callers or operators can end. */
 const EXTERNAL_REASONS: readonly WaitReason[] = [
 	WaitReason.Held,
 	WaitReason.Worker,
@@ -23,14 +35,14 @@
 ]
 
 /**
- * The waits of steps.
+ * Monitors the waits of steps.
  *
  * @internal
  */
 export class StepWaitMonitor {
 	/**
-	 * @param context - what the parts of the leader share.
-	 * @param explainWait - why a step waits.
+	 * @param context - state and services that the parts of the leader share.
+	 * @param explainWait - explains why a step waits.
 	 */
 	constructor(
 		private readonly context: LeaderContext,
@@ -38,11 +50,11 @@
 	) {}
 
 	/**
-	 * Measures the oldest waits, and tells once of each of them that lasts too long. Only these are looked up, once a measure: each costs a look at
-	 * all workers, and in overload hundreds of steps wait.
+	 * Updates the gauges of the oldest waits, and logs each long wait once. Only the longest waits
+	 * are looked up: each visits all workers, and in overload hundreds of steps wait.
 	 *
-	 * @param waiting - steps that could begin and have tasks without a place.
-	 * @param pass - the workers as they are now.
+	 * @param waiting - steps that could start and have unplaced tasks.
+	 * @param pass - the current workers.
 	 */
 	measure(waiting: readonly StepWork[], pass: PlacementPass): void {
 		const now = this.context.clock.now()
@@ -58,7 +70,7 @@
 		}
 	}
 
-	/** Tells once of each step that had to begin by now for its job to be in time. */
+	/** Logs once each waiting step that had to start by now for its job to be in time. */
 	logOverdueSteps(
 		steps: readonly StepWork[],
 		isWaiting: (work: StepWork) => boolean,
--- a/packages/jobs/src/lib/leader/steps/StepWork.ts
+++ b/packages/jobs/src/lib/leader/steps/StepWork.ts
@@ -1,4 +1,4 @@
-/** One step of a job at one of its repeats, while it still has tasks to begin. */
+/** A step of one repeat of a job, while it still has tasks to start. */
 import { fits, type QuotaAccount, type Resources } from '@rillrudder/scheduler'
 import type { Queue } from '../../records/Cell'
 import type { Step } from '../../records/Job'
@@ -15,13 +15,13 @@
 import { StepAdvice } from '../advice/StepAdvice'
 import { WaitTimes } from './WaitTimes'
 
-/** @returns the name that advice is asked under. @internal */
+/** @returns the name of a step in logs and in requests for advice. @internal */
 export function stepName(job: string, repeat: number, step: number): string {
 	return `${job}.${repeat}.${step}`
 }
 
 /**
- * One step with tasks to begin.
+ * A step with tasks to start.
  *
  * @internal
  */
@@ -30,38 +30,45 @@
 	readonly step: Step
 	readonly record: StepRecord
 	readonly need: Resources
-	/** The service at whose workers it runs, as it was configured when its job was accepted. */
+	/** The service whose workers run it, as configured when its job was accepted. */
 	readonly service: string
-	/** Whether it is of the highest priority at its service. */
+	/** Whether it has the highest priority at its service. */
 	readonly urgent: boolean
-	/** Whether it leaves room for what is. */
+	/** Whether it leaves capacity for urgent work. */
 	readonly yields: boolean
 	readonly advice = new StepAdvice()
-	/** What its tasks have waited for. */
+	/** How long its tasks have waited, by reason. */
 	readonly waits = new WaitTimes()
-	/** Indexes of tasks whose beginning is decided and not yet applied. */
+	/** Indexes of tasks whose start is decided and not yet applied. */
 	readonly proposedTasks = new Set<number>()
 	/** How many of its tasks are on each worker. */
 	readonly taskCountByWorker = new Map<string, number>()
-	/** Workers on which runs of its tasks failed, with their counts. */
+	/** How many runs of its tasks have failed on each worker. */
 	readonly failureCountByWorker = new Map<string, number>()
-	/** When the steps before it were done, on the leader's clock; absent while they are not. */
+	/** When the steps before it were done, on the leader's clock; undefined while they are not. */
 	readyAt: number | undefined
-	/** Whether a line has told that it waits although it had to begin. */
+	/** Whether a log line has reported that it waits past its latest start. */
 	hasLoggedOverdue = false
-	/** Whether a line has told that it waits too long. */
+	/** Whether a log line has reported that it waits too long. */
 	hasLoggedLongWait = false
-	/** Whether a line has told that its queue's policy allows none of the workers. */
+	/** Whether a log line has reported that its queue's policy allows none of the workers. */
 	hasLoggedBarred = false
-	/** Whether all its tasks have been given a worker; looked at again once one has to begin again. */
+	/** Whether all its tasks have a worker; reset when a task has to start again. */
 	isFullyPlaced = false
-	/** Whether it has not been tried since something changed that may let it begin anywhere, as an answer for advice. */
+	/**
+	 * Whether it has to be tried on all workers, since something that affects any of them, such as
+	 * new advice, changed after its last try.
+	 */
 	shouldTryAllWorkers = true
 	private currentUrgency: Urgency
 
 	/**
-	 * @param times - when it has to begin.
-	 * @param precedence - what it is to the others at its service.
+	 * @param job - its job.
+	 * @param queue - the queue of the job.
+	 * @param repeat - index of the repeat.
+	 * @param stepIndex - index of the step in the job.
+	 * @param times - when it has to start.
+	 * @param precedence - how it relates to other work at its service.
 	 * @param account - the account of its job; undefined for none.
 	 */
 	constructor(
@@ -86,12 +93,16 @@
 			if (task.worker !== '') this.adjustTaskCount(task.worker, 1)
 	}
 
-	/** What orders it among the others. */
+	/** Its sort key among other steps. */
 	get urgency(): Urgency {
 		return this.currentUrgency
 	}
 
-	/** Notes of how much use it still is, and whether its account has more than its share. @returns whether that has changed. */
+	/**
+	 * Updates how useful it still is and whether its account uses more than its share.
+	 *
+	 * @returns whether either has changed.
+	 */
 	updateUrgency(usefulness: Usefulness, overShare: boolean): boolean {
 		const { usefulness: used, overShare: over } = this.currentUrgency
 		if (usefulness === used && overShare === over) return false
@@ -99,17 +110,17 @@
 		return true
 	}
 
-	/** @returns whether it had to begin by now for its job to be in time. */
+	/** @returns whether it had to start by now for its job to be in time. */
 	isOverdue(epoch: number): boolean {
 		return !this.step.lasting && epoch > this.urgency.latestStart
 	}
 
-	/** @returns for how many milliseconds it could have begun. */
+	/** @returns for how many milliseconds it has been ready to start. */
 	getWaitTime(now: number): number {
 		return this.readyAt === undefined ? 0 : Math.max(0, now - this.readyAt)
 	}
 
-	/** Indexes of the tasks that wait to begin. */
+	/** @returns indexes of the tasks that wait to start. */
 	getWaitingTasks(): number[] {
 		const found: number[] = []
 		this.record.tasks.forEach((task, index) => {
@@ -118,19 +129,23 @@
 		return found
 	}
 
-	/** A task has come to a worker, or with -1 has gone from it. */
+	/** Counts a task that was added to a worker, or with -1 removed from it. */
 	adjustTaskCount(worker: string, by: 1 | -1): void {
 		const count = (this.taskCountByWorker.get(worker) ?? 0) + by
 		if (count <= 0) this.taskCountByWorker.delete(worker)
 		else this.taskCountByWorker.set(worker, count)
 	}
 
-	/** A run of one of its tasks has failed on a worker. */
+	/** Counts a failed run of one of its tasks on a worker. */
 	recordFailure(worker: string): void {
 		this.failureCountByWorker.set(worker, (this.failureCountByWorker.get(worker) ?? 0) + 1)
 	}
 
-	/** @returns how many of its tasks a worker may take that has so much room for them. */
+	/**
+	 * @param worker - id of the worker.
+	 * @param free - the free capacity of the worker.
+	 * @returns how many more of its tasks may run there.
+	 */
 	countFittingTasks(worker: string, room: Resources): number {
 		const allowance = this.getAllowance(worker)
 		if (allowance <= 0 || !fits(this.need, room)) return 0
@@ -138,14 +153,17 @@
 		return Math.min(allowance, Math.max(1, Math.floor(copies)))
 	}
 
-	/** @returns how many more of its tasks a worker may hold. */
+	/** @returns how many more of its tasks may run on a worker regardless of capacity. */
 	getAllowance(worker: string): number {
 		const most = this.step.mostPerWorker
 		return most === 0 ? Number.POSITIVE_INFINITY : most - (this.taskCountByWorker.get(worker) ?? 0)
 	}
 }
 
-/** @returns how many times an amount goes into another, as a fraction; bounded for an amount of nothing. */
+/**
+ * @returns how many times the needed amount fits into the free one, as a fraction; finite if
+ * nothing is needed.
+ */
 function countCopies(need: Resources, room: Resources): number {
 	const ratio = (part: number, whole: number): number =>
 		part > 0 ? whole / part : Number.MAX_SAFE_INTEGER
@@ -156,7 +174,7 @@
 	)
 }
 
-/** Steps in the order in which they are placed. @internal */
+/** Compares steps; those that are placed first go first. @internal */
 export function byUrgency(left: StepWork, right: StepWork): number {
 	return compareUrgency(left.urgency, right.urgency)
 }
--- a/packages/jobs/src/lib/leader/steps/StepWorkerOptions.ts
+++ b/packages/jobs/src/lib/leader/steps/StepWorkerOptions.ts
@@ -1,11 +1,12 @@
-/** Which open workers a step may use in a pass. */
+/** Selects the open workers that a step may use in a pass. */
 import { atLikeSpeed } from '../../speeds/speedFit'
 import type { WorkerOption } from './chooseWorkerForStep'
 import type { PlacementPass } from './PlacementPass'
 import type { StepWork } from './StepWork'
 
 /**
- * The workers of one step in one pass. Where its queue has a policy, the few that were asked about are looked up, not found among all.
+ * The workers of one step in one pass. If the queue has a policy, the few workers that it was asked
+ * about are looked up by id instead of being filtered from all.
  *
  * @internal
  */
@@ -23,13 +24,13 @@
 		this.isFilteredBySpeed = this.eligible !== open
 	}
 
-	/** Those that may run it now. */
+	/** Eligible workers that may run the step now. */
 	get ready(): readonly WorkerOption[] {
 		const { queue, advice } = this.work
 		return queue.advice ? this.findByIds(advice.holding(this.pass.now)) : this.eligible
 	}
 
-	/** Those that its queue's policy is known to allow. */
+	/** Eligible workers that the queue's policy is known to allow. */
 	get allowed(): readonly WorkerOption[] {
 		const { queue, advice } = this.work
 		return queue.advice ? this.findByIds(advice.allowed) : this.eligible
--- a/packages/jobs/src/lib/leader/steps/WaitTimes.test.ts
+++ b/packages/jobs/src/lib/leader/steps/WaitTimes.test.ts
@@ -1,10 +1,10 @@
-/** Waits by reason, with the clock moved by hand. */
+/** Waits by reason, with explicit times. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import { WaitReason } from './waitReason'
 import { WaitTimes } from './WaitTimes'
 
-test('each reason counts until the next one is noted, and again when it comes back', () => {
+test('each reason counts until the next one is set, and adds up when it is set again', () => {
 	const times = new WaitTimes()
 	times.setReason(WaitReason.Advice, 100)
 	times.setReason(WaitReason.Capacity, 150)
@@ -15,7 +15,7 @@
 	assert.equal(String(times), 'room:1000 advice:60')
 })
 
-test('a step that never waited has nothing to tell', () => {
+test('a step that never waited formats as an empty text', () => {
 	const times = new WaitTimes()
 	times.setReason(undefined, 10)
 	times.setReason(undefined, 20)
--- a/packages/jobs/src/lib/leader/steps/WaitTimes.ts
+++ b/packages/jobs/src/lib/leader/steps/WaitTimes.ts
@@ -1,8 +1,9 @@
-/** For how long a step has waited, by the reason that kept it. */
+/** Tracks how long a step has waited, by reason. */
 import type { WaitReason } from './waitReason'
 
 /**
- * The time that one step has waited, by reason. A reason counts from when it is noted to when the next one is.
+ * The time that one step has waited, by reason. A reason counts from when it is set to when the
+ * next one is.
  *
  * @internal
  */
@@ -12,8 +13,10 @@
 	private since = 0
 
 	/**
-	 * @param reason - what keeps the step from now on; undefined while nothing waits.
-	 * @param now - the moment, on the leader's clock.
+	 * Sets the current reason.
+	 *
+	 * @param reason - why the step waits from now on; undefined while none of its tasks waits.
+	 * @param now - the current time, on the leader's clock.
 	 */
 	setReason(reason: WaitReason | undefined, now: number): void {
 		if (this.reason !== undefined) {
@@ -23,12 +26,15 @@
 		this.since = now
 	}
 
-	/** @returns the milliseconds that each reason has kept it, those that lasted longest first. */
+	/** @returns the milliseconds waited for each reason, the longest first. */
 	getDurations(): [reason: WaitReason, duration: number][] {
 		return [...this.durations].sort(([, left], [, right]) => right - left)
 	}
 
-	/** The same as one text for the log, as in `room:1200 advice:85`; reasons of under a millisecond are left out. */
+	/**
+	 * Formats the durations for the log, such as `room:1200 advice:85`; those that round to 0 ms
+	 * are left out.
+	 */
 	toString(): string {
 		return this.getDurations()
 			.map(([reason, duration]) => [reason, Math.round(duration)] as const)
--- a/packages/jobs/src/lib/leader/steps/chooseRunsToPreempt.ts
+++ b/packages/jobs/src/lib/leader/steps/chooseRunsToPreempt.ts
@@ -1,35 +1,39 @@
 /**
- * Preemption: chooses runs of lower priority to stop so that tasks of the highest priority find room. Only
- * runs that go on from a checkpoint are chosen, so that little work is lost.
+ * Chooses runs of lower priority to stop so that tasks of the highest priority can start. Only runs
+ * that resume from a checkpoint are chosen, so that little work is lost.
  */
 import { plus, type Resources } from '@rillrudder/scheduler'
 import type { WorkerOption } from './chooseWorkerForStep'
 import { RunPhase, slackOf, type Run } from '../runs/Run'
 import type { StepWork } from './StepWork'
 
-/** Percent from which a run is left alone, since it ends soon by itself. */
+/** Progress in percent from which a run is not preempted, since it ends soon anyway. */
 const NEARLY_DONE_PERCENT = 85
-/** Milliseconds that a job must have in hand for one of its runs to be stopped: a stop, a wait for room, a restart. */
+/**
+ * Least slack in milliseconds of a job whose run may be preempted: time for the stop, the wait for
+ * capacity and the restart.
+ */
 const MIN_SLACK_MS = 2000
-/** Attempts up to which a run may be stopped for others, so that none is stopped again and again. */
+/** Highest attempt whose run may be preempted, so that no task is preempted over and over. */
 const MAX_PREEMPTED_ATTEMPT = 3
 /** Most runs that are stopped for one step at a time. */
 const MAX_STOPS_PER_STEP = 8
 
-/** Room that a worker has, or will have once what was told to stop there has stopped. */
+/** A worker with its free capacity, including that of runs being stopped. */
 interface PreemptionCandidate {
 	readonly option: WorkerOption
 	free: Resources
-	/** Runs that may be stopped, the smallest first. */
+	/** Runs that may be preempted, the smallest first. */
 	readonly preemptible: Run[]
 }
 
 /**
  * @param work - an urgent step.
  * @param options - workers that may run it now.
- * @param tasks - how many of its tasks found no room.
- * @param epoch - now, in milliseconds since the epoch.
- * @returns runs to stop; empty when that would not help, or room is on its way already.
+ * @param tasks - how many of its tasks could not be placed.
+ * @param epoch - the current time, in milliseconds since the epoch.
+ * @returns runs to stop; empty if stopping would not help, or if enough capacity is being freed
+ * already.
  * @internal
  */
 export function chooseRunsToPreempt(
@@ -74,7 +78,10 @@
 	return slackOf(run, epoch) >= MIN_SLACK_MS
 }
 
-/** Takes the run that makes room for one more task, or for several, at the least processor time a task. */
+/**
+ * Takes the run whose stop lets at least one more task fit at the least processor capacity per
+ * task.
+ */
 function takeCheapestRun(
 	work: StepWork,
 	candidates: readonly PreemptionCandidate[]
--- a/packages/jobs/src/lib/leader/steps/chooseWorkerForStep.ts
+++ b/packages/jobs/src/lib/leader/steps/chooseWorkerForStep.ts
@@ -4,45 +4,50 @@
 import type { WorkerView } from '../workers/WorkerView'
 import { speedScore } from '../../speeds/speedFit'
 
-/** Added for a rack other than the one with the data: such a run takes half as long again. */
+/** Added if the worker is in another rack than the data: such a run takes half as long again. */
 const FAR_PENALTY = 2
-/** Added for each sibling on the worker where a step's tasks should be apart. */
+/** Added for each sibling on the worker, where tasks of a step should be spread. */
 const SIBLING_PENALTY = 1
-/** Added where best-effort work and work with a latency target would meet. */
+/** Added where best-effort work would share a worker with work that has a latency target. */
 const INTERFERENCE_PENALTY = 3
 /**
- * Added for each run of the step that failed there: a worker that fails all it starts looks idle, and a
- * task that fails there again may have used up its attempts.
+ * Added for each run of the step that failed there: a worker that fails every run looks idle, and a
+ * task that fails there again may use up its attempts.
  */
 const FAILED_PENALTY = 6
-/** Weight of the difference between what is left of processors and of memory. */
+/** Weight of the imbalance between the processor and memory shares left free. */
 const IMBALANCE_WEIGHT = 0.5
 /**
- * Weight of the share of a worker's accelerators that is left: they are the scarcest, and tasks that need many on one
- * worker find them only where those that need few are packed together.
+ * Weight of the share of a worker's accelerators left free. Accelerators are the scarcest resource,
+ * and tasks that need many on one worker can be placed only if tasks that need few are packed
+ * together.
  */
 const ACCELERATOR_WEIGHT = 2
 
-/** A worker with its account. @internal */
+/** A worker with its ledger account. @internal */
 export interface WorkerOption {
 	readonly view: WorkerView
 	readonly account: LedgerWorker
 }
 
-/** @returns whether a worker has room for one more task of the step. @internal */
+/** @returns whether a worker has capacity for one more task of the step. @internal */
 export function hasCapacity(work: StepWork, { view, account }: WorkerOption): boolean {
 	return fits(work.need, account.free) && work.getAllowance(view.id) > 0
 }
 
-/** Tells whether a task of a step may begin on a worker beside what is kept there for others. @internal */
+/**
+ * Checks whether a task of a step may start on a worker beside what is reserved there for others.
+ *
+ * @internal
+ */
 export type CapacityCheck = (work: StepWork, option: WorkerOption) => boolean
 
 /**
  * @param work - the step.
  * @param options - workers that may run it.
- * @param isFree - whether a worker's room is not kept for a step that goes before.
- * @param epoch - now, in milliseconds since the epoch.
- * @returns the best one that has room, or undefined.
+ * @param isFree - whether capacity of a worker is not reserved for more urgent steps.
+ * @param epoch - the current time, in milliseconds since the epoch.
+ * @returns the best worker with capacity; undefined if there is none.
  * @internal
  */
 export function chooseWorkerForStep(
--- a/packages/jobs/src/lib/leader/steps/passCost.test.ts
+++ b/packages/jobs/src/lib/leader/steps/passCost.test.ts
@@ -1,4 +1,4 @@
-/** What a pass over the waiting steps looks at, in a cell that is full while many steps wait. */
+/** Bounds the work of a pass in a full cell with many waiting steps. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import type { Ledger, LedgerWorker } from '@rillrudder/scheduler'
@@ -9,18 +9,18 @@
 const WORKERS = Array.from({ length: 40 }, (_, number) => `w${number}`)
 const WAITING = 60
 const WHOLE_WORKER = { need: { cpu: 4000, memory: 512, accelerators: 0 } }
-const TICK = 20
-/** A full pass is due every fifth tick, so of a few ends one comes between two of them. */
-const MOST_ENDS = 5
-/** Looks at the room of one worker that a pass may take for itself, and for each step that it tries there. */
-const LOOKS_EACH = 4
+const TICK_MS = 20
+/** A full pass is due every fifth tick, so one of a few ends falls between two of them. */
+const ENDED_RUNS = 5
+/** Reads of free capacity allowed for each worker, and for each step tried on a worker. */
+const READS_EACH = 4
 
 function idOf(number: number): string {
 	return number.toString(16).padStart(16, '0')
 }
 
-/** Counts how often the free room of any worker is read. */
-class RoomReads {
+/** Counts how often the free capacity of any worker is read. */
+class CapacityReads {
 	count = 0
 
 	constructor(ledger: Ledger) {
@@ -39,7 +39,7 @@
 	}
 }
 
-/** A cell in which every worker is full and as many steps wait. */
+/** A cell in which every worker is full and further steps wait. */
 function fullCell(): LeaderSubject {
 	const subject = new LeaderSubject()
 	for (const id of WORKERS) subject.heartbeat(id)
@@ -49,38 +49,47 @@
 	return subject
 }
 
-/** Ends a run, and lets time pass until its room is used. @returns how often rooms were read in that tick, and whether its pass was a full one. */
-function readsOfNextStart(subject: LeaderSubject, reads: RoomReads, ended: number): number {
+/**
+ * Ends a run and advances time until another run starts in its place.
+ *
+ * @returns how often free capacity was read in the tick of that start, whose pass may have been a
+ * full one.
+ */
+function readsUntilNextStart(subject: LeaderSubject, reads: CapacityReads, ended: number): number {
 	const worker = WORKERS[ended]
 	subject.worker(worker).end(subject.worker(worker).running[0].task, 'done')
 	const before = subject.startCount
 	while (subject.startCount === before) {
 		reads.count = 0
-		subject.run(TICK)
+		subject.run(TICK_MS)
 	}
 	return reads.count
 }
 
-// Guards against a leader that spends its time on steps that can't begin: each end of a run had it look at every worker for every waiting step.
-test('where one worker comes free, waiting steps are tried there and nowhere else', () => {
+// Guards against a leader that spends its time on steps that can't start: each end of a run made it
+// check every worker for every waiting step.
+test('when one worker has free capacity, waiting steps are tried only there', () => {
 	const subject = fullCell()
-	const reads = new RoomReads(subject.ledger)
-	const counts = Array.from({ length: MOST_ENDS }, (_, ended) =>
-		readsOfNextStart(subject, reads, ended)
+	const reads = new CapacityReads(subject.ledger)
+	const counts = Array.from({ length: ENDED_RUNS }, (_, ended) =>
+		readsUntilNextStart(subject, reads, ended)
 	)
 	const least = Math.min(...counts)
-	const most = (WAITING + WORKERS.length) * LOOKS_EACH
-	assert.ok(least <= most, `${counts.join()} looks, ${most} at most`)
+	const most = (WAITING + WORKERS.length) * READS_EACH
+	assert.ok(least <= most, `${counts.join()} reads, ${most} at most`)
 })
 
 const MANY_WORKERS = 600
-const FULL_PASSES_A_SECOND = 10
-/** Looks at workers that a step may cost a full pass while it waits for its policy's answer; the questions name few. */
-const MOST_LOOKS_A_STEP = 20
+const FULL_PASSES_PER_SECOND = 10
+/**
+ * Worker lookups allowed per step and full pass while the step waits for its policy's answer; its
+ * questions name few workers.
+ */
+const MAX_LOOKUPS_PER_STEP = 20
 const SLOW_POLICY = { advice: { base: 2000, each: 0.3, valid: 10_000 } }
 
-/** Counts how often any worker is looked at: what is known of a worker is found by its id. */
-function countLooks(during: () => void): number {
+/** Counts worker lookups by reads of the worker id. */
+function countLookups(during: () => void): number {
 	const { get } = Object.getOwnPropertyDescriptor(WorkerView.prototype, 'id')!
 	let count = 0
 	const counted = function (this: WorkerView): unknown {
@@ -93,22 +102,26 @@
 	return count
 }
 
-/** @returns looks at workers in a second in which so many steps wait for an answer that does not come. */
-function looksWhileWaiting(steps: number): number {
+/**
+ * @returns worker lookups within a second in which the given number of steps waits for an answer
+ * that never comes.
+ */
+function lookupsWhileWaiting(steps: number): number {
 	const subject = new LeaderSubject(SLOW_POLICY)
 	subject.answerTakes = () => Number.POSITIVE_INFINITY
 	subject.instances = Array.from({ length: steps }, (_, number) => `instance-${number}`)
 	for (let number = 0; number < MANY_WORKERS; number++) subject.heartbeat(`w${number}`)
 	for (let number = 1; number <= steps; number++) subject.submit(idOf(number), jobOf({}))
-	// By then each of them has been told of as overdue, which costs a look at all workers once.
+	// By then each step has been logged as overdue, which visits all workers once.
 	subject.run(500)
-	return countLooks(() => subject.run(1000))
+	return countLookups(() => subject.run(1000))
 }
 
-// Guards against a leader whose work for each waiting step grows with the workers: with thousands of them it answered no call in time any more.
-test('a step that waits for the answer of its policy costs a pass no look at every worker', () => {
+// Guards against a leader whose cost per waiting step grows with the number of workers: with
+// thousands of workers it no longer answered calls in time.
+test('a step that waits for its policy does not make each pass visit every worker', () => {
 	const [few, many] = [20, 60]
-	const more = looksWhileWaiting(many) - looksWhileWaiting(few)
-	const each = more / (many - few) / FULL_PASSES_A_SECOND
-	assert.ok(each <= MOST_LOOKS_A_STEP, `${each} looks a step and pass`)
+	const more = lookupsWhileWaiting(many) - lookupsWhileWaiting(few)
+	const each = more / (many - few) / FULL_PASSES_PER_SECOND
+	assert.ok(each <= MAX_LOOKUPS_PER_STEP, `${each} lookups per step and pass`)
 })
--- a/packages/jobs/src/lib/leader/steps/placeGang.ts
+++ b/packages/jobs/src/lib/leader/steps/placeGang.ts
@@ -1,32 +1,36 @@
-/** Places all tasks of a gang or none, in one rack where that matters. */
+/** Places all tasks of a gang or none, in one rack if the step asks for it. */
 import type { Ledger } from '@rillrudder/scheduler'
 import type { WorkerOption } from './chooseWorkerForStep'
 import { tryClaim, releaseClaim } from './resourceClaim'
 import type { StepWork } from './StepWork'
 
-/** Milliseconds that a gang waits for one rack with room before it takes any workers. */
+/**
+ * Milliseconds that a gang waits for one rack with enough capacity before it accepts any workers.
+ */
 const RACK_WAIT_MS = 1500
 
-/** A task and the worker it goes to. @internal */
+/** A task and the worker that it is placed on. @internal */
 export interface PlacedTask {
 	readonly index: number
 	readonly worker: string
 }
 
-/** Chooses the worker for a task of a step, by its index; undefined for none. @internal */
+/** Chooses the worker for a task of a step, given its index; undefined for none. @internal */
 export type TaskChooser = (
 	index: number,
 	options: readonly WorkerOption[]
 ) => WorkerOption | undefined
 
 /**
- * @param work - the gang's step.
- * @param waiting - indexes of its tasks that wait; a gang begins only when all of them do.
+ * Places a gang.
+ *
+ * @param work - the step of the gang.
+ * @param waiting - indexes of its waiting tasks; a gang starts only when all of its tasks wait.
  * @param options - workers that may run it.
- * @param ledger - where room is reserved.
+ * @param ledger - where capacity is claimed.
  * @param choose - chooses the worker for a task.
- * @param now - the moment, on the leader's clock.
- * @returns where all tasks go, with their room reserved; empty when they do not fit.
+ * @param now - the current time, on the leader's clock.
+ * @returns the placed tasks, with their capacity claimed; empty when they do not all fit.
  * @internal
  */
 export function placeGang(
--- a/packages/jobs/src/lib/leader/steps/resourceClaim.ts
+++ b/packages/jobs/src/lib/leader/steps/resourceClaim.ts
@@ -1,28 +1,28 @@
-/** What a task takes: room on its worker, and a part of its account's quota. */
+/** What a task claims: capacity on its worker and part of its account's quota. */
 import type { Ledger, QuotaAccount, Resources } from '@rillrudder/scheduler'
 import { countedFor } from '../../accounts/AccountUsage'
 import type { Step } from '../../records/Job'
 import type { JobRecord } from '../../state/JobRecord'
 
-/** @returns what is reserved on its worker for a task of a step. @internal */
+/** @returns the resources that a task of a step claims on its worker. @internal */
 export function reservedResourcesOf(step: Step): Resources {
 	return step.bestEffort ? { ...step.need, cpu: 0 } : step.need
 }
 
-/** A task that takes room, with what it takes. @internal */
+/** The claim of one task. @internal */
 export interface ResourceClaim {
 	readonly step: Step
 	/** See {@link reservedResourcesOf}. */
 	readonly need: Resources
-	/** The service at whose workers it runs. */
+	/** The service whose workers run it. */
 	readonly service: string
-	/** Whether it is of the highest priority. */
+	/** Whether it has the highest priority at its service. */
 	readonly urgent: boolean
 	/** The account of its job; undefined for none. */
 	readonly account: QuotaAccount | undefined
 }
 
-/** @returns what a task of a job's step claims. @internal */
+/** @returns the claim of a task of a step of a job. @internal */
 export function claimOf(
 	{ request, queue }: JobRecord,
 	number: number,
@@ -33,7 +33,12 @@
 	return { step, need: reservedResourcesOf(step), service: queue.service, urgent, account }
 }
 
-/** @returns whether the worker had the room, which is then taken. @internal */
+/**
+ * Claims capacity and quota for a task.
+ *
+ * @returns whether the worker had enough free capacity; otherwise nothing is claimed.
+ * @internal
+ */
 export function tryClaim(
 	ledger: Ledger,
 	worker: string,
@@ -45,7 +50,7 @@
 	return true
 }
 
-/** Takes up what an earlier leader gave away. @internal */
+/** Restores the claim of a task that an earlier leader placed. @internal */
 export function restoreClaim(
 	ledger: Ledger,
 	worker: string,
@@ -56,7 +61,7 @@
 	account?.reserve(service, need)
 }
 
-/** Gives back what a task had. @internal */
+/** Releases the claim of a task. @internal */
 export function releaseClaim(
 	ledger: Ledger,
 	worker: string,
--- a/packages/jobs/src/lib/leader/steps/waitReason.ts
+++ b/packages/jobs/src/lib/leader/steps/waitReason.ts
@@ -1,63 +1,72 @@
-/** Why tasks of a step wait, and what ends that: for people, and for the measures of waits. */
+/** Explains why tasks of a step wait and what ends the wait, for people and for metrics. */
 import type { ReservedTimes } from '../../placement/Reservations'
 import { hasCapacity, type WorkerOption } from './chooseWorkerForStep'
 import type { StepWork } from './StepWork'
 
 /** Why tasks of a step wait. @public */
 export const WaitReason = {
-	/** It is not known of workers that fell silent under them whether they crashed. */
+	/**
+	 * Workers that ran the tasks became unreachable, and it is not known yet whether they crashed.
+	 */
 	Held: 'held',
 	/** No open worker may run them at all. */
 	Worker: 'worker',
 	/** The queue's policy allows none of the open workers. */
 	Barred: 'barred',
-	/** The account has as much running as it may. */
+	/** The account's quota does not allow more. */
 	Quota: 'quota',
-	/** No open worker has room for one. */
+	/** No open worker has capacity for a task. */
 	Capacity: 'room',
-	/** Room is kept until there is enough. */
+	/** Capacity is reserved until there is enough. */
 	Reservation: 'reservation',
-	/** Not all of a gang has room. */
+	/** There is not enough capacity for a whole gang. */
 	Gang: 'gang',
 	/** The policy's answer is awaited. */
 	Advice: 'advice',
-	/** The policy allows none of the workers with room. */
+	/** The policy allows none of the workers with capacity. */
 	Policy: 'policy',
-	/** The cell is behind with its starts, and those that are under way are awaited. */
+	/** The cell is behind with starts; those under way have to be confirmed first. */
 	StartWindow: 'starts',
-	/** Nothing keeps them. */
+	/** Nothing keeps them from starting. */
 	None: 'none',
 } as const
 /** One of the reasons. @public */
 export type WaitReason = (typeof WaitReason)[keyof typeof WaitReason]
 
-/** Why tasks of a step wait, in words. @internal */
+/** A wait reason with its description for people. @internal */
 export interface WaitExplanation {
 	readonly reason: WaitReason
 	readonly text: string
-	/** What ends it. */
+	/** What ends the wait. */
 	readonly until: string
 }
 
-/** What is known of a waiting step at a moment. @internal */
+/** What is known of a waiting step. @internal */
 export interface WaitContext {
 	/** Open workers of its service that have its label. */
 	readonly eligible: readonly WorkerOption[]
-	/** Those of them that have room for one of its tasks. */
+	/** Those of them with capacity for one of its tasks. */
 	readonly withCapacity: readonly WorkerOption[]
-	/** Whether all its tasks that wait are held back until it is known whether workers that they have lost crashed. */
+	/**
+	 * Whether all its waiting tasks are held back until it is known whether the workers that they
+	 * lost have crashed.
+	 */
 	readonly isHeld: boolean
-	/** Whether its account's quota has room for what it begins at a time. */
+	/** Whether its account's quota allows what the step starts at a time. */
 	readonly isWithinQuota: boolean
-	/** When room that is kept for it is expected; undefined when none is kept. */
+	/** When its reserved capacity is expected; undefined without a reservation. */
 	readonly reservation: ReservedTimes | undefined
-	/** Whether no more starts may be under way at a time. */
+	/** Whether the window of concurrent starts is full. */
 	readonly isStartWindowFull: boolean
-	/** The moment, on the leader's clock. */
+	/** The current time, on the leader's clock. */
 	readonly now: number
 }
 
-/** What a pass over the waiting steps has seen of a step, some of whose tasks found no place. @internal */
+/**
+ * The workers that a pass has considered for a step, some of whose tasks could not be placed.
+ *
+ * @internal
+ */
 export interface StepCandidates {
 	/** Open workers of its service that have its label. */
 	readonly eligible: readonly WorkerOption[]
@@ -66,7 +75,8 @@
 }
 
 /**
- * A cheaper answer than {@link explainWait}, for every step in every pass.
+ * Determines the reason only, which is cheaper than {@link explainWait}, for every step in every
+ * pass.
  *
  * @returns why tasks of a step wait that a pass has just tried to place.
  * @internal
@@ -87,7 +97,11 @@
 	return advice.asking ? WaitReason.Advice : WaitReason.Policy
 }
 
-/** @returns whether the queue's policy allows none of the workers that could run a step. @internal */
+/**
+ * @returns whether the queue's policy allows none of the workers that could run a step.
+ *
+ * @internal
+ */
 export function isBarred({ advice, queue }: StepWork, eligible: readonly WorkerOption[]): boolean {
 	if (!queue.advice || eligible.length === 0) return false
 	return eligible.every(({ view }) => advice.isUnfit(view.id))
@@ -95,28 +109,21 @@
 
 /** @returns why tasks of a step wait. @internal */
 export function explainWait(work: StepWork, context: WaitContext): WaitExplanation {
-	const {
-		eligible,
-		withCapacity: room,
-		isWithinQuota: withinQuota,
-		reservation: kept,
-		isStartWindowFull: behind,
-		now,
-		isHeld: held,
-	} = context
-	if (held) {
+	const { eligible, withCapacity, isWithinQuota, reservation, isStartWindowFull, now, isHeld } =
+		context
+	if (isHeld) {
 		return {
 			reason: WaitReason.Held,
-			text: 'workers fell silent under its tasks, and whether they crashed is awaited',
-			until: 'each of them answers, or is known to have crashed (60 s of silence)',
+			text: 'workers of its tasks became unreachable, and it is not known yet whether they crashed',
+			until: 'each of them answers, or counts as crashed (60 s without heartbeat)',
 		}
 	}
 	const open = eligible.length
 	if (open === 0) {
 		return {
 			reason: WaitReason.Worker,
-			text: 'no open worker of its service has the label that it asks for',
-			until: 'one joins, or is heard and found well again',
+			text: 'no open worker of its service has the label that it requires',
+			until: 'one joins, or becomes reachable and healthy again',
 		}
 	}
 	if (isBarred(work, eligible)) {
@@ -126,57 +133,57 @@
 			until: 'another one joins',
 		}
 	}
-	if (!withinQuota) {
+	if (!isWithinQuota) {
 		return {
 			reason: WaitReason.Quota,
-			text: `its account ${work.account?.terms.name} has as much running as its quota allows`,
+			text: `its account ${work.account?.terms.name} has no quota left for it`,
 			until: 'runs of the account end, or its quota grows',
 		}
 	}
-	if (room.length === 0) {
+	if (withCapacity.length === 0) {
 		return {
 			reason: WaitReason.Capacity,
-			text: `none of ${open} open workers has room for one task`,
-			until: 'runs end, or urgent work makes room',
+			text: `none of ${open} open workers has capacity for a task`,
+			until: 'runs end or are preempted',
 		}
 	}
-	if (kept) {
-		const wait = Math.round(Math.max(0, kept.last - now))
+	if (reservation) {
+		const wait = Math.round(Math.max(0, reservation.last - now))
 		return {
 			reason: WaitReason.Reservation,
-			text: `room for all of it is expected in ${wait} ms and kept`,
-			until: 'the runs there end',
+			text: `capacity for all its tasks is reserved and expected in ${wait} ms`,
+			until: 'the runs on that capacity end',
 		}
 	}
-	if (behind) {
+	if (isStartWindowFull) {
 		return {
 			reason: WaitReason.StartWindow,
-			text: 'the cell is behind with its starts',
-			until: 'workers confirm those that are under way',
+			text: 'the cell is behind with starts',
+			until: 'workers confirm the starts that are under way',
 		}
 	}
-	return work.queue.advice ? explainAdviceWait(work, room, now) : explainRemainingWait(work)
+	return work.queue.advice ? explainAdviceWait(work, withCapacity, now) : explainRemainingWait(work)
 }
 
 function explainAdviceWait(
 	work: StepWork,
-	room: readonly WorkerOption[],
+	withCapacity: readonly WorkerOption[],
 	now: number
 ): WaitExplanation {
 	const { advice } = work
-	if (room.some(({ view }) => advice.ticket(view.id, now) !== undefined))
+	if (withCapacity.some(({ view }) => advice.ticket(view.id, now) !== undefined))
 		return explainRemainingWait(work)
 	if (advice.asking) {
 		return {
 			reason: WaitReason.Advice,
-			text: `advice about ${room.length} workers with room is awaited`,
-			until: 'it comes, or is given up and asked for again',
+			text: `advice about ${withCapacity.length} workers with capacity is awaited`,
+			until: 'it arrives, or times out and is requested again',
 		}
 	}
 	return {
 		reason: WaitReason.Policy,
-		text: `none of ${room.length} workers with room is allowed by its queue's policy`,
-		until: 'others have room, or join',
+		text: `its queue's policy allows none of ${withCapacity.length} workers with capacity`,
+		until: 'others have capacity, or join',
 	}
 }
 
@@ -184,13 +191,13 @@
 	if (step.gang) {
 		return {
 			reason: WaitReason.Gang,
-			text: 'not all of its gang has room',
-			until: 'enough runs end at workers that may run it',
+			text: 'there is not enough capacity for its whole gang',
+			until: 'enough runs end on workers that may run it',
 		}
 	}
 	return {
 		reason: WaitReason.None,
-		text: 'it is about to begin',
+		text: 'it is about to start',
 		until: 'the next pass, within 0.1 s',
 	}
 }
