--- a/packages/jobs/src/lib/speeds/speedFit.test.ts
+++ b/packages/jobs/src/lib/speeds/speedFit.test.ts
@@ -17,8 +17,8 @@
 		step: { ...PLAIN_STEP, expectedTime: EXPECTED, ...step },
 		times,
 		urgency: { latestStart: NOW + slack },
-		waited: () => waited,
-		copiesIn: () => 2,
+		getWaitTime: () => waited,
+		countFittingTasks: () => 2,
 	} as unknown as StepWork
 }
 
