--- a/packages/jobs/src/lib/leader/steps/StepScheduler.ts
+++ b/packages/jobs/src/lib/leader/steps/StepScheduler.ts
@@ -92,8 +92,8 @@
 		const { reliability } = workers.losses
 		this.gangs = new GangPlanner(context, this.reservations, this.questions, reliability)
 		const { urgentCapacity, reservations, quarantine, gangs, openWorkers } = this
-		const parts = { urgentCapacity, reservations, quarantine, gangs, openWorkers }
-		this.placement = new StepPlacement(context, accounts, parts)
+		const dependencies = { urgentCapacity, reservations, quarantine, gangs, openWorkers }
+		this.placement = new StepPlacement(context, accounts, dependencies)
 		this.log = new StepLog(context)
 		this.waits = new StepWaitMonitor(context, (work, pass) => this.explainWaitOf(work, pass))
 		this.preemption = new Preemption(context, runs, (work, option) => this.admits(work, option))
--- a/packages/jobs/src/lib/leader/steps/StepWork.ts
+++ b/packages/jobs/src/lib/leader/steps/StepWork.ts
@@ -146,17 +146,19 @@
 	 * @param free - the free capacity of the worker.
 	 * @returns how many more of its tasks may run there.
 	 */
-	countFittingTasks(worker: string, room: Resources): number {
+	countFittingTasks(worker: string, free: Resources): number {
 		const allowance = this.getAllowance(worker)
-		if (allowance <= 0 || !fits(this.need, room)) return 0
-		const copies = countCopies(this.need, room)
+		if (allowance <= 0 || !fits(this.need, free)) return 0
+		const copies = countCopies(this.need, free)
 		return Math.min(allowance, Math.max(1, Math.floor(copies)))
 	}
 
 	/** @returns how many more of its tasks may run on a worker regardless of capacity. */
 	getAllowance(worker: string): number {
-		const most = this.step.mostPerWorker
-		return most === 0 ? Number.POSITIVE_INFINITY : most - (this.taskCountByWorker.get(worker) ?? 0)
+		const limit = this.step.mostPerWorker
+		return limit === 0
+			? Number.POSITIVE_INFINITY
+			: limit - (this.taskCountByWorker.get(worker) ?? 0)
 	}
 }
 
@@ -164,13 +166,13 @@
  * @returns how many times the needed amount fits into the free one, as a fraction; finite if
  * nothing is needed.
  */
-function countCopies(need: Resources, room: Resources): number {
+function countCopies(need: Resources, free: Resources): number {
 	const ratio = (part: number, whole: number): number =>
 		part > 0 ? whole / part : Number.MAX_SAFE_INTEGER
 	return Math.min(
-		ratio(need.cpu, room.cpu),
-		ratio(need.memory, room.memory),
-		ratio(need.accelerators, room.accelerators)
+		ratio(need.cpu, free.cpu),
+		ratio(need.memory, free.memory),
+		ratio(need.accelerators, free.accelerators)
 	)
 }
 
--- a/packages/jobs/src/lib/placement/CapacityForecast.ts
+++ b/packages/jobs/src/lib/placement/CapacityForecast.ts
@@ -53,10 +53,10 @@
 	}
 
 	/** @returns the capacity expected to be free at a time. */
-	getFreeAt(moment: number): Resources {
+	getFreeAt(time: number): Resources {
 		let freed = NOTHING
 		for (const release of this.releases) {
-			if (release.at > moment) break
+			if (release.at > time) break
 			freed = release.freed
 		}
 		return plus(this.account.free, freed)
--- a/packages/jobs/src/lib/placement/Reservations.ts
+++ b/packages/jobs/src/lib/placement/Reservations.ts
@@ -84,7 +84,7 @@
 		if (!this.expectedTimes.delete(work)) return
 		this.counts.set(work.queue.service, this.countOf(work) - 1)
 		for (const [worker, reserved] of this.byWorker) {
-			const others = reserved.filter((one) => one.work !== work)
+			const others = reserved.filter((reservation) => reservation.work !== work)
 			if (others.length > 0) this.byWorker.set(worker, others)
 			else this.byWorker.delete(worker)
 		}
@@ -143,8 +143,8 @@
 				{ work, resources: times(work.need, count), at: until },
 			])
 		}
-		const room = times(work.need, places.length)
-		this.expectedTimes.set(work, { next: work.step.gang ? last : first, last, resources: room })
+		const resources = times(work.need, places.length)
+		this.expectedTimes.set(work, { next: work.step.gang ? last : first, last, resources })
 		this.counts.set(work.queue.service, this.countOf(work) + 1)
 	}
 
@@ -159,8 +159,8 @@
 			const preceding = this.getPrecedingReservations(work, id)
 			let copies = 0
 			for (const { at, free } of this.forecastOf(option).getPoints()) {
-				const room = subtractReserved(free, preceding)
-				const more = work.countFittingTasks(id, room) - copies
+				const available = subtractReserved(free, preceding)
+				const more = work.countFittingTasks(id, available) - copies
 				for (let copy = 0; copy < more && copy < tasks; copy++) places.push({ worker: id, at })
 				copies += Math.max(0, more)
 			}
@@ -181,7 +181,9 @@
 
 	private getPrecedingReservations(work: StepWork, worker: string): Reservation[] {
 		const reserved = this.byWorker.get(worker) ?? []
-		return reserved.filter((one) => one.work !== work && byUrgency(one.work, work) < 0)
+		return reserved.filter(
+			(reservation) => reservation.work !== work && byUrgency(reservation.work, work) < 0
+		)
 	}
 }
 
@@ -195,8 +197,8 @@
 	return byWorker
 }
 
-function subtractReserved(room: Resources, reserved: readonly Reservation[]): Resources {
-	return reserved.reduce((left, one) => minus(left, one.resources), room)
+function subtractReserved(free: Resources, reserved: readonly Reservation[]): Resources {
+	return reserved.reduce((left, reservation) => minus(left, reservation.resources), free)
 }
 
 /** Whether a step's tasks would starve without a reservation. */
--- a/packages/jobs/src/lib/placement/UrgentCapacity.ts
+++ b/packages/jobs/src/lib/placement/UrgentCapacity.ts
@@ -89,9 +89,9 @@
 	 * has.
 	 */
 	private getTarget(service: string, { capacity }: ServiceUsage): number {
-		const least = capacity * MIN_SHARE
-		const most = capacity * MAX_SHARE
-		return Math.min(most, Math.max(least, this.peakOf(service) * PEAK_FACTOR))
+		const min = capacity * MIN_SHARE
+		const max = capacity * MAX_SHARE
+		return Math.min(max, Math.max(min, this.peakOf(service) * PEAK_FACTOR))
 	}
 
 	private updatePeak(service: string, amount: number): void {
