--- a/packages/jobs/src/lib/leader/steps/chooseRunsToPreempt.ts
+++ b/packages/jobs/src/lib/leader/steps/chooseRunsToPreempt.ts
@@ -46,8 +46,7 @@
 		.filter(({ view }) => work.getAllowance(view.id) > 0)
 		.map((option) => toCandidate(option, epoch))
 	let missing = tasks
-	for (const { free: free, option } of candidates)
-		missing -= work.countFittingTasks(option.view.id, free)
+	for (const { free, option } of candidates) missing -= work.countFittingTasks(option.view.id, free)
 	const chosen: Run[] = []
 	while (missing > 0 && chosen.length < MAX_STOPS_PER_STEP) {
 		const best = takeCheapestRun(work, candidates)
@@ -67,7 +66,7 @@
 		else if (isPreemptible(run, epoch)) preemptible.push(run)
 	}
 	preemptible.sort((left, right) => left.need.cpu - right.need.cpu)
-	return { option, free: free, preemptible: preemptible }
+	return { option, free, preemptible }
 }
 
 function isPreemptible(run: Run, epoch: number): boolean {
@@ -86,7 +85,7 @@
 	work: StepWork,
 	candidates: readonly PreemptionCandidate[]
 ): { run: Run; gained: number } | undefined {
-	let best: { prospect: PreemptionCandidate; run: Run; gained: number } | undefined
+	let best: { candidate: PreemptionCandidate; run: Run; gained: number } | undefined
 	for (const candidate of candidates) {
 		const { id } = candidate.option.view
 		const before = work.countFittingTasks(id, candidate.free)
@@ -94,13 +93,13 @@
 			const gained = work.countFittingTasks(id, plus(candidate.free, run.need)) - before
 			if (gained === 0) continue
 			if (!best || run.need.cpu / gained < best.run.need.cpu / best.gained) {
-				best = { prospect: candidate, run, gained }
+				best = { candidate, run, gained }
 			}
 			break
 		}
 	}
 	if (!best) return undefined
-	const { prospect: candidate, run, gained } = best
+	const { candidate, run, gained } = best
 	candidate.free = plus(candidate.free, run.need)
 	candidate.preemptible.splice(candidate.preemptible.indexOf(run), 1)
 	return { run, gained }
