--- a/packages/jobs/src/lib/gangs/GangPlanner.ts
+++ b/packages/jobs/src/lib/gangs/GangPlanner.ts
@@ -9,7 +9,7 @@
 import type { StepQuestions } from '../leader/advice/StepQuestions'
 import type { LeaderContext } from '../leader/LeaderContext'
 import { LeaderEvent } from '../leader/LeaderEvent'
-import type { Option } from '../leader/steps/chooseForStep'
+import type { WorkerOption } from '../leader/steps/chooseWorkerForStep'
 import type { StepWork } from '../leader/steps/StepWork'
 import type { Reservations } from '../placement/Reservations'
 import { TaskStatus } from '../state/JobRecord'
@@ -50,15 +50,15 @@
 	/**
 	 * Plans a gang that lacks capacity or tickets, and requests the tickets that its plan needs.
 	 */
-	plan(work: StepWork, eligible: readonly Option[], now: number): void {
+	plan(work: StepWork, eligible: readonly WorkerOption[], now: number): void {
 		const need = this.toGangNeed(work, eligible, now)
 		if (!need || hasMemberElsewhere(work, eligible)) return
 		const plan = this.planOf(work, eligible, need)
-		if (plan) this.reservations.hold(work, plan.places, plan.at)
+		if (plan) this.reservations.reservePlaces(work, plan.places, plan.at)
 		const { advice } = work
 		if (now < advice.notBefore) return
 		// A gang behind many others discovers no further workers until its turn comes.
-		if (!plan && advice.firstAnswerAt !== undefined && !this.reservations.mayKeep(work)) return
+		if (!plan && advice.firstAnswerAt !== undefined && !this.reservations.canReserve(work)) return
 		// Workers that join are discovered in parallel; the plan does not wait for them.
 		const isDue = plan && plan.workersToAsk.length > 0 && now >= plan.askAt
 		if (isDue && !advice.isRenewingAny) this.askForTickets(work, plan, now)
@@ -67,7 +67,7 @@
 	}
 
 	/** Discovers which workers may run a gang whose earlier steps are about to complete. */
-	discoverWorkers(work: StepWork, eligible: readonly Option[], now: number): void {
+	discoverWorkers(work: StepWork, eligible: readonly WorkerOption[], now: number): void {
 		if (work.advice.isAsking || now < work.advice.notBefore) return
 		const share = this.questions.allowedShareOf(work.queue.name)
 		this.questions.askAbout(work, chooseGangWorkersToAsk(work, eligible, share, false))
@@ -77,7 +77,7 @@
 	 * @returns the options of a step without those on unreliable workers; all of them if the step
 	 * is not a planned gang.
 	 */
-	withoutUnreliable(work: StepWork, options: readonly Option[], now: number): readonly Option[] {
+	withoutUnreliable(work: StepWork, options: readonly WorkerOption[], now: number): readonly WorkerOption[] {
 		if (!shouldPlanGang(work)) return options
 		return options.filter(({ view }) => !this.reliability.isUnreliable(view.id, now))
 	}
@@ -95,14 +95,14 @@
 	 */
 	private planOf(
 		work: StepWork,
-		eligible: readonly Option[],
+		eligible: readonly WorkerOption[],
 		need: GangNeed
 	): GangPlan | undefined {
 		const allowed = eligible.filter(({ view }) => work.advice.isAllowed(view.id))
-		const mayKeep = this.reservations.mayKeep(work)
+		const mayKeep = this.reservations.canReserve(work)
 		if (!mayKeep && countMembersFitting(work, allowed, freeResourcesOf) < need.members)
 			return undefined
-		return planGang(this.reservations.placesFor(work, need.members, allowed), need)
+		return planGang(this.reservations.findPlaces(work, need.members, allowed), need)
 	}
 
 	/**
@@ -111,7 +111,7 @@
 	 */
 	private workersToDiscover(
 		work: StepWork,
-		eligible: readonly Option[],
+		eligible: readonly WorkerOption[],
 		plan: GangPlan | undefined,
 		{ now, terms }: GangNeed
 	): string[] {
@@ -148,7 +148,7 @@
 
 	private toGangNeed(
 		work: StepWork,
-		eligible: readonly Option[],
+		eligible: readonly WorkerOption[],
 		now: number
 	): GangNeed | undefined {
 		const { queue, record, advice, step } = work
@@ -172,7 +172,7 @@
  * Whether a member is still placed on a worker that is not eligible. No other member starts before
  * it ends, and it is unknown how long that takes.
  */
-function hasMemberElsewhere({ record }: StepWork, eligible: readonly Option[]): boolean {
+function hasMemberElsewhere({ record }: StepWork, eligible: readonly WorkerOption[]): boolean {
 	const placed = record.tasks.filter(({ status }) => status === TaskStatus.Placed)
 	if (placed.length === 0) return false
 	const open = new Set(eligible.map(({ view }) => view.id))
--- a/packages/jobs/src/lib/gangs/chooseGangWorkersToAsk.ts
+++ b/packages/jobs/src/lib/gangs/chooseGangWorkersToAsk.ts
@@ -3,7 +3,7 @@
  * not change, so each worker is asked about once, and only as many as the gang is likely to need.
  */
 import type { Resources } from '@rillrudder/scheduler'
-import type { Option } from '../leader/steps/chooseForStep'
+import type { WorkerOption } from '../leader/steps/chooseWorkerForStep'
 import type { StepWork } from '../leader/steps/StepWork'
 
 /**
@@ -16,7 +16,7 @@
  */
 const TOTAL_SURPLUS_FACTOR = 6
 
-type Amount = (option: Option) => Resources
+type Amount = (option: WorkerOption) => Resources
 
 /**
  * @param work - the gang's step.
@@ -29,7 +29,7 @@
  */
 export function chooseGangWorkersToAsk(
 	work: StepWork,
-	eligible: readonly Option[],
+	eligible: readonly WorkerOption[],
 	share: number,
 	countsFree: boolean
 ): string[] {
@@ -57,7 +57,7 @@
  */
 function choose(
 	work: StepWork,
-	unknown: readonly Option[],
+	unknown: readonly WorkerOption[],
 	amount: Amount,
 	share: number,
 	wanted: number
@@ -65,8 +65,8 @@
 	const candidates = unknown
 		.map((option) => ({
 			id: option.view.id,
-			capacity: work.copiesIn(option.view.id, amount(option)),
-			free: work.copiesIn(option.view.id, option.account.free),
+			capacity: work.countFittingTasks(option.view.id, amount(option)),
+			free: work.countFittingTasks(option.view.id, option.account.free),
 		}))
 		.filter(({ capacity }) => capacity > 0)
 		.sort((left, right) => right.free - left.free || right.capacity - left.capacity)
@@ -83,17 +83,20 @@
 /** @returns how many members fit on the workers, given an amount of resources on each. @internal */
 export function countMembersFitting(
 	work: StepWork,
-	options: readonly Option[],
+	options: readonly WorkerOption[],
 	amount: Amount
 ): number {
-	return options.reduce((sum, option) => sum + work.copiesIn(option.view.id, amount(option)), 0)
+	return options.reduce(
+		(sum, option) => sum + work.countFittingTasks(option.view.id, amount(option)),
+		0
+	)
 }
 
 /** @returns the free resources of a worker. @internal */
-export function freeResourcesOf({ account }: Option): Resources {
+export function freeResourcesOf({ account }: WorkerOption): Resources {
 	return account.free
 }
 
-function totalResourcesOf({ account }: Option): Resources {
+function totalResourcesOf({ account }: WorkerOption): Resources {
 	return account.maxCapacity
 }
--- a/packages/jobs/src/lib/leader/JobController.ts
+++ b/packages/jobs/src/lib/leader/JobController.ts
@@ -86,8 +86,8 @@
 		this.speeds = new SpeedMonitor(context, this.workers, use)
 		this.precedence.onQueuesConfigured(state.configuration?.queues ?? [], context.clock.now())
 		this.runs = new RunController(context, this.workers, this.precedence, this.accounts, {
-			onTicketRefused: (task, worker) => this.steps.ticketRefused(task, worker),
-			onMoved: (task, worker) => this.steps.movedAway(task, worker),
+			onTicketRefused: (task, worker) => this.steps.onTicketRefused(task, worker),
+			onMoved: (task, worker) => this.steps.onRunMoved(task, worker),
 			onStarted: (delay) => this.startDelays.record(delay),
 		})
 		const { workers, runs, precedence, accounts, shares } = this
@@ -164,25 +164,25 @@
 			case 'configured':
 				return this.onConfigured(change.configuration)
 			case 'job-accepted':
-				return this.steps.accept(change.job)
+				return this.steps.addJob(change.job)
 			case 'job-ended':
 				return this.onJobEnded(change.job)
 			case 'run-begun':
-				this.steps.begun(change.task, change.worker)
+				this.steps.onRunStarted(change.task, change.worker)
 				return this.runs.onStartCommitted(change.task, change.attempt, change.worker)
 			case 'run-void':
-				this.steps.voided(change.task, change.worker)
+				this.steps.onRunVoided(change.task, change.worker)
 				return this.runs.onStartVoided(change.task, change.attempt, change.worker)
 			case 'run-ended':
 				this.runs.onEnded(change.task, change.attempt, change.worker, change.how)
-				return this.steps.ended(change.task, change.worker, change.how)
+				return this.steps.onRunEnded(change.task, change.worker, change.how)
 			case 'crash-counted':
 				return this.onCrashCounted(change)
 			case 'task-cleared':
 				return this.steps.reconsider(change.task)
 			case 'task-done':
 				this.runs.stopTask(change.task)
-				return this.steps.settled(change.task)
+				return this.steps.onTaskSettled(change.task)
 			case 'worker-joined':
 				return this.workers.onWorkerJoined(change.worker)
 			case 'worker-draining':
@@ -233,7 +233,7 @@
 		const { size: before } = window
 		const bound = shortestTarget(context.state.configuration?.queues ?? [])
 		const { startsInProgress: starts } = runs
-		window.judge(delay, bound, starts)
+		window.update(delay, bound, starts)
 		const { size } = window
 		if (size === before) return
 		const most = window.isBounded ? size : undefined
@@ -249,7 +249,7 @@
 	private restoreJob(job: JobRecord): void {
 		this.workers.restoreAbandonedRuns(job)
 		this.runs.restoreJob(job)
-		if (isActive(job)) this.steps.accept(job)
+		if (isActive(job)) this.steps.addJob(job)
 	}
 
 	private explain(id: string): CellReply {
@@ -261,7 +261,7 @@
 
 	private listAccounts(): AccountSummary[] {
 		const { state, ledger } = this.context
-		const work = { jobs: state.jobs.all(), waiting: this.steps.waitingByAccount() }
+		const work = { jobs: state.jobs.all(), waiting: this.steps.countWaitingByAccount() }
 		const refusalCountOf = (name: string): number => this.clients.refusalCountOf(name)
 		return listAccounts(this.accounts, work, refusalCountOf, ledger.total, [
 			...this.shares.capacityShares.standings(),
@@ -319,7 +319,7 @@
 		log.info(LeaderEvent.JobEnded, { job: job.id, state: job.state, took, objective })
 		meter.count(Measure.JobsEnded, { state: job.state })
 		meter.observe(Measure.JobTime, took, { state: job.state })
-		this.steps.drop(job)
+		this.steps.removeJob(job)
 		this.runs.stopJob(job)
 	}
 
--- a/packages/jobs/src/lib/leader/advice/StepQuestions.ts
+++ b/packages/jobs/src/lib/leader/advice/StepQuestions.ts
@@ -4,7 +4,7 @@
 import { rankOf } from '../../placement/StepUrgency'
 import { AdviceDispatcher } from './AdviceDispatcher'
 import { AllowedShare } from './AllowedShare'
-import type { Option } from '../steps/chooseForStep'
+import type { WorkerOption } from '../steps/chooseWorkerForStep'
 import type { LeaderShares } from '../../shares/LeaderShares'
 import type { LeaderContext } from '../LeaderContext'
 import { LeaderEvent } from '../LeaderEvent'
@@ -48,7 +48,7 @@
 	 * @param roomAt - when the capacity reserved for the next of them is expected, on the leader's
 	 * clock; undefined if none is reserved.
 	 */
-	ask(work: StepWork, eligible: readonly Option[], tasks: number, roomAt?: number): void {
+	ask(work: StepWork, eligible: readonly WorkerOption[], tasks: number, roomAt?: number): void {
 		const { advice, queue } = work
 		const now = this.context.clock.now()
 		if (!queue.advice || advice.isAsking || now < advice.notBefore) return
@@ -108,7 +108,7 @@
 		meter.count(Measure.Advice, { outcome: result.kind })
 		meter.observe(Measure.AdviceTime, now - askedAt)
 		work.advice.onSettled(asked)
-		work.hasNews = true
+		work.shouldTryAllWorkers = true
 		if (result.kind !== 'answered') {
 			if (result.kind === 'busy') work.advice.notBefore = now + timing.retryPause
 			const reason = result.kind === 'unknown' ? result.message : undefined
--- a/packages/jobs/src/lib/leader/advice/chooseWorkersToAsk.ts
+++ b/packages/jobs/src/lib/leader/advice/chooseWorkersToAsk.ts
@@ -1,7 +1,7 @@
 /** Chooses the workers to ask about: few, since each one delays the answer. */
 import type { Resources } from '@rillrudder/scheduler'
 import type { AdviceTerms } from '../../records/Cell'
-import type { Option } from '../steps/chooseForStep'
+import type { WorkerOption } from '../steps/chooseWorkerForStep'
 import type { StepWork } from '../steps/StepWork'
 
 /**
@@ -42,7 +42,7 @@
 }
 
 interface Candidate {
-	readonly option: Option
+	readonly option: WorkerOption
 	/** Number of tasks of the step that fit on the worker. */
 	readonly capacity: number
 }
@@ -63,7 +63,7 @@
  */
 export function chooseWorkersToAsk(
 	work: StepWork,
-	eligible: readonly Option[],
+	eligible: readonly WorkerOption[],
 	need: AdviceNeed
 ): string[] {
 	const { advice } = work
@@ -80,7 +80,7 @@
 	if (now.length > 0 || !need.ahead) return now
 	const covered = eligible
 		.filter(({ view }) => advice.ticketOf(view.id, need.until) !== undefined)
-		.reduce((sum, option) => sum + work.copiesIn(option.view.id, capacityOf(option)), 0)
+		.reduce((sum, option) => sum + work.countFittingTasks(option.view.id, capacityOf(option)), 0)
 	return pick(work, candidates(work, useful, capacityOf), need, covered).workers
 }
 
@@ -90,9 +90,9 @@
  */
 function usefulAmong(
 	{ advice }: StepWork,
-	options: readonly Option[],
+	options: readonly WorkerOption[],
 	{ renew, until }: AdviceNeed
-): Option[] {
+): WorkerOption[] {
 	return options.filter(({ view: { id } }) =>
 		advice.isAllowed(id) ? renew && advice.ticketOf(id, until) === undefined : !advice.isUnfit(id)
 	)
@@ -104,11 +104,11 @@
 
 function candidates(
 	work: StepWork,
-	options: readonly Option[],
-	amount: (option: Option) => Resources
+	options: readonly WorkerOption[],
+	amount: (option: WorkerOption) => Resources
 ): Candidate[] {
 	return options
-		.map((option) => ({ option, capacity: work.copiesIn(option.view.id, amount(option)) }))
+		.map((option) => ({ option, capacity: work.countFittingTasks(option.view.id, amount(option)) }))
 		.filter(({ capacity }) => capacity > 0)
 		.sort((left, right) => right.capacity - left.capacity)
 }
@@ -134,10 +134,10 @@
 	return { workers: chosen, isEnough: expected >= wanted }
 }
 
-function freeOf({ account }: Option): Resources {
+function freeOf({ account }: WorkerOption): Resources {
 	return account.free
 }
 
-function capacityOf({ account }: Option): Resources {
+function capacityOf({ account }: WorkerOption): Resources {
 	return account.maxCapacity
 }
--- a/packages/jobs/src/lib/leader/runs/RunController.ts
+++ b/packages/jobs/src/lib/leader/runs/RunController.ts
@@ -6,7 +6,7 @@
 import { shouldPlanGang } from '../../gangs/shouldPlanGang'
 import type { AccountUsage } from '../../accounts/AccountUsage'
 import type { Precedence, StepPrecedence } from '../../placement/Precedence'
-import { timesOf } from '../../placement/stepTimes'
+import { stepTimesOf } from '../../placement/stepTimes'
 import type { JobRecord, TaskRecord } from '../../state/JobRecord'
 import { tasksOf } from '../../state/JobTable'
 import { isActive, TaskStatus } from '../../state/JobRecord'
@@ -15,7 +15,7 @@
 import { LeaderEvent } from '../LeaderEvent'
 import { RunPacer } from './RunPacer'
 import type { PollResult } from '../ports'
-import { claimAgain, claimOf, unclaim } from '../steps/reservation'
+import { restoreClaim, claimOf, releaseClaim } from '../steps/resourceClaim'
 import { createRun } from './createRun'
 import { RunOrders } from './RunOrders'
 import { RunPhase, type Run } from './Run'
@@ -173,7 +173,7 @@
 		const place = this.context.state.jobs.locate(text)
 		if (!place) return undefined
 		const run = this.add(text, place.name, job, task.attempt, task.worker)
-		claimAgain(this.context.ledger, task.worker, run)
+		restoreClaim(this.context.ledger, task.worker, run)
 		run.checkpoint = task.checkpoint
 		run.isRestored = true
 		run.seenAtWork = task.seenAtWork === task.attempt
@@ -210,7 +210,7 @@
 		const decision = this.takeDecision(formatTaskName(name))
 		if (!job) return
 		const claimed = claimOf(job, name.step, decision?.urgent ?? false, this.accounts.accountOf(job))
-		unclaim(this.context.ledger, worker, claimed)
+		releaseClaim(this.context.ledger, worker, claimed)
 		const { gang, count } = claimed.step
 		if (gang) this.gangs.onStartVoided(name, attempt, count)
 	}
@@ -223,7 +223,7 @@
 		this.runs.delete(text)
 		this.unconfirmed.delete(run)
 		this.workers.find(worker)?.runs.delete(text)
-		unclaim(this.context.ledger, worker, run)
+		releaseClaim(this.context.ledger, worker, run)
 		const { health, clock, meter } = this.context
 		meter.count(Measure.RunsEnded, { how })
 		if (how === RunEnd.Done) health.onSuccess(worker)
@@ -384,7 +384,7 @@
 			attempt,
 			worker,
 			yields,
-			times: timesOf(job, name.repeat, name.step, job.queue),
+			times: stepTimesOf(job, name.repeat, name.step, job.queue),
 			ticket: decision?.ticket ?? '',
 			decidedAt: decision?.at,
 			needsTicket: job.queue.advice !== undefined,
--- a/packages/jobs/src/lib/leader/steps/StepScheduler.ts
+++ b/packages/jobs/src/lib/leader/steps/StepScheduler.ts
@@ -1,4 +1,7 @@
-/** The steps that have tasks to begin: which goes where, and what must be asked before. */
+/**
+ * Schedules the steps that have tasks to start: what is placed where, and what advice is requested
+ * before.
+ */
 import { Measure } from '@rillrudder/telemetry'
 import type { Queue } from '../../records/Cell'
 import { formatTaskName, RunEnd, type TaskName } from '../../records/Job'
@@ -14,34 +17,40 @@
 import { shouldPlanGang } from '../../gangs/shouldPlanGang'
 import type { Precedence } from '../../placement/Precedence'
 import { Reservations } from '../../placement/Reservations'
-import { timesOf } from '../../placement/stepTimes'
+import { stepTimesOf } from '../../placement/stepTimes'
 import type { LeaderShares } from '../../shares/LeaderShares'
 import { StepShares } from '../../shares/StepShares'
-import { UrgentRoom } from '../../placement/UrgentRoom'
+import { UrgentCapacity } from '../../placement/UrgentCapacity'
 import type { AccountUsage } from '../../accounts/AccountUsage'
-import { hasRoom, type Option } from './chooseForStep'
-import { DueRepeats, dueOf } from './DueRepeats'
+import { hasCapacity, type WorkerOption } from './chooseWorkerForStep'
+import { PendingRepeats, dueTimeOf } from './PendingRepeats'
 import { epochTimeOf, type LeaderContext } from '../LeaderContext'
-import type { Placed } from './placeGang'
+import type { PlacedTask } from './placeGang'
 import { Preemption } from './Preemption'
 import { Quarantine } from './Quarantine'
 import { OpenWorkerList } from './OpenWorkerList'
 import { PlacementPass } from './PlacementPass'
 import type { RunController } from '../runs/RunController'
 import { StepLog } from './StepLog'
-import { StepOptions } from './StepOptions'
+import { StepWorkerOptions } from './StepWorkerOptions'
 import type { StartWindow } from './StartWindow'
 import { StepPlacement } from './StepPlacement'
 import { StepQuestions } from '../advice/StepQuestions'
 import { byUrgency, stepName, StepWork } from './StepWork'
-import { StepWaits } from './StepWaits'
-import { isBarred, reasonIn, waitOf, WaitReason, type Wait } from './waitReason'
+import { StepWaitMonitor } from './StepWaitMonitor'
+import {
+	isBarred,
+	waitReasonInPass,
+	explainWait,
+	WaitReason,
+	type WaitExplanation,
+} from './waitReason'
 import type { WorkerRegistry } from '../workers/WorkerRegistry'
 
-const NOTHING_RELEASED: ReadonlySet<string> = new Set()
+const NO_WORKERS: ReadonlySet<string> = new Set()
 
 /**
- * The steps that have tasks to begin.
+ * Schedules the steps that have tasks to start.
  *
  * @internal
  */
@@ -50,13 +59,16 @@
 	private order: StepWork[] = []
 	private readonly questions: StepQuestions
 	private readonly log: StepLog
-	private readonly waits: StepWaits
+	private readonly waits: StepWaitMonitor
 	private readonly preemption: Preemption
-	private readonly later = new DueRepeats()
-	private stale = true
-	/** The open workers as of the latest full pass; between two, the room left to urgent work is told by these. */
-	private openAtFullPass: readonly Option[] = []
-	private readonly urgentRoom = new UrgentRoom()
+	private readonly pendingRepeats = new PendingRepeats()
+	private isOrderStale = true
+	/**
+	 * The open workers as of the latest full pass; passes in between compute the capacity left to
+	 * urgent work from them.
+	 */
+	private openAtFullPass: readonly WorkerOption[] = []
+	private readonly urgentCapacity = new UrgentCapacity()
 	private readonly reservations = new Reservations()
 	private readonly quarantine: Quarantine
 	private readonly shares: StepShares
@@ -79,222 +91,243 @@
 		this.questions = new StepQuestions(context, shares)
 		const { reliability } = workers.losses
 		this.gangs = new GangPlanner(context, this.reservations, this.questions, reliability)
-		const { urgentRoom, reservations, quarantine, gangs, openWorkers } = this
-		const parts = { urgentRoom, reservations, quarantine, gangs, openWorkers }
-		this.placement = new StepPlacement(context, accounts, parts)
+		const { urgentCapacity, reservations, quarantine, gangs, openWorkers } = this
+		const dependencies = { urgentCapacity, reservations, quarantine, gangs, openWorkers }
+		this.placement = new StepPlacement(context, accounts, dependencies)
 		this.log = new StepLog(context)
-		this.waits = new StepWaits(context, (work, pass) => this.waitOf(work, pass))
+		this.waits = new StepWaitMonitor(context, (work, pass) => this.explainWaitOf(work, pass))
 		this.preemption = new Preemption(context, runs, (work, option) => this.admits(work, option))
 	}
 
-	/** Sets the gauges of how many steps wait, by priority. */
+	/** Updates the gauges of waiting steps. */
 	measure(): void {
 		const counts = new Map<number, number>()
 		for (const work of this.steps.values()) {
 			const { priority } = work.queue
-			const waits = work.waiting().length > 0 && this.isReady(work)
-			counts.set(priority, (counts.get(priority) ?? 0) + (waits ? 1 : 0))
+			const isWaiting = work.getWaitingTasks().length > 0 && this.isReady(work)
+			counts.set(priority, (counts.get(priority) ?? 0) + (isWaiting ? 1 : 0))
 		}
 		for (const [priority, count] of counts) {
 			this.context.meter.gauge(Measure.StepsWaiting, count, { priority: String(priority) })
 		}
-		this.waits.measure(this.waiting(), this.lookAround())
+		this.waits.measure(this.getWaitingSteps(), this.createInspectionPass())
 	}
 
-	/** The steps that could begin and have tasks without a place. */
-	private waiting(): StepWork[] {
+	/** The steps that could start and have unplaced tasks. */
+	private getWaitingSteps(): StepWork[] {
 		return [...this.steps.values()].filter((work) => this.isWaiting(work))
 	}
 
 	private isWaiting(work: StepWork): boolean {
-		return work.readyAt !== undefined && this.isReady(work) && work.waiting().length > 0
+		return work.readyAt !== undefined && this.isReady(work) && work.getWaitingTasks().length > 0
 	}
 
-	/** @returns how many steps of each account have tasks that could begin and have no place. */
-	waitingByAccount(): ReadonlyMap<string, number> {
+	/** @returns for each account how many of its steps could start and have unplaced tasks. */
+	countWaitingByAccount(): ReadonlyMap<string, number> {
 		const counts = new Map<string, number>()
 		for (const work of this.steps.values()) {
 			const name = work.account?.terms.name
-			if (name === undefined || work.waiting().length === 0 || !this.isReady(work)) continue
+			if (name === undefined || work.getWaitingTasks().length === 0 || !this.isReady(work)) continue
 			counts.set(name, (counts.get(name) ?? 0) + 1)
 		}
 		return counts
 	}
 
-	/** @returns why tasks of a step wait, since when and until what, for people. */
-	whyWaiting(name: string): string {
+	/**
+	 * @returns a text for people: why tasks of a step wait, for how long, and what ends the wait.
+	 */
+	explainWaitByName(name: string): string {
 		const work = this.steps.get(name)
 		if (!work) return 'it is not due yet'
-		const { text, until } = this.waitOf(work, this.lookAround())
-		const waited = Math.round(work.waited(this.context.clock.now()))
+		const { text, until } = this.explainWaitOf(work, this.createInspectionPass())
+		const waited = Math.round(work.getWaitTime(this.context.clock.now()))
 		return `${text}; for ${waited} ms, until ${until}`
 	}
 
-	private waitOf(work: StepWork, pass: PlacementPass): Wait {
-		const eligible = pass.eligible(work)
-		const room = eligible.filter((option) => this.admits(work, option))
-		const kept = this.reservations.expectedAt(work)
-		const withinQuota = this.accounts.canStart(work.account, work.step)
-		const held = this.quarantine.mayBegin(work).length === 0
-		const behind = !this.startWindow.admits(this.boundedStarts)
+	private explainWaitOf(work: StepWork, pass: PlacementPass): WaitExplanation {
+		const eligible = pass.getEligible(work)
+		const withCapacity = eligible.filter((option) => this.admits(work, option))
+		const reservation = this.reservations.getExpectedTimes(work)
+		const isWithinQuota = this.accounts.canStart(work.account, work.step)
+		const isHeld = this.quarantine.getStartableTasks(work).length === 0
+		const isStartWindowFull = !this.startWindow.admits(this.countedStarts)
 		const now = this.context.clock.now()
-		return waitOf(work, { eligible, room, held, withinQuota, kept, behind, now })
+		return explainWait(work, {
+			eligible,
+			withCapacity,
+			isHeld,
+			isWithinQuota,
+			reservation,
+			isStartWindowFull,
+			now,
+		})
 	}
 
-	/** Takes up a job: all its repeats that are due. */
-	accept(job: JobRecord): void {
+	/** Adds a job: opens the repeats that are due and keeps the others until they are. */
+	addJob(job: JobRecord): void {
 		this.precedence.recordQueue(job.queue, this.context.clock.now())
 		job.repeats.forEach((_, number) => {
-			if (dueOf(job, number) > epochTimeOf(this.context)) this.later.add(job, number)
+			if (dueTimeOf(job, number) > epochTimeOf(this.context)) this.pendingRepeats.add(job, number)
 			else this.openReady(job, number)
 		})
 	}
 
-	/** Drops a job that has ended. */
-	drop(job: JobRecord): void {
+	/** Removes a job that has ended. */
+	removeJob(job: JobRecord): void {
 		for (const work of this.steps.values()) if (work.job === job) this.close(work)
-		this.later.drop(job)
-		this.stale = true
+		this.pendingRepeats.drop(job)
+		this.isOrderStale = true
 	}
 
-	/** A run has begun. */
-	begun(task: TaskName, worker: string): void {
-		this.steps.get(nameOf(task))?.decided.delete(task.index)
-		this.quarantine.begun(formatTaskName(task), worker, this.context.clock.now())
+	/** Handles the start of a run. */
+	onRunStarted(task: TaskName, worker: string): void {
+		this.steps.get(stepNameOf(task))?.proposedTasks.delete(task.index)
+		this.quarantine.onRunStarted(formatTaskName(task), worker, this.context.clock.now())
 	}
 
-	/** A run that was decided will not begin. */
-	voided(task: TaskName, worker: string): void {
-		this.quarantine.ended(formatTaskName(task), worker)
-		const work = this.steps.get(nameOf(task))
+	/** Handles a run whose start was decided but will not happen. */
+	onRunVoided(task: TaskName, worker: string): void {
+		this.quarantine.onRunEnded(formatTaskName(task), worker)
+		const work = this.steps.get(stepNameOf(task))
 		if (!work) return
-		work.decided.delete(task.index)
-		work.allPlaced = false
-		work.count(worker, -1)
+		work.proposedTasks.delete(task.index)
+		work.isFullyPlaced = false
+		work.adjustTaskCount(worker, -1)
 	}
 
-	/** A run has ended: its task may have to begin again, or later steps may begin. */
-	ended(task: TaskName, worker: string, how: RunEnd): void {
-		this.quarantine.ended(formatTaskName(task), worker)
-		const work = this.steps.get(nameOf(task))
-		work?.count(worker, -1)
-		if (how === RunEnd.Failed) work?.failed(worker)
-		this.settled(task)
+	/** Handles the end of a run: its task may have to start again, or later steps may start. */
+	onRunEnded(task: TaskName, worker: string, how: RunEnd): void {
+		this.quarantine.onRunEnded(formatTaskName(task), worker)
+		const work = this.steps.get(stepNameOf(task))
+		work?.adjustTaskCount(worker, -1)
+		if (how === RunEnd.Failed) work?.recordFailure(worker)
+		this.onTaskSettled(task)
 	}
 
-	/** A task has no run any more: it is done, or has to begin again. */
-	settled(task: TaskName): void {
+	/** Handles a task that has no run any more: it is done or has to start again. */
+	onTaskSettled(task: TaskName): void {
 		const job = this.context.state.jobs.find(task.job)
 		if (!job || !isActive(job)) return
 		const record = job.repeats[task.repeat][task.step]
 		if (isStepDone(record)) {
-			const work = this.steps.get(nameOf(task))
+			const work = this.steps.get(stepNameOf(task))
 			if (work) this.close(work)
-			this.stale = true
+			this.isOrderStale = true
 			this.openReady(job, task.repeat)
 		} else {
-			const again = record.tasks[task.index].status === TaskStatus.Waiting
-			if (again) this.reopen(job, task)
-			else if (record.done === 1) this.askAhead(job, task.repeat, task.step)
+			const mustStartAgain = record.tasks[task.index].status === TaskStatus.Waiting
+			if (mustStartAgain) this.reopen(job, task)
+			else if (record.done === 1) this.requestAdviceAhead(job, task.repeat, task.step)
 		}
 	}
 
-	/** Opens steps of a job, and tries those again, that have tasks to begin and that no change has told of. */
+	/**
+	 * Opens or reopens steps of a job that have tasks to start but that no event has reported.
+	 *
+	 * @returns the names of these steps.
+	 */
 	reconcile(job: JobRecord): readonly string[] {
 		if (!isActive(job)) return []
 		const missed: string[] = []
 		job.repeats.forEach((steps, repeat) => {
-			if (dueOf(job, repeat) > epochTimeOf(this.context)) return
+			if (dueTimeOf(job, repeat) > epochTimeOf(this.context)) return
 			steps.forEach(({ tasks }, step) => {
-				const waits = tasks.some(({ status }) => status === TaskStatus.Waiting)
-				if (!waits || !isStepReady(job, repeat, step)) return
-				if (this.isMissed(job, repeat, step)) missed.push(stepName(job.id, repeat, step))
+				const isWaiting = tasks.some(({ status }) => status === TaskStatus.Waiting)
+				if (!isWaiting || !isStepReady(job, repeat, step)) return
+				if (this.reopenIfMissed(job, repeat, step)) missed.push(stepName(job.id, repeat, step))
 			})
 		})
 		return missed
 	}
 
-	private isMissed(job: JobRecord, repeat: number, step: number): boolean {
+	private reopenIfMissed(job: JobRecord, repeat: number, step: number): boolean {
 		const known = this.steps.get(stepName(job.id, repeat, step))
 		const work = known ?? this.open(job, repeat, step)
-		const passedOver = work.allPlaced && work.waiting().length > 0
-		if (passedOver) work.allPlaced = false
-		return !known || passedOver
+		const wasOverlooked = work.isFullyPlaced && work.getWaitingTasks().length > 0
+		if (wasOverlooked) work.isFullyPlaced = false
+		return !known || wasOverlooked
 	}
 
-	/** A task that could not begin may do so now. */
+	/** Tries a task again that could not start before. */
 	reconsider(task: TaskName): void {
-		const work = this.steps.get(nameOf(task))
+		const work = this.steps.get(stepNameOf(task))
 		if (!work) return
-		work.hasNews = true
-		work.allPlaced = false
+		work.shouldTryAllWorkers = true
+		work.isFullyPlaced = false
 	}
 
-	/** A task has to begin again. */
+	/** Reopens the step of a task that has to start again. */
 	private reopen(job: JobRecord, task: TaskName): void {
 		const work = this.open(job, task.repeat, task.step)
-		work.hasNews = true
-		work.allPlaced = false
+		work.shouldTryAllWorkers = true
+		work.isFullyPlaced = false
 	}
 
-	/** A ticket does not hold. */
-	ticketRefused(task: TaskName, worker: string): void {
-		this.steps.get(nameOf(task))?.advice.onTicketRefused(worker)
+	/** Handles a ticket that a worker has refused. */
+	onTicketRefused(task: TaskName, worker: string): void {
+		this.steps.get(stepNameOf(task))?.advice.onTicketRefused(worker)
 	}
 
-	/** A run was moved away from a worker on which it stood still: another one is taken, if there is one. */
-	movedAway(task: TaskName, worker: string): void {
-		this.steps.get(nameOf(task))?.failed(worker)
+	/**
+	 * Handles a run that was moved because it stalled: the step prefers other workers from now on.
+	 */
+	onRunMoved(task: TaskName, worker: string): void {
+		this.steps.get(stepNameOf(task))?.recordFailure(worker)
 	}
 
 	/** Opens repeats that have become due. */
 	tick(now: number): void {
 		this.questions.tick(now)
-		for (const { job, repeat } of this.later.take(epochTimeOf(this.context)))
+		for (const { job, repeat } of this.pendingRepeats.takeDue(epochTimeOf(this.context)))
 			this.openReady(job, repeat)
 	}
 
 	/**
-	 * Begins what can begin now.
+	 * Starts the tasks that can start now.
 	 *
-	 * @param now - the moment, on the leader's clock.
-	 * @param full - whether steps that found no room are tried although nothing has come free.
+	 * @param now - the current time, on the leader's clock.
+	 * @param full - whether unplaced steps are tried although no capacity was released.
 	 */
 	place(now: number, full: boolean): void {
-		const underWay = this.boundedStarts
-		// What comes free meanwhile is kept for the next pass.
-		if (!full && !this.startWindow.admits(underWay)) return
-		if (this.stale) this.sort()
-		if (full && this.noteClaims(now)) this.sort()
-		if (full) this.openWorkers.renew()
+		const startsUnderWay = this.countedStarts
+		// Capacity that is released meanwhile stays recorded for the next pass.
+		if (!full && !this.startWindow.admits(startsUnderWay)) return
+		if (this.isOrderStale) this.sort()
+		if (full && this.updateShares(now)) this.sort()
+		if (full) this.openWorkers.invalidate()
 		const released = this.context.ledger.takeReleased()
-		const due = this.order.filter((work) => !work.allPlaced && this.isReady(work))
+		const due = this.order.filter((work) => !work.isFullyPlaced && this.isReady(work))
 		const pass = new PlacementPass(now, full, this.openWorkers, released)
-		if (full) this.waits.tell(this.order, (work) => this.isWaiting(work), pass)
-		const tried = due.filter((work) => pass.tries(work))
+		if (full) this.waits.logOverdueSteps(this.order, (work) => this.isWaiting(work), pass)
+		const tried = due.filter((work) => pass.shouldTry(work))
 		if (tried.length === 0) return
 		if (full) this.openAtFullPass = pass.open
-		this.urgentRoom.beginPass(this.openAtFullPass, now)
+		this.urgentCapacity.beginPass(this.openAtFullPass, now)
 		this.reservations.beginPass(now, full)
-		const before = this.runs.decidedStarts
+		const decidedBefore = this.runs.decidedStarts
 		for (const work of this.shares.orderForPass(tried)) {
-			if (this.startWindow.admits(underWay + this.runs.decidedStarts - before))
+			if (this.startWindow.admits(startsUnderWay + this.runs.decidedStarts - decidedBefore))
 				this.placeStep(work, pass)
-			else putOff(work, pass)
+			else deferStep(work, pass)
 		}
 	}
 
-	/** How many starts are under way; they are counted only where there is a bound. */
-	private get boundedStarts(): number {
+	/** How many starts are under way; counted only while the window limits them. */
+	private get countedStarts(): number {
 		return this.startWindow.isBounded ? this.runs.startsInProgress : 0
 	}
 
-	private isReady({ job, repeat, number }: StepWork): boolean {
+	private isReady({ job, repeat, stepIndex: number }: StepWork): boolean {
 		return isStepReady(job, repeat, number)
 	}
 
-	/** What can't be in time any more, or is of an account over its share, lets others go first. */
-	private noteClaims(now: number): boolean {
+	/**
+	 * Updates usefulness and account shares: steps that are late or belong to an account over its
+	 * share go after others.
+	 *
+	 * @returns whether the order has changed.
+	 */
+	private updateShares(now: number): boolean {
 		const { order: steps, reservations } = this
 		const waits = (work: StepWork): boolean => this.isWaiting(work)
 		return this.shares.update(
@@ -305,12 +338,12 @@
 
 	private sort(): void {
 		this.order = [...this.steps.values()].sort(byUrgency)
-		this.stale = false
+		this.isOrderStale = false
 	}
 
 	private close(work: StepWork): void {
 		this.steps.delete(work.name)
-		this.log.closed(work)
+		this.log.recordClosed(work)
 		this.reservations.drop(work)
 	}
 
@@ -326,7 +359,7 @@
 		const known = this.steps.get(name)
 		if (known) return known
 		const queue = this.queueOf(job)
-		const times = timesOf(job, repeat, step, queue)
+		const times = stepTimesOf(job, repeat, step, queue)
 		const now = this.context.clock.now()
 		const standing = this.precedence.precedenceOf(
 			queue,
@@ -337,129 +370,149 @@
 		const account = this.accounts.accountOf(job)
 		const work = new StepWork(job, queue, repeat, step, times, standing, account)
 		this.steps.set(name, work)
-		this.stale = true
+		this.isOrderStale = true
 		this.shares.onStepAdded(work)
 		return work
 	}
 
-	/** The queue as it is configured now; a removed queue's jobs go on as they were accepted. */
+	/**
+	 * The queue as currently configured; jobs of a removed queue keep the configuration that they
+	 * were accepted with.
+	 */
 	private queueOf(job: JobRecord): Queue {
 		const { configuration } = this.context.state
 		return configuration?.queues.find((queue) => queue.name === job.queue.name) ?? job.queue
 	}
 
-	/** The first task of a step is done, so the others soon will be: asks for the steps after it. */
-	private askAhead(job: JobRecord, repeat: number, step: number): void {
+	/**
+	 * Requests advice for the steps after a step whose first task is done, since its other tasks
+	 * will soon be done too.
+	 */
+	private requestAdviceAhead(job: JobRecord, repeat: number, step: number): void {
 		if (!this.queueOf(job).advice) return
-		job.request.steps.forEach((later, number) => {
-			if (!later.dependsOn.includes(step)) return
+		job.request.steps.forEach((laterStep, number) => {
+			if (!laterStep.dependsOn.includes(step)) return
 			const work = this.open(job, repeat, number)
-			const eligible = this.lookAround().eligible(work)
+			const eligible = this.createInspectionPass().getEligible(work)
 			if (shouldPlanGang(work)) this.gangs.discoverWorkers(work, eligible, this.context.clock.now())
 			else this.questions.ask(work, eligible, work.step.count)
 		})
 	}
 
-	/** The workers as they are outside of any pass. */
-	private lookAround(): PlacementPass {
-		return new PlacementPass(this.context.clock.now(), false, this.openWorkers, NOTHING_RELEASED)
+	/** Creates a pass for looking at the current workers outside of placement. */
+	private createInspectionPass(): PlacementPass {
+		return new PlacementPass(this.context.clock.now(), false, this.openWorkers, NO_WORKERS)
 	}
 
-	/** Whether a worker has room for one more task of a step, and that leaves room to urgent work. */
-	private admits(work: StepWork, option: Option): boolean {
-		return hasRoom(work, option) && this.urgentRoom.allows(work)
+	/**
+	 * Whether a worker has capacity for one more task of a step and enough is left for urgent work.
+	 */
+	private admits(work: StepWork, option: WorkerOption): boolean {
+		return hasCapacity(work, option) && this.urgentCapacity.allows(work)
 	}
 
 	private placeStep(work: StepWork, pass: PlacementPass): void {
-		const { now, full } = pass
+		const { now, isFull: full } = pass
 		work.readyAt ??= now
-		const waiting = this.quarantine.mayBegin(work)
-		work.allPlaced = waiting.length === 0
-		if (work.allPlaced) {
-			const isHeld = work.waiting().length > 0
-			return work.waits.note(isHeld ? WaitReason.Held : undefined, now)
+		const waiting = this.quarantine.getStartableTasks(work)
+		work.isFullyPlaced = waiting.length === 0
+		if (work.isFullyPlaced) {
+			const isHeld = work.getWaitingTasks().length > 0
+			return work.waits.setReason(isHeld ? WaitReason.Held : undefined, now)
 		}
 		if (!this.accounts.canStart(work.account, work.step)) {
-			work.waits.note(WaitReason.Quota, now)
+			work.waits.setReason(WaitReason.Quota, now)
 			return this.reservations.drop(work)
 		}
-		if (pass.isNarrowFor(work)) return this.placeOnFreed(work, waiting, pass)
-		work.hasNews = false
-		const workers = new StepOptions(work, pass)
+		if (pass.isLimitedToFreed(work)) return this.placeOnFreed(work, waiting, pass)
+		work.shouldTryAllWorkers = false
+		const workers = new StepWorkerOptions(work, pass)
 		const { eligible, ready: options } = workers
-		if (!work.toldBarred && isBarred(work, eligible)) this.log.barred(work, eligible.length)
+		if (!work.hasLoggedBarred && isBarred(work, eligible)) this.log.logBarred(work, eligible.length)
 		const left = this.placeAmong(work, waiting, options, now)
 		if (left === 0) return
-		if (full) work.waits.note(reasonIn(work, { eligible, options }), now)
+		if (full) work.waits.setReason(waitReasonInPass(work, { eligible, options }), now)
 		if (shouldPlanGang(work)) return full ? this.gangs.plan(work, eligible, now) : undefined
-		if (full && this.reservations.mayKeep(work)) this.reservations.keep(work, left, workers.allowed)
-		const room = this.reservations.expectedAt(work)
-		if (work.queue.advice) this.questions.ask(work, eligible, left, room?.next)
+		if (full && this.reservations.canReserve(work))
+			this.reservations.reserveIfNeeded(work, left, workers.allowed)
+		const reserved = this.reservations.getExpectedTimes(work)
+		if (work.queue.advice) this.questions.ask(work, eligible, left, reserved?.next)
 		if (work.urgent && !work.step.gang) {
-			this.preemption.makeRoom(work, { eligible, options, tasks: left, roomAt: room?.last }, now)
+			this.preemption.preemptFor(
+				work,
+				{ eligible, options, tasks: left, capacityAt: reserved?.last },
+				now
+			)
 		}
 	}
 
-	/** Places what finds a place where something has come free, and asks about that where nothing is known of it. */
+	/**
+	 * Places tasks on workers where capacity was released, and requests advice if nothing is known
+	 * about some of these workers.
+	 */
 	private placeOnFreed(work: StepWork, waiting: readonly number[], pass: PlacementPass): void {
-		const freed = pass.freedFor(work)
+		const freed = pass.getFreedFor(work)
 		if (freed.length === 0) return
-		const options = this.readyAmong(work, freed, pass.now)
+		const options = this.filterReady(work, freed, pass.now)
 		const left = this.placeAmong(work, waiting, options, pass.now)
 		if (left === 0 || options.length === freed.length || work.advice.isAsking) return
-		const room = this.reservations.expectedAt(work)
-		this.questions.ask(work, pass.eligible(work), left, room?.next)
+		const reserved = this.reservations.getExpectedTimes(work)
+		this.questions.ask(work, pass.getEligible(work), left, reserved?.next)
 	}
 
-	/** @returns how many tasks are left that found no place. */
+	/** @returns how many tasks could not be placed. */
 	private placeAmong(
 		work: StepWork,
 		waiting: readonly number[],
-		options: readonly Option[],
+		options: readonly WorkerOption[],
 		now: number
 	): number {
 		const placed = this.placement.place(work, waiting, options, now)
 		const left = waiting.length - placed.length
-		work.allPlaced = left === 0
-		if (placed.length > 0) this.begin(work, placed, now)
+		work.isFullyPlaced = left === 0
+		if (placed.length > 0) this.startTasks(work, placed, now)
 		if (left > 0) return left
-		work.waits.note(undefined, now)
+		work.waits.setReason(undefined, now)
 		this.reservations.drop(work)
 		return 0
 	}
 
-	/** Of workers where something has come free those that may run the step now. */
-	private readyAmong(work: StepWork, freed: readonly Option[], now: number): readonly Option[] {
+	/** Of workers where capacity was released, those that may run the step now. */
+	private filterReady(
+		work: StepWork,
+		freed: readonly WorkerOption[],
+		now: number
+	): readonly WorkerOption[] {
 		if (!work.queue.advice) return freed
 		return freed.filter(({ view }) => work.advice.ticketOf(view.id, now) !== undefined)
 	}
 
-	private begin(work: StepWork, placed: readonly Placed[], now: number): void {
-		const { job, repeat, number: step, step: request, record } = work
+	private startTasks(work: StepWork, placed: readonly PlacedTask[], now: number): void {
+		const { job, repeat, stepIndex: step, step: request, record } = work
 		const gangAttempt = 1 + Math.max(0, ...record.tasks.map((task) => task.attempt))
 		const runs = placed.map(({ index, worker }) => {
 			const task = formatTaskName({ job: job.id, repeat, step, index })
 			const attempt = request.gang ? gangAttempt : record.tasks[index].attempt + 1
-			work.decided.add(index)
+			work.proposedTasks.add(index)
 			const isolated = this.quarantine.suspicionOf(work, index) === Suspicion.Isolated
-			if (isolated) this.quarantine.decided(task, job.id, worker)
+			if (isolated) this.quarantine.onStartDecided(task, job.id, worker)
 			const ticket = work.advice.ticketOf(worker, now) ?? ''
 			const { urgent, yields } = work
 			this.runs.onDecided(task, { worker, ticket, urgent, yields, at: now })
 			return { task, attempt, worker }
 		})
-		this.log.placed(work, placed, now)
+		this.log.logPlaced(work, placed, now)
 		const whole = request.gang ? true : undefined
 		this.context.proposals.propose({ kind: 'begin', runs, whole })
 	}
 }
 
-/** A step waits until starts that are under way are confirmed. */
-function putOff(work: StepWork, { now, full }: PlacementPass): void {
+/** Leaves a step waiting until starts that are under way are confirmed. */
+function deferStep(work: StepWork, { now, isFull: full }: PlacementPass): void {
 	work.readyAt ??= now
-	if (full) work.waits.note(WaitReason.Starts, now)
+	if (full) work.waits.setReason(WaitReason.StartWindow, now)
 }
 
-function nameOf(task: TaskName): string {
+function stepNameOf(task: TaskName): string {
 	return stepName(task.job, task.repeat, task.step)
 }
--- a/packages/jobs/src/lib/leader/steps/chooseForStep.ts
+++ b/packages/jobs/src/lib/leader/steps/chooseWorkerForStep.ts
@@ -4,57 +4,62 @@
 import type { WorkerView } from '../workers/WorkerView'
 import { speedScoreOf } from '../../speeds/speedFit'
 
-/** Added for a rack other than the one with the data: such a run takes half as long again. */
+/** Added if the worker is in another rack than the data: such a run takes half as long again. */
 const FAR_PENALTY = 2
-/** Added for each sibling on the worker where a step's tasks should be apart. */
+/** Added for each sibling on the worker, where tasks of a step should be spread. */
 const SIBLING_PENALTY = 1
-/** Added where best-effort work and work with a latency target would meet. */
+/** Added where best-effort work would share a worker with work that has a latency target. */
 const INTERFERENCE_PENALTY = 3
 /**
- * Added for each run of the step that failed there: a worker that fails all it starts looks idle, and a
- * task that fails there again may have used up its attempts.
+ * Added for each run of the step that failed there: a worker that fails every run looks idle, and a
+ * task that fails there again may use up its attempts.
  */
 const FAILED_PENALTY = 6
-/** Weight of the difference between what is left of processors and of memory. */
+/** Weight of the imbalance between the processor and memory shares left free. */
 const IMBALANCE_WEIGHT = 0.5
 /**
- * Weight of the share of a worker's accelerators that is left: they are the scarcest, and tasks that need many on one
- * worker find them only where those that need few are packed together.
+ * Weight of the share of a worker's accelerators left free. Accelerators are the scarcest resource,
+ * and tasks that need many on one worker can be placed only if tasks that need few are packed
+ * together.
  */
 const ACCELERATOR_WEIGHT = 2
 
-/** A worker with its account. @internal */
-export interface Option {
+/** A worker with its ledger account. @internal */
+export interface WorkerOption {
 	readonly view: WorkerView
 	readonly account: LedgerWorker
 }
 
-/** @returns whether a worker has room for one more task of the step. @internal */
-export function hasRoom(work: StepWork, { view, account }: Option): boolean {
-	return fits(work.need, account.free) && work.allowance(view.id) > 0
+/** @returns whether a worker has capacity for one more task of the step. @internal */
+export function hasCapacity(work: StepWork, { view, account }: WorkerOption): boolean {
+	return fits(work.need, account.free) && work.getAllowance(view.id) > 0
 }
 
-/** Tells whether a task of a step may begin on a worker beside what is kept there for others. @internal */
-export type RoomCheck = (work: StepWork, option: Option) => boolean
+/**
+ * Checks whether a task of a step may start on a worker beside what is reserved there for others.
+ *
+ * @internal
+ */
+export type CapacityCheck = (work: StepWork, option: WorkerOption) => boolean
 
 /**
  * @param work - the step.
  * @param options - workers that may run it.
- * @param isFree - whether a worker's room is not kept for a step that goes before.
- * @param epoch - now, in milliseconds since the epoch.
- * @returns the best one that has room, or undefined.
+ * @param isFree - whether capacity of a worker is not reserved for more urgent steps.
+ * @param epoch - the current time, in milliseconds since the epoch.
+ * @returns the best worker with capacity; undefined if there is none.
  * @internal
  */
-export function chooseForStep(
+export function chooseWorkerForStep(
 	work: StepWork,
-	options: readonly Option[],
-	isFree: RoomCheck,
+	options: readonly WorkerOption[],
+	isFree: CapacityCheck,
 	epoch: number
-): Option | undefined {
-	let best: Option | undefined
+): WorkerOption | undefined {
+	let best: WorkerOption | undefined
 	let bestScore = Number.POSITIVE_INFINITY
 	for (const option of options) {
-		if (!hasRoom(work, option)) continue
+		if (!hasCapacity(work, option)) continue
 		const value = score(work, option) + speedScoreOf(work, option.view.speed, epoch)
 		if (value >= bestScore || !isFree(work, option)) continue
 		bestScore = value
@@ -63,7 +68,7 @@
 	return best
 }
 
-function score(work: StepWork, { view, account }: Option): number {
+function score(work: StepWork, { view, account }: WorkerOption): number {
 	const { step, need } = work
 	const { free, capacity } = account
 	const cpu = (free.cpu - need.cpu) / Math.max(1, capacity.cpu)
@@ -72,8 +77,8 @@
 	const accelerators = free.accelerators - need.accelerators
 	value += (accelerators / Math.max(1, capacity.accelerators)) * ACCELERATOR_WEIGHT
 	if (step.rack !== '' && step.rack !== account.rack) value += FAR_PENALTY
-	if (step.lasting) value += (work.onWorker.get(view.id) ?? 0) * SIBLING_PENALTY
-	value += (work.failedOn.get(view.id) ?? 0) * FAILED_PENALTY
+	if (step.lasting) value += (work.taskCountByWorker.get(view.id) ?? 0) * SIBLING_PENALTY
+	value += (work.failureCountByWorker.get(view.id) ?? 0) * FAILED_PENALTY
 	if (interferes(work, view)) value += INTERFERENCE_PENALTY
 	return value
 }
--- a/packages/jobs/src/lib/leader/steps/reservation.ts
+++ b/packages/jobs/src/lib/leader/steps/resourceClaim.ts
@@ -1,43 +1,48 @@
-/** What a task takes: room on its worker, and a part of its account's quota. */
+/** What a task claims: capacity on its worker and part of its account's quota. */
 import type { Ledger, QuotaAccount, Resources } from '@rillrudder/scheduler'
 import { quotaUsageOf } from '../../accounts/AccountUsage'
 import type { Step } from '../../records/Job'
 import type { JobRecord } from '../../state/JobRecord'
 
-/** @returns what is reserved on its worker for a task of a step. @internal */
-export function reservedFor(step: Step): Resources {
+/** @returns the resources that a task of a step claims on its worker. @internal */
+export function reservedResourcesOf(step: Step): Resources {
 	return step.bestEffort ? { ...step.need, cpu: 0 } : step.need
 }
 
-/** A task that takes room, with what it takes. @internal */
-export interface Claim {
+/** The claim of one task. @internal */
+export interface ResourceClaim {
 	readonly step: Step
-	/** See {@link reservedFor}. */
+	/** See {@link reservedResourcesOf}. */
 	readonly need: Resources
-	/** The service at whose workers it runs. */
+	/** The service whose workers run it. */
 	readonly service: string
-	/** Whether it is of the highest priority. */
+	/** Whether it has the highest priority at its service. */
 	readonly urgent: boolean
 	/** The account of its job; undefined for none. */
 	readonly account: QuotaAccount | undefined
 }
 
-/** @returns what a task of a job's step claims. @internal */
+/** @returns the claim of a task of a step of a job. @internal */
 export function claimOf(
 	{ request, queue }: JobRecord,
 	number: number,
 	urgent: boolean,
 	account: QuotaAccount | undefined
-): Claim {
+): ResourceClaim {
 	const step = request.steps[number]
-	return { step, need: reservedFor(step), service: queue.service, urgent, account }
+	return { step, need: reservedResourcesOf(step), service: queue.service, urgent, account }
 }
 
-/** @returns whether the worker had the room, which is then taken. @internal */
-export function claim(
+/**
+ * Claims capacity and quota for a task.
+ *
+ * @returns whether the worker had enough free capacity; otherwise nothing is claimed.
+ * @internal
+ */
+export function tryClaim(
 	ledger: Ledger,
 	worker: string,
-	{ step, need, service, urgent, account }: Claim
+	{ step, need, service, urgent, account }: ResourceClaim
 ): boolean {
 	if (!ledger.reserve(worker, need, urgent)) return false
 	account?.addUsage(quotaUsageOf(step))
@@ -45,22 +50,22 @@
 	return true
 }
 
-/** Takes up what an earlier leader gave away. @internal */
-export function claimAgain(
+/** Restores the claim of a task that an earlier leader placed. @internal */
+export function restoreClaim(
 	ledger: Ledger,
 	worker: string,
-	{ step, need, service, urgent, account }: Claim
+	{ step, need, service, urgent, account }: ResourceClaim
 ): void {
 	ledger.restore(worker, need, urgent)
 	account?.addUsage(quotaUsageOf(step))
 	account?.reserve(service, need)
 }
 
-/** Gives back what a task had. @internal */
-export function unclaim(
+/** Releases the claim of a task. @internal */
+export function releaseClaim(
 	ledger: Ledger,
 	worker: string,
-	{ step, need, service, urgent, account }: Claim
+	{ step, need, service, urgent, account }: ResourceClaim
 ): void {
 	ledger.release(worker, need, urgent)
 	account?.subtractUsage(quotaUsageOf(step))
--- a/packages/jobs/src/lib/shares/StepShares.ts
+++ b/packages/jobs/src/lib/shares/StepShares.ts
@@ -70,8 +70,8 @@
 			if (work.step.lasting) continue
 			const isOver = byShare && this.isOverShare(work, reserved)
 			const usefulness = byUsefulness ? usefulnessOf(work.times, epoch) : Usefulness.InTime
-			if (work.note(usefulness, isOver)) changed = true
-			const expected = byShare && waiting.reservations.expectedAt(work)?.room
+			if (work.updateUrgency(usefulness, isOver)) changed = true
+			const expected = byShare && waiting.reservations.getExpectedTimes(work)?.resources
 			if (expected) this.addReservation(work, expected, reserved)
 		}
 		return changed
@@ -129,7 +129,7 @@
 			const { account, service, step } = work
 			if (!account || step.lasting || !isWaiting(work)) continue
 			if (!this.accounts.canStart(account, step)) continue
-			const count = work.waiting().length
+			const count = work.getWaitingTasks().length
 			yield { account, service, need: times(work.need, count) }
 		}
 	}
--- a/packages/jobs/src/lib/speeds/speedFit.test.ts
+++ b/packages/jobs/src/lib/speeds/speedFit.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import { DEFAULT_STEP, type Step } from '../records/Job'
-import type { Option } from '../leader/steps/chooseForStep'
+import type { WorkerOption } from '../leader/steps/chooseWorkerForStep'
 import type { StepWork } from '../leader/steps/StepWork'
 import { selectSimilarSpeed, speedScoreOf } from './speedFit'
 
@@ -20,13 +20,13 @@
 		step: { ...DEFAULT_STEP, expectedTime: EXPECTED, ...step },
 		times,
 		urgency: { latestStart: NOW + slack },
-		waited: () => waited,
-		copiesIn: () => 2,
+		getWaitTime: () => waited,
+		countFittingTasks: () => 2,
 	} as unknown as StepWork
 }
 
-function optionOf(id: string, speed: number): Option {
-	return { view: { id, speed }, account: { capacity: {} } } as unknown as Option
+function optionOf(id: string, speed: number): WorkerOption {
+	return { view: { id, speed }, account: { capacity: {} } } as unknown as WorkerOption
 }
 
 test('work that a slow worker would make late avoids it, and work with slack prefers it', () => {
--- a/packages/jobs/src/lib/speeds/speedFit.ts
+++ b/packages/jobs/src/lib/speeds/speedFit.ts
@@ -3,7 +3,7 @@
  * with slack, or too late on any worker, fills the slow ones, so that the others keep capacity for
  * urgent work.
  */
-import type { Option } from '../leader/steps/chooseForStep'
+import type { WorkerOption } from '../leader/steps/chooseWorkerForStep'
 import type { StepWork } from '../leader/steps/StepWork'
 import { Usefulness, usefulnessOf } from '../placement/Usefulness'
 
@@ -59,20 +59,21 @@
  */
 export function selectSimilarSpeed(
 	work: StepWork,
-	options: readonly Option[],
+	options: readonly WorkerOption[],
 	now: number
-): readonly Option[] {
+): readonly WorkerOption[] {
 	if (!work.step.gang) return options
 	const fast = options.filter(({ view }) => view.speed >= SLOW_BELOW)
 	if (fast.length === options.length || !canHoldGang(work, fast)) return options
 	const slowest = Math.min(...options.map(({ view }) => view.speed))
 	const gained = work.step.expectedTime / slowest - work.step.expectedTime
-	return work.waited(now) < Math.min(MAX_WAIT_MS, gained * WAIT_SHARE) ? fast : options
+	return work.getWaitTime(now) < Math.min(MAX_WAIT_MS, gained * WAIT_SHARE) ? fast : options
 }
 
 /** Whether the workers could run the whole gang if they had nothing else to run. */
-function canHoldGang(work: StepWork, options: readonly Option[]): boolean {
+function canHoldGang(work: StepWork, options: readonly WorkerOption[]): boolean {
 	let tasks = 0
-	for (const { view, account } of options) tasks += work.copiesIn(view.id, account.capacity)
+	for (const { view, account } of options)
+		tasks += work.countFittingTasks(view.id, account.capacity)
 	return tasks >= work.step.count
 }
