--- a/packages/jobs/src/lib/gangs/GangPlanner.ts
+++ b/packages/jobs/src/lib/gangs/GangPlanner.ts
@@ -77,7 +77,11 @@
 	 * @returns the options of a step without those on unreliable workers; all of them if the step
 	 * is not a planned gang.
 	 */
-	withoutUnreliable(work: StepWork, options: readonly WorkerOption[], now: number): readonly WorkerOption[] {
+	withoutUnreliable(
+		work: StepWork,
+		options: readonly WorkerOption[],
+		now: number
+	): readonly WorkerOption[] {
 		if (!shouldPlanGang(work)) return options
 		return options.filter(({ view }) => !this.reliability.isUnreliable(view.id, now))
 	}
--- a/packages/jobs/src/lib/leader/runs/RunOrders.ts
+++ b/packages/jobs/src/lib/leader/runs/RunOrders.ts
@@ -85,7 +85,9 @@
 		if (ledger.find(run.worker)?.isOverbooked) return StartObstacle.Capacity
 		// A worker that an earlier leader chose may have less capacity too, until its first
 		// heartbeat.
-		return view.heartbeatAge(clock.now()) >= timing.heartbeatTimeout ? StartObstacle.NoHeartbeat : undefined
+		return view.heartbeatAge(clock.now()) >= timing.heartbeatTimeout
+			? StartObstacle.NoHeartbeat
+			: undefined
 	}
 
 	/** @returns why a member of a gang can't be ordered to start now; undefined if it can. */
@@ -213,7 +215,8 @@
 		}
 		run.retryAt = clock.now() + timing.retryPause
 		if (asked === RunPhase.Stopping || run.phase === RunPhase.Stopping) {
-			if (!run.isOrderPending && reason === Refusal.Superseded) this.host.enterPhase(run, RunPhase.Stopped)
+			if (!run.isOrderPending && reason === Refusal.Superseded)
+				this.host.enterPhase(run, RunPhase.Stopped)
 			else if (asked === RunPhase.Starting && !run.isInDoubt)
 				this.host.proposeEnd(run, RunEnd.Refused)
 			return
--- a/packages/jobs/src/lib/leader/steps/Preemption.ts
+++ b/packages/jobs/src/lib/leader/steps/Preemption.ts
@@ -67,7 +67,12 @@
 		if (work.queue.advice && advice.firstAnswerAt === undefined) return
 		if (work.getWaitTime(now) < PREEMPT_AFTER_MS) return
 		if (this.mayFitElsewhere(work, need)) return
-		for (const run of chooseRunsToPreempt(work, need.options, need.tasks, epochTimeOf(this.context)))
+		for (const run of chooseRunsToPreempt(
+			work,
+			need.options,
+			need.tasks,
+			epochTimeOf(this.context)
+		))
 			this.runs.preempt(run, work.name)
 	}
 
--- a/packages/jobs/src/lib/leader/workers/crashEvidenceOf.test.ts
+++ b/packages/jobs/src/lib/leader/workers/crashEvidenceOf.test.ts
@@ -47,7 +47,11 @@
 
 const CASES: readonly Case[] = [
 	{ what: 'it had just started', expected: Strong },
-	{ what: 'it was listed just after its start', run: { observedTime: atWorkFor(200) }, expected: Strong },
+	{
+		what: 'it was listed just after its start',
+		run: { observedTime: atWorkFor(200) },
+		expected: Strong,
+	},
 	{ what: 'it was at work for a while', run: { observedTime: atWorkFor(201) }, expected: Weak },
 	{ what: 'it was never ordered', run: { isOrdered: false }, expected: undefined },
 	{
