--- a/packages/runs/src/lib/jobs/jobRun.test.ts
+++ b/packages/runs/src/lib/jobs/jobRun.test.ts
@@ -299,7 +299,7 @@
 		rule: /a failed job has failed for a cause/,
 		without: 'isolating a task before it is given up',
 		breaks: () => [
-			[jobsClass('leader/steps', 'Quarantine'), 'isSettled', () => () => true],
+			[jobsClass('leader/steps', 'Quarantine'), 'hasOnlySettledRuns', () => () => true],
 			[jobsClass('leader/steps', 'Quarantine'), 'admits', () => () => true],
 		],
 	},
@@ -362,7 +362,7 @@
 		rule: /a step's tasks are kept apart/,
 		without: 'an allowance for each worker',
 		breaks: () => [
-			[jobsClass('leader/steps', 'StepWork'), 'allowance', () => () => Number.MAX_VALUE],
+			[jobsClass('leader/steps', 'StepWork'), 'getAllowance', () => () => Number.MAX_VALUE],
 		],
 	},
 	{
@@ -371,7 +371,7 @@
 		breaks: () => [
 			[
 				jobsClass('leader/steps', 'PlacementPass'),
-				'eligible',
+				'getEligible',
 				() =>
 					function () {
 						return (this as { open: unknown }).open
--- a/packages/runs/src/lib/jobs/missedWork.test.ts
+++ b/packages/runs/src/lib/jobs/missedWork.test.ts
@@ -19,10 +19,10 @@
 }
 
 const WAKE_UPS: readonly WakeUp[] = [
-	{ of: 'jobs that are accepted', method: 'accept' },
+	{ of: 'jobs that are accepted', method: 'addJob' },
 	{
 		of: 'steps whose predecessors are done, and tasks that have to begin again',
-		method: 'settled',
+		method: 'onTaskSettled',
 	},
 	{ of: 'tasks that have to begin again', method: 'reopen' },
 	{ of: 'tasks under suspicion that may go on', method: 'reconsider' },
