--- a/packages/cell/src/index.ts
+++ b/packages/cell/src/index.ts
@@ -42,13 +42,13 @@
 export { OperatorRouter, type OperatorRouterParts } from './lib/leader/OperatorRouter'
 export { SystemDriver, type SystemDriverParts } from './lib/leader/SystemDriver'
 export {
-	BEAT,
-	DRIFT,
-	LOAN_SPAN,
-	outlast,
-	SETTLE_SPAN,
-	START_WINDOW,
-	TASK_LEASE,
+	HEARTBEAT_INTERVAL_MS,
+	MAX_CLOCK_DRIFT,
+	LOAN_DURATION_MS,
+	addDriftMargin,
+	SETTLE_TIMEOUT_MS,
+	START_WINDOW_MS,
+	TASK_LEASE_MS,
 } from './lib/leader/timing'
 export type { ListedWorker } from './lib/leader/WorkerController'
 export {
--- a/packages/cell/src/lib/leader/LoanController.ts
+++ b/packages/cell/src/lib/leader/LoanController.ts
@@ -11,7 +11,7 @@
 import type { Effects, Moment } from './Effects'
 import type { Holder, Holders } from './Holders'
 import type { SlotChoice } from './SlotChoice'
-import { LOAN_SPAN, outlast } from './timing'
+import { LOAN_DURATION_MS, addDriftMargin } from './timing'
 
 /** Slots that are never lent, kept for requests that are not repeatable. */
 const KEPT_SHARE = 0.25
@@ -61,7 +61,8 @@
 	tick(moment: Moment): void {
 		for (const loan of this.state.workers.loans()) {
 			const silent = moment.now - this.holders.silentSince(loan.holder, moment.now)
-			if (silent < outlast(LOAN_SPAN) + RUN_OUT || this.busy.has(loan.holder)) continue
+			if (silent < addDriftMargin(LOAN_DURATION_MS) + RUN_OUT || this.busy.has(loan.holder))
+				continue
 			this.busy.set(loan.holder, new Map())
 			this.effects.commands.push({ kind: 'lend', holder: loan.holder, slots: [] })
 		}
--- a/packages/cell/src/lib/leader/RequestController.ts
+++ b/packages/cell/src/lib/leader/RequestController.ts
@@ -13,7 +13,7 @@
 import type { Holder, Holders } from './Holders'
 import type { HomeController } from './HomeController'
 import type { SlotChoice } from './SlotChoice'
-import { outlast, START_WINDOW } from './timing'
+import { addDriftMargin, START_WINDOW_MS } from './timing'
 import { Verdicts } from './Verdicts'
 import { requestName, Waiters } from './Waiters'
 import type { SettleReply } from './workerProtocol'
@@ -338,7 +338,7 @@
 	private holderFor(record: RequestRecord, now: number): Holder | undefined {
 		for (const process of this.waiters.processesFor(record)) {
 			const holder = this.holders.ofProcess(process)
-			if (holder && now - holder.heardAt < START_WINDOW / 2) return holder
+			if (holder && now - holder.heardAt < START_WINDOW_MS / 2) return holder
 		}
 		return undefined
 	}
@@ -417,14 +417,14 @@
 	private watch(record: RequestRecord, moment: Moment): void {
 		const { now } = moment
 		if (record.phase === Phase.Admitted) {
-			const patience = outlast(START_WINDOW)
+			const patience = addDriftMargin(START_WINDOW_MS)
 			const fresh = now - this.takenOverAt < patience
 			if (!fresh && !this.waiters.anyFor(record)) this.park(record, moment)
 			return
 		}
 		if (this.doubts.has(record)) return
 		const silent = now - this.holders.silentSince(record.holder, now)
-		if (silent > outlast(START_WINDOW)) this.doubts.abandoned(record, now)
+		if (silent > addDriftMargin(START_WINDOW_MS)) this.doubts.abandoned(record, now)
 		else this.sayGoAgain(record, moment)
 	}
 
--- a/packages/cell/src/lib/leader/SuspectWorkers.ts
+++ b/packages/cell/src/lib/leader/SuspectWorkers.ts
@@ -2,7 +2,7 @@
 import type { DataCentreState } from '../state/DataCentreState'
 import { Phase, type RequestRecord } from '../state/RequestTable'
 import type { Effects } from './Effects'
-import { outlast, SETTLE_SPAN, START_WINDOW } from './timing'
+import { addDriftMargin, SETTLE_TIMEOUT_MS, START_WINDOW_MS } from './timing'
 
 const ASK_EVERY = 500
 /** A worker that goes on saying that it is at work is believed for so long, in milliseconds. */
@@ -37,12 +37,12 @@
 
 	/** The holder is gone: the attempt may go on for as long as it could have been allowed to. */
 	abandoned(record: RequestRecord, now: number): void {
-		this.add(record, now, outlast(START_WINDOW + record.timeout) + SETTLE_SPAN)
+		this.add(record, now, addDriftMargin(START_WINDOW_MS + record.timeout) + SETTLE_TIMEOUT_MS)
 	}
 
 	/** The holder has given the attempt up and closed its connection. */
 	lost(record: RequestRecord, now: number): void {
-		this.add(record, now, SETTLE_SPAN)
+		this.add(record, now, SETTLE_TIMEOUT_MS)
 	}
 
 	private add(record: RequestRecord, now: number, span: number): void {
@@ -56,7 +56,7 @@
 	/** The worker is still at work on it. */
 	extend(record: RequestRecord, now: number): void {
 		const doubt = this.doubts.get(nameOf(record))
-		if (doubt) doubt.until = Math.max(doubt.until, Math.min(doubt.last, now + SETTLE_SPAN))
+		if (doubt) doubt.until = Math.max(doubt.until, Math.min(doubt.last, now + SETTLE_TIMEOUT_MS))
 	}
 
 	remove(record: RequestRecord): void {
--- a/packages/cell/src/lib/leader/TaskController.ts
+++ b/packages/cell/src/lib/leader/TaskController.ts
@@ -15,7 +15,7 @@
 import type { DataCentreState } from '../state/DataCentreState'
 import { hasEnded, TaskPhase, type TaskRecord } from '../state/TaskTable'
 import type { Effects, Moment } from './Effects'
-import { mayRestartAt } from './restartDelay'
+import { earliestRestartOf } from './restartDelay'
 import { WorkerLeases } from './WorkerLeases'
 import type { ExchangeReply } from './workerProtocol'
 
@@ -289,7 +289,7 @@
 	private submitWhenDue(records: readonly TaskRecord[], at: number): void {
 		const due: TaskRecord[] = []
 		for (const record of records) {
-			const restart = mayRestartAt(record)
+			const restart = earliestRestartOf(record)
 			if (restart <= at) due.push(record)
 			else this.delayed.set(record.task.id, restart)
 		}
--- a/packages/cell/src/lib/leader/WorkerLeases.ts
+++ b/packages/cell/src/lib/leader/WorkerLeases.ts
@@ -2,10 +2,10 @@
 import type { DataCentreState } from '../state/DataCentreState'
 import { TaskPhase, type TaskRecord } from '../state/TaskTable'
 import type { Effects, Moment } from './Effects'
-import { outlast, TASK_LEASE } from './timing'
+import { addDriftMargin, TASK_LEASE_MS } from './timing'
 import type { ExchangeReply, StartOrder, TaskOrder, ThrottleOrder } from './workerProtocol'
 
-const RENEW_EVERY = TASK_LEASE / 3
+const RENEW_EVERY = TASK_LEASE_MS / 3
 const RETRY_EVERY = 1000
 const NO_STAMP = -1
 
@@ -182,7 +182,7 @@
 		const over: TaskRecord[] = []
 		for (const lease of this.leases.values()) {
 			this.dropMoved(lease)
-			if (now - lease.renewedAt > outlast(TASK_LEASE)) over.push(...lease.placed.values())
+			if (now - lease.renewedAt > addDriftMargin(TASK_LEASE_MS)) over.push(...lease.placed.values())
 		}
 		return over
 	}
@@ -197,7 +197,7 @@
 			}
 			const since = moment.now - lease.sentAt
 			const wait = lease.stamp === NO_STAMP ? RETRY_EVERY : RENEW_EVERY
-			if (lease.under ? since < TASK_LEASE : !lease.fresh && since < wait) continue
+			if (lease.under ? since < TASK_LEASE_MS : !lease.fresh && since < wait) continue
 			this.send(worker, lease, moment)
 		}
 	}
@@ -217,7 +217,7 @@
 			call: {
 				term: moment.term,
 				stamp: lease.stamp,
-				leaseMs: TASK_LEASE,
+				leaseMs: TASK_LEASE_MS,
 				start: lease.sent.map(startOrder),
 				stop: [...lease.stop.values()],
 				checkpoint: [...lease.checkpoint.values()],
--- a/packages/cell/src/lib/leader/restartDelay.ts
+++ b/packages/cell/src/lib/leader/restartDelay.ts
@@ -8,16 +8,16 @@
 import type { TaskRecord } from '../state/TaskTable'
 
 /** Milliseconds after the second loss in a row; each further one doubles it. */
-const FIRST = 10_000
+const INITIAL_DELAY_MS = 10_000
 /** Milliseconds at most: a task that is sound again is back after as long. */
-const LONGEST = 300_000
+const MAX_DELAY_MS = 300_000
 
 /**
  * @param record - a task that waits.
  * @returns from when on it may be placed, milliseconds since the epoch.
  * @internal
  */
-export function mayRestartAt({ losses, lostAt }: TaskRecord): number {
+export function earliestRestartOf({ losses, lostAt }: TaskRecord): number {
 	if (!losses || losses < 2 || lostAt === undefined) return 0
-	return lostAt + Math.min(LONGEST, FIRST * 2 ** (losses - 2))
+	return lostAt + Math.min(MAX_DELAY_MS, INITIAL_DELAY_MS * 2 ** (losses - 2))
 }
--- a/packages/cell/src/lib/leader/timing.ts
+++ b/packages/cell/src/lib/leader/timing.ts
@@ -4,28 +4,28 @@
  */
 
 /** How far two clocks may run apart, as a share. @public */
-export const DRIFT = 0.1
+export const MAX_CLOCK_DRIFT = 0.1
 
 /** An entry instance starts nothing on a heartbeat older than this. @public */
-export const START_WINDOW = 2000
+export const START_WINDOW_MS = 2000
 
 /** Lent slots may be used this long after the heartbeat that the loan answers. @public */
-export const LOAN_SPAN = 3000
+export const LOAN_DURATION_MS = 3000
 
 /** A worker keeps a task this long after the stamp that the leader last sent back to it. @public */
-export const TASK_LEASE = 15_000
+export const TASK_LEASE_MS = 15_000
 
 /** How long a worker is asked for the end of an attempt that nobody answered for. @public */
-export const SETTLE_SPAN = 5000
+export const SETTLE_TIMEOUT_MS = 5000
 
 /** Between two heartbeats of an entry instance. @public */
-export const BEAT = 200
+export const HEARTBEAT_INTERVAL_MS = 200
 
 /**
- * @param span - a span that another process counts.
+ * @param durationMs - a span that another process counts.
  * @returns how long to wait until it is certainly over there.
  * @public
  */
-export function outlast(span: number): number {
-	return span * (1 + 2 * DRIFT)
+export function addDriftMargin(durationMs: number): number {
+	return durationMs * (1 + 2 * MAX_CLOCK_DRIFT)
 }
--- a/packages/intake/src/lib/Groups.ts
+++ b/packages/intake/src/lib/Groups.ts
@@ -1,5 +1,5 @@
 /** Which process leads each data centre's group, as far as this entry instance knows, and its heartbeats. */
-import { BEAT, LOAN_SPAN, START_WINDOW } from '@rillrudder/cell'
+import { HEARTBEAT_INTERVAL_MS, LOAN_DURATION_MS, START_WINDOW_MS } from '@rillrudder/cell'
 import type { Beat, Event, Loans } from '@rillrudder/protocol'
 import type { GroupLayout } from '@rillrudder/settings'
 import type { Clock, Timer } from '@rillrudder/utils'
@@ -60,7 +60,7 @@
 
 	constructor(private readonly parts: GroupsParts) {
 		this.need(parts.dataCentre)
-		this.timer = parts.clock.every(BEAT, () => this.beatAll())
+		this.timer = parts.clock.every(HEARTBEAT_INTERVAL_MS, () => this.beatAll())
 	}
 
 	/** Talks to a group from now on. */
@@ -117,12 +117,12 @@
 	/** Whether something that a leader said on this heartbeat may still be started. */
 	mayStart(beat: number): boolean {
 		const sent = this.sentAt.get(beat)
-		return sent !== undefined && this.parts.clock.now() - sent < START_WINDOW
+		return sent !== undefined && this.parts.clock.now() - sent < START_WINDOW_MS
 	}
 
 	/** Until when slots that were lent on this heartbeat may be used. */
 	loanEnd(beat: number): number {
-		return (this.sentAt.get(beat) ?? Number.NEGATIVE_INFINITY) + LOAN_SPAN
+		return (this.sentAt.get(beat) ?? Number.NEGATIVE_INFINITY) + LOAN_DURATION_MS
 	}
 
 	/** A leader has answered. */
