--- a/packages/cell/src/index.ts
+++ b/packages/cell/src/index.ts
@@ -32,7 +32,7 @@
 	type SettleCall,
 	type WorkerExchange,
 } from './lib/leader/Effects'
-export { lifeOf, type Holder } from './lib/leader/Holders'
+export { incarnationIdOf, type EntryIncarnation } from './lib/leader/EntryIncarnations'
 export {
 	operatorCallSchema,
 	type OperatorCall,
--- a/packages/cell/src/lib/leader/DataCentreController.ts
+++ b/packages/cell/src/lib/leader/DataCentreController.ts
@@ -8,7 +8,7 @@
 import type { Random } from '@rillrudder/utils'
 import type { Applied, DataCentreState } from '../state/DataCentreState'
 import { Effects, type GroupCall, type Moment } from './Effects'
-import { Holders } from './Holders'
+import { EntryIncarnations } from './EntryIncarnations'
 import { HomeController } from './HomeController'
 import { LoanController } from './LoanController'
 import type { OperatorCall, OperatorReply } from './operatorCalls'
@@ -42,7 +42,7 @@
 export class DataCentreController {
 	readonly effects = new Effects()
 	readonly health = new WorkerHealth()
-	private readonly holders = new Holders()
+	private readonly holders = new EntryIncarnations()
 	private readonly slots: SlotChoice
 	private readonly requests: RequestController
 	private readonly loans: LoanController
@@ -123,8 +123,8 @@
 
 	/** Takes a heartbeat of an entry instance. */
 	beat(from: string, beat: Beat, moment: Moment): void {
-		const { holder, replaced } = this.holders.hear(from, beat, moment.now)
-		if (replaced) this.requests.holderGone(replaced.life, moment)
+		const { holder, replaced } = this.holders.onHeartbeat(from, beat, moment.now)
+		if (replaced) this.requests.onHolderReplaced(replaced.incarnationId, moment)
 		for (const sign of beat.signs) {
 			if (sign.leaving) this.workers.leaving(sign.worker, 'it refused work', moment)
 			for (const customer of sign.failedFor)
--- a/packages/cell/src/lib/leader/LoanController.ts
+++ b/packages/cell/src/lib/leader/LoanController.ts
@@ -9,7 +9,7 @@
 import type { DataCentreState } from '../state/DataCentreState'
 import type { Loan } from '../state/WorkerTable'
 import type { Effects, Moment } from './Effects'
-import type { Holder, Holders } from './Holders'
+import type { EntryIncarnation, EntryIncarnations } from './EntryIncarnations'
 import type { SlotChoice } from './SlotChoice'
 import { LOAN_DURATION_MS, addDriftMargin } from './timing'
 
@@ -33,7 +33,7 @@
 	constructor(
 		private readonly dataCentre: string,
 		private readonly state: DataCentreState,
-		private readonly holders: Holders,
+		private readonly holders: EntryIncarnations,
 		private readonly slots: SlotChoice,
 		private readonly effects: Effects
 	) {}
@@ -44,9 +44,9 @@
 	}
 
 	/** Answers a heartbeat: renews the loan, takes back what was returned, lends more where it is wanted. */
-	beat(holder: Holder, beat: Beat, moment: Moment): void {
-		const loan = this.state.workers.loanOf(holder.life)
-		if (!this.busy.has(holder.life)) this.adjust(holder, beat, loan, moment)
+	beat(holder: EntryIncarnation, beat: Beat, moment: Moment): void {
+		const loan = this.state.workers.loanOf(holder.incarnationId)
+		if (!this.busy.has(holder.incarnationId)) this.adjust(holder, beat, loan, moment)
 		this.answer(holder, loan, moment)
 	}
 
@@ -60,7 +60,7 @@
 	/** Takes back the loans of entry instances that are certainly over. */
 	tick(moment: Moment): void {
 		for (const loan of this.state.workers.loans()) {
-			const silent = moment.now - this.holders.silentSince(loan.holder, moment.now)
+			const silent = moment.now - this.holders.lastHeartbeatOf(loan.holder, moment.now)
 			if (silent < addDriftMargin(LOAN_DURATION_MS) + RUN_OUT || this.busy.has(loan.holder))
 				continue
 			this.busy.set(loan.holder, new Map())
@@ -68,7 +68,12 @@
 		}
 	}
 
-	private adjust(holder: Holder, beat: Beat, loan: Loan | undefined, moment: Moment): void {
+	private adjust(
+		holder: EntryIncarnation,
+		beat: Beat,
+		loan: Loan | undefined,
+		moment: Moment
+	): void {
 		const settled = !loan || beat.grant === loan.grant
 		const lent = new Map(loan?.slots)
 		const wanted = settled ? heldOf(beat, lent) : lent
@@ -78,9 +83,9 @@
 		for (const [worker, slots] of added) {
 			wanted.set(worker, (wanted.get(worker) ?? 0) + slots)
 		}
-		this.busy.set(holder.life, added)
+		this.busy.set(holder.incarnationId, added)
 		const slots = [...wanted].map(([worker, count]) => ({ worker, slots: count }))
-		this.effects.commands.push({ kind: 'lend', holder: holder.life, slots })
+		this.effects.commands.push({ kind: 'lend', holder: holder.incarnationId, slots })
 	}
 
 	private wantedMore(beat: Beat, held: Map<string, number>, now: number): number {
@@ -109,14 +114,14 @@
 	}
 
 	/** Says what is lent, less what is wanted back: from closed workers, and above the fair share. */
-	private answer(holder: Holder, loan: Loan | undefined, moment: Moment): void {
+	private answer(holder: EntryIncarnation, loan: Loan | undefined, moment: Moment): void {
 		const loans = [...(loan?.slots ?? [])].map(([id, slots]) => {
 			const worker = this.state.workers.find(id)
 			const open = worker !== undefined && this.slots.mayTake(worker, moment.now)
 			return { worker: id, address: worker?.address ?? '', slots: open ? slots : 0 }
 		})
 		const value = {
-			beat: holder.beat,
+			beat: holder.heartbeatSequence,
 			loans,
 			dataCentre: this.dataCentre,
 			grant: loan?.grant ?? 0,
@@ -138,7 +143,7 @@
 
 	private othersWait(beat: Beat): boolean {
 		for (const holder of this.holders.all()) {
-			if (holder.wanted > 0 && !holder.life.endsWith(`#${beat.incarnation}`)) return true
+			if (holder.wanted > 0 && !holder.incarnationId.endsWith(`#${beat.incarnation}`)) return true
 		}
 		return false
 	}
--- a/packages/cell/src/lib/leader/RequestController.ts
+++ b/packages/cell/src/lib/leader/RequestController.ts
@@ -10,7 +10,7 @@
 import { Phase, type RequestRecord } from '../state/RequestTable'
 import { SuspectWorkers } from './SuspectWorkers'
 import type { Effects, Moment } from './Effects'
-import type { Holder, Holders } from './Holders'
+import type { EntryIncarnation, EntryIncarnations } from './EntryIncarnations'
 import type { HomeController } from './HomeController'
 import type { SlotChoice } from './SlotChoice'
 import { addDriftMargin, START_WINDOW_MS } from './timing'
@@ -53,7 +53,7 @@
 
 	constructor(
 		private readonly state: DataCentreState,
-		private readonly holders: Holders,
+		private readonly holders: EntryIncarnations,
 		private readonly slots: SlotChoice,
 		private readonly effects: Effects,
 		private readonly homes: HomeController,
@@ -135,9 +135,9 @@
 	}
 
 	/** A life is over for certain: what it may have started is in doubt. */
-	holderGone(life: string, moment: Moment): void {
+	onHolderReplaced(incarnationId: string, moment: Moment): void {
 		for (const record of this.state.requests.allOpen()) {
-			if (record.holder === life && record.phase === Phase.Started) {
+			if (record.holder === incarnationId && record.phase === Phase.Started) {
 				this.doubts.abandoned(record, moment.now)
 			}
 		}
@@ -212,7 +212,7 @@
 			this.shed(from, submit, moment)
 			return
 		}
-		const holder = this.holders.ofProcess(from)
+		const holder = this.holders.currentOf(from)
 		if (!holder) return
 		this.waiters.add(from, submit, moment.now)
 		this.busy.add(requestName(submit))
@@ -222,7 +222,7 @@
 			customer,
 			key,
 			digest,
-			holder: holder.life,
+			holder: holder.incarnationId,
 			timeout: timeoutMs,
 			at: moment.at,
 		})
@@ -253,7 +253,7 @@
 	 */
 	private reconcile(from: string, submit: Submit, record: RequestRecord, moment: Moment): void {
 		if (submit.term !== moment.term) return
-		const same = this.holders.ofProcess(from)?.life === record.holder
+		const same = this.holders.currentOf(from)?.incarnationId === record.holder
 		const told = this.goSaidAt.has(requestName(submit))
 		if (same && !told && submit.runningAttempt !== record.attempt) this.unstart(record)
 	}
@@ -306,7 +306,7 @@
 	/** @returns false when no worker has a slot. */
 	private proposeStart(
 		record: Pick<RequestRecord, 'customer' | 'key' | 'attempt' | 'worker'>,
-		holder: Holder,
+		holder: EntryIncarnation,
 		moment: Moment
 	): boolean {
 		const worker = this.slots.choose(moment.now, record.worker)
@@ -314,7 +314,13 @@
 		this.slots.hold(worker.id)
 		this.busy.add(requestName(record))
 		const { customer, key, attempt } = record
-		const start = { customer, key, attempt: attempt + 1, worker: worker.id, holder: holder.life }
+		const start = {
+			customer,
+			key,
+			attempt: attempt + 1,
+			worker: worker.id,
+			holder: holder.incarnationId,
+		}
 		this.effects.commands.push({ kind: 'start', ...start })
 		return true
 	}
@@ -335,15 +341,15 @@
 	}
 
 	/** A process that has the body and was heard recently enough to start it in time. */
-	private holderFor(record: RequestRecord, now: number): Holder | undefined {
+	private holderFor(record: RequestRecord, now: number): EntryIncarnation | undefined {
 		for (const process of this.waiters.processesFor(record)) {
-			const holder = this.holders.ofProcess(process)
-			if (holder && now - holder.heardAt < START_WINDOW_MS / 2) return holder
+			const holder = this.holders.currentOf(process)
+			if (holder && now - holder.lastHeartbeatAt < START_WINDOW_MS / 2) return holder
 		}
 		return undefined
 	}
 
-	private sayGo(record: RequestRecord, holder: Holder, moment: Moment): void {
+	private sayGo(record: RequestRecord, holder: EntryIncarnation, moment: Moment): void {
 		this.goSaidAt.set(requestName(record), moment.now)
 		const address = this.state.workers.find(record.worker)?.address ?? ''
 		const { customer, key, attempt, worker, fence } = record
@@ -354,7 +360,7 @@
 			worker,
 			address,
 			fence,
-			beat: holder.beat,
+			beat: holder.heartbeatSequence,
 			term: moment.term,
 			group: this.homes.name,
 			incarnation: holder.incarnation,
@@ -423,7 +429,7 @@
 			return
 		}
 		if (this.doubts.has(record)) return
-		const silent = now - this.holders.silentSince(record.holder, now)
+		const silent = now - this.holders.lastHeartbeatOf(record.holder, now)
 		if (silent > addDriftMargin(START_WINDOW_MS)) this.doubts.abandoned(record, now)
 		else this.sayGoAgain(record, moment)
 	}
