--- a/packages/cell/src/lib/leader/DataCentreController.ts
+++ b/packages/cell/src/lib/leader/DataCentreController.ts
@@ -15,7 +15,7 @@
 import { OperatorController, type ReplyTo } from './OperatorController'
 import { PlanController } from './PlanController'
 import { RequestController } from './RequestController'
-import { SlotChoice } from './SlotChoice'
+import { SlotSelector } from './SlotSelector'
 import { TaskController } from './TaskController'
 import { WorkerController, type ListedWorker } from './WorkerController'
 import type { ExchangeReply, SettleReply } from './workerProtocol'
@@ -43,7 +43,7 @@
 	readonly effects = new Effects()
 	readonly health = new WorkerHealth()
 	private readonly holders = new EntryIncarnations()
-	private readonly slots: SlotChoice
+	private readonly slots: SlotSelector
 	private readonly requests: RequestController
 	private readonly loans: LoanController
 	private readonly tasks: TaskController
@@ -58,7 +58,7 @@
 		const { name, dataCentres, state, random, inForce } = parts
 		const configuration = () => inForce().configuration
 		const { effects, holders } = this
-		this.slots = new SlotChoice(state.workers, this.health, random)
+		this.slots = new SlotSelector(state.workers, this.health, random)
 		this.homes = new HomeController(name, dataCentres, state, effects, inForce)
 		this.requests = new RequestController(state, holders, this.slots, effects, this.homes, () =>
 			this.limits()
--- a/packages/cell/src/lib/leader/LoanController.ts
+++ b/packages/cell/src/lib/leader/LoanController.ts
@@ -10,7 +10,7 @@
 import type { Loan } from '../state/WorkerTable'
 import type { Effects, Moment } from './Effects'
 import type { EntryIncarnation, EntryIncarnations } from './EntryIncarnations'
-import type { SlotChoice } from './SlotChoice'
+import type { SlotSelector } from './SlotSelector'
 import { LOAN_DURATION_MS, addDriftMargin } from './timing'
 
 /** Slots that are never lent, kept for requests that are not repeatable. */
@@ -34,7 +34,7 @@
 		private readonly dataCentre: string,
 		private readonly state: DataCentreState,
 		private readonly holders: EntryIncarnations,
-		private readonly slots: SlotChoice,
+		private readonly slots: SlotSelector,
 		private readonly effects: Effects
 	) {}
 
@@ -107,7 +107,7 @@
 		for (let left = count; left > 0; left--) {
 			const worker = this.slots.choose(now)
 			if (!worker) break
-			this.slots.hold(worker.id)
+			this.slots.reserve(worker.id)
 			picked.set(worker.id, (picked.get(worker.id) ?? 0) + 1)
 		}
 		return picked
@@ -117,7 +117,7 @@
 	private answer(holder: EntryIncarnation, loan: Loan | undefined, moment: Moment): void {
 		const loans = [...(loan?.slots ?? [])].map(([id, slots]) => {
 			const worker = this.state.workers.find(id)
-			const open = worker !== undefined && this.slots.mayTake(worker, moment.now)
+			const open = worker !== undefined && this.slots.canTakeWork(worker, moment.now)
 			return { worker: id, address: worker?.address ?? '', slots: open ? slots : 0 }
 		})
 		const value = {
@@ -131,7 +131,7 @@
 	}
 
 	private release(holder: string): void {
-		for (const [worker, slots] of this.busy.get(holder) ?? []) this.slots.unhold(worker, slots)
+		for (const [worker, slots] of this.busy.get(holder) ?? []) this.slots.release(worker, slots)
 		this.busy.delete(holder)
 	}
 
--- a/packages/cell/src/lib/leader/RequestController.ts
+++ b/packages/cell/src/lib/leader/RequestController.ts
@@ -8,14 +8,14 @@
 import { Outcome, Problem } from '../records/Outcome'
 import type { DataCentreState } from '../state/DataCentreState'
 import { Phase, type RequestRecord } from '../state/RequestTable'
-import { SuspectWorkers } from './SuspectWorkers'
+import { UnresolvedAttempts } from './UnresolvedAttempts'
 import type { Effects, Moment } from './Effects'
 import type { EntryIncarnation, EntryIncarnations } from './EntryIncarnations'
 import type { HomeController } from './HomeController'
-import type { SlotChoice } from './SlotChoice'
+import type { SlotSelector } from './SlotSelector'
 import { addDriftMargin, START_WINDOW_MS } from './timing'
-import { Verdicts } from './Verdicts'
-import { requestName, Waiters } from './Waiters'
+import { VerdictSender } from './VerdictSender'
+import { formatRequestId, RequestWaiters } from './RequestWaiters'
 import type { SettleReply } from './workerProtocol'
 
 const SAY_AGAIN_EVERY = 1000
@@ -36,15 +36,15 @@
  * @internal
  */
 export class RequestController {
-	private readonly waiters = new Waiters()
-	private readonly verdicts: Verdicts
+	private readonly waiters = new RequestWaiters()
+	private readonly verdicts: VerdictSender
 	/** Requests for which a command is under way. */
 	private readonly busy = new Set<string>()
 	/** Requests whose start follows their admission in one batch. */
 	private readonly chained = new Set<string>()
 	/** Customers whose oldest request waits for a slot, the longest wait first. */
 	private readonly starved = new Set<string>()
-	private readonly doubts: SuspectWorkers
+	private readonly doubts: UnresolvedAttempts
 	/** When this leader last said that a request may go; such an attempt is never taken back unasked. */
 	private readonly goSaidAt = new Map<string, number>()
 	/** An attempt that was taken back is followed by the next one only after a pause that grows. */
@@ -54,13 +54,13 @@
 	constructor(
 		private readonly state: DataCentreState,
 		private readonly holders: EntryIncarnations,
-		private readonly slots: SlotChoice,
+		private readonly slots: SlotSelector,
 		private readonly effects: Effects,
 		private readonly homes: HomeController,
 		private readonly limits: () => RequestLimits
 	) {
-		this.doubts = new SuspectWorkers(state, effects)
-		this.verdicts = new Verdicts(state.requests, effects)
+		this.doubts = new UnresolvedAttempts(state, effects)
+		this.verdicts = new VerdictSender(state.requests, effects)
 	}
 
 	/** Starts to serve what leaders before this one have admitted. */
@@ -88,7 +88,7 @@
 		if (record && record.phase !== Phase.Parked) this.resubmit(from, submit, record, moment)
 		else if (record && record.digest !== submit.digest) this.refuseReuse(from, submit)
 		else if (!this.homes.owns(customer)) this.sendHome(from, submit)
-		else if (this.busy.has(requestName(submit))) this.waiters.add(from, submit, moment.now)
+		else if (this.busy.has(formatRequestId(submit))) this.waiters.add(from, submit, moment.now)
 		else this.take(from, submit, moment)
 	}
 
@@ -102,17 +102,17 @@
 		} else if (report.end === AttemptEnd.ATTEMPT_END_NOT_STARTED) {
 			this.unstart(record)
 		} else if (report.end === AttemptEnd.ATTEMPT_END_ABSENT) {
-			this.waiters.leave(from, record)
+			this.waiters.removeProcess(from, record)
 			this.unstart(record)
 		} else {
-			this.doubts.lost(record, moment.now)
+			this.doubts.addAfterMissingAnswer(record, moment.now)
 		}
 	}
 
 	/** The caller no longer waits; what has started runs on. */
 	withdraw(from: string, withdraw: Withdraw, moment: Moment): void {
-		this.waiters.leave(from, withdraw)
-		if (this.waiters.anyFor(withdraw)) return
+		this.waiters.removeProcess(from, withdraw)
+		if (this.waiters.has(withdraw)) return
 		const record = this.state.requests.find(withdraw.customer, withdraw.key)
 		if (record?.phase === Phase.Admitted) this.park(record, moment)
 	}
@@ -138,7 +138,7 @@
 	onHolderReplaced(incarnationId: string, moment: Moment): void {
 		for (const record of this.state.requests.allOpen()) {
 			if (record.holder === incarnationId && record.phase === Phase.Started) {
-				this.doubts.abandoned(record, moment.now)
+				this.doubts.addAfterHolderLoss(record, moment.now)
 			}
 		}
 	}
@@ -156,29 +156,29 @@
 
 	/** A request was admitted. */
 	admitted(command: CommandOf<'admit'>, counted: boolean, moment: Moment): void {
-		if (this.chained.has(requestName(command))) return
-		this.busy.delete(requestName(command))
+		if (this.chained.has(formatRequestId(command))) return
+		this.busy.delete(formatRequestId(command))
 		if (counted) this.advance(command.customer, moment)
 	}
 
 	/** A start was committed: the holder may go, and nobody else ever for this attempt. */
 	started(command: CommandOf<'start'>, counted: boolean, moment: Moment): void {
-		this.busy.delete(requestName(command))
-		this.chained.delete(requestName(command))
-		this.slots.unhold(command.worker)
+		this.busy.delete(formatRequestId(command))
+		this.chained.delete(formatRequestId(command))
+		this.slots.release(command.worker)
 		const record = this.state.requests.find(command.customer, command.key)
 		if (!counted || !record) return this.advance(command.customer, moment)
-		this.verdicts.began(command, moment.now)
+		this.verdicts.onStarted(command, moment.now)
 		const holder = this.holders.find(command.holder)
 		if (holder) this.sayGo(record, holder, moment)
 	}
 
 	/** An attempt was taken back. */
 	unstarted(command: CommandOf<'unstart'>, moment: Moment): void {
-		const name = requestName(command)
+		const name = formatRequestId(command)
 		this.busy.delete(name)
 		this.goSaidAt.delete(name)
-		this.verdicts.takenBack(command)
+		this.verdicts.onUnstarted(command)
 		const doubled = FIRST_PAUSE * 2 ** Math.min(command.attempt - 1, MOST_DOUBLINGS)
 		this.notBefore.set(name, moment.now + doubled)
 		this.advance(command.customer, moment)
@@ -187,23 +187,23 @@
 
 	/** A request has ended, and its end is lasting. */
 	finished(command: CommandOf<'finish'>, moment: Moment): void {
-		const name = requestName(command)
+		const name = formatRequestId(command)
 		this.busy.delete(name)
 		this.goSaidAt.delete(name)
 		this.notBefore.delete(name)
-		this.verdicts.ended(command, moment.now)
+		this.verdicts.onFinished(command, moment.now)
 		const record = this.state.requests.find(command.customer, command.key)
 		const processes = this.waiters.processesFor(command)
 		this.waiters.remove(command)
-		if (record) for (const process of processes) this.verdicts.tell(process, record)
+		if (record) for (const process of processes) this.verdicts.sendOutcome(process, record)
 		this.advance(command.customer, moment)
 		this.feedStarved(moment)
 	}
 
 	/** A request that nobody waits for has left the queue; it is taken up again if it is sent again. */
 	parked(command: CommandOf<'park'>, counted: boolean, moment: Moment): void {
-		this.busy.delete(requestName(command))
-		if (counted && !this.waiters.anyFor(command)) this.waiters.remove(command)
+		this.busy.delete(formatRequestId(command))
+		if (counted && !this.waiters.has(command)) this.waiters.remove(command)
 		this.advance(command.customer, moment)
 	}
 
@@ -215,7 +215,7 @@
 		const holder = this.holders.currentOf(from)
 		if (!holder) return
 		this.waiters.add(from, submit, moment.now)
-		this.busy.add(requestName(submit))
+		this.busy.add(formatRequestId(submit))
 		const { customer, key, digest, timeoutMs } = submit
 		this.effects.commands.push({
 			kind: 'admit',
@@ -229,7 +229,7 @@
 		if (this.state.requests.openOf(customer) > 0) return
 		const attempt = this.state.requests.find(customer, key)?.attempt ?? 0
 		if (this.proposeStart({ customer, key, attempt, worker: '' }, holder, moment)) {
-			this.chained.add(requestName(submit))
+			this.chained.add(formatRequestId(submit))
 		}
 	}
 
@@ -239,7 +239,7 @@
 			return
 		}
 		if (record.phase === Phase.Finished) {
-			this.verdicts.tell(from, record)
+			this.verdicts.sendOutcome(from, record)
 			return
 		}
 		this.waiters.add(from, submit, moment.now)
@@ -254,7 +254,7 @@
 	private reconcile(from: string, submit: Submit, record: RequestRecord, moment: Moment): void {
 		if (submit.term !== moment.term) return
 		const same = this.holders.currentOf(from)?.incarnationId === record.holder
-		const told = this.goSaidAt.has(requestName(submit))
+		const told = this.goSaidAt.has(formatRequestId(submit))
 		if (same && !told && submit.runningAttempt !== record.attempt) this.unstart(record)
 	}
 
@@ -262,7 +262,7 @@
 		const { queue, customerQueue } = this.limits()
 		if (this.state.requests.open >= queue) return true
 		if (this.state.requests.openOf(submit.customer) >= customerQueue(submit.customer)) return true
-		return this.verdicts.expectedWait(submit.customer) > submit.timeoutMs
+		return this.verdicts.estimateWait(submit.customer) > submit.timeoutMs
 	}
 
 	/** What is shed is not run; a key that somebody may send again is kept as not run. */
@@ -270,11 +270,11 @@
 		const { customer, key, digest } = submit
 		const problem = Problem.Overloaded
 		if (!submit.callersKey) {
-			this.verdicts.refuse(from, submit, problem)
+			this.verdicts.sendRefusal(from, submit, problem)
 			return
 		}
 		this.waiters.add(from, submit, moment.now)
-		this.busy.add(requestName(submit))
+		this.busy.add(formatRequestId(submit))
 		const outcome = Outcome.NotRun
 		const at = moment.at
 		this.effects.commands.push({ kind: 'finish', customer, key, digest, outcome, problem, at })
@@ -284,11 +284,11 @@
 	private advance(customer: string, moment: Moment): void {
 		const record = this.state.requests.head(customer)
 		this.starved.delete(customer)
-		if (record?.phase !== Phase.Admitted || this.busy.has(requestName(record))) return
+		if (record?.phase !== Phase.Admitted || this.busy.has(formatRequestId(record))) return
 		if (this.isTooLate(record, moment)) return
 		const holder = this.holderFor(record, moment.now)
 		if (!holder) return
-		if (moment.now < (this.notBefore.get(requestName(record)) ?? 0)) {
+		if (moment.now < (this.notBefore.get(formatRequestId(record)) ?? 0)) {
 			this.starved.add(customer)
 			return
 		}
@@ -297,7 +297,7 @@
 
 	/** The caller's time is over, so it is not started any more. */
 	private isTooLate(record: RequestRecord, moment: Moment): boolean {
-		if (!this.waiters.isOver(record, moment.now)) return false
+		if (!this.waiters.hasTimedOut(record, moment.now)) return false
 		const problem = this.starved.has(record.customer) ? Problem.NoWorker : Problem.TimedOut
 		this.finish(record, { outcome: Outcome.NotRun, problem }, moment)
 		return true
@@ -311,8 +311,8 @@
 	): boolean {
 		const worker = this.slots.choose(moment.now, record.worker)
 		if (!worker) return false
-		this.slots.hold(worker.id)
-		this.busy.add(requestName(record))
+		this.slots.reserve(worker.id)
+		this.busy.add(formatRequestId(record))
 		const { customer, key, attempt } = record
 		const start = {
 			customer,
@@ -328,7 +328,7 @@
 	/** The customer's next request starts in the same batch in which its oldest ends. */
 	private chainNext(customer: string, moment: Moment): void {
 		const next = this.state.requests.next(customer)
-		if (next?.phase !== Phase.Admitted || this.busy.has(requestName(next))) return
+		if (next?.phase !== Phase.Admitted || this.busy.has(formatRequestId(next))) return
 		const holder = this.holderFor(next, moment.now)
 		if (holder) this.proposeStart(next, holder, moment)
 	}
@@ -350,7 +350,7 @@
 	}
 
 	private sayGo(record: RequestRecord, holder: EntryIncarnation, moment: Moment): void {
-		this.goSaidAt.set(requestName(record), moment.now)
+		this.goSaidAt.set(formatRequestId(record), moment.now)
 		const address = this.state.workers.find(record.worker)?.address ?? ''
 		const { customer, key, attempt, worker, fence } = record
 		const value = {
@@ -373,7 +373,7 @@
 	 * said while the attempt is being taken back or ended.
 	 */
 	private sayGoAgain(record: RequestRecord, moment: Moment): void {
-		const name = requestName(record)
+		const name = formatRequestId(record)
 		if (this.busy.has(name)) return
 		const due = (this.goSaidAt.get(name) ?? this.takenOverAt) + SAY_AGAIN_EVERY
 		const holder = this.holders.find(record.holder)
@@ -381,9 +381,9 @@
 	}
 
 	private unstart(record: RequestRecord): void {
-		if (this.busy.has(requestName(record))) return
+		if (this.busy.has(formatRequestId(record))) return
 		this.doubts.remove(record)
-		this.busy.add(requestName(record))
+		this.busy.add(formatRequestId(record))
 		const { customer, key, attempt } = record
 		this.effects.commands.push({ kind: 'unstart', customer, key, attempt })
 	}
@@ -393,9 +393,9 @@
 		end: Pick<CommandOf<'finish'>, 'outcome' | 'problem' | 'answer'>,
 		moment: Moment
 	): void {
-		if (this.busy.has(requestName(record))) return
+		if (this.busy.has(formatRequestId(record))) return
 		this.doubts.remove(record)
-		this.busy.add(requestName(record))
+		this.busy.add(formatRequestId(record))
 		const { customer, key } = record
 		this.effects.commands.push({ kind: 'finish', customer, key, ...end, at: moment.at })
 		if (this.state.requests.head(customer) === record) this.chainNext(customer, moment)
@@ -406,15 +406,15 @@
 		for (const waiter of this.waiters.takeDue(moment.now)) {
 			const record = this.state.requests.find(waiter.customer, waiter.key)
 			if (record?.phase === Phase.Finished) continue
-			const waits = record?.phase === Phase.Admitted && !this.busy.has(requestName(record))
+			const waits = record?.phase === Phase.Admitted && !this.busy.has(formatRequestId(record))
 			if (waits) this.isTooLate(record, moment)
-			else this.waiters.lookAgain(waiter, moment.now)
+			else this.waiters.recheckLater(waiter, moment.now)
 		}
 	}
 
 	private park(record: RequestRecord, moment: Moment): void {
-		if (this.busy.has(requestName(record))) return
-		this.busy.add(requestName(record))
+		if (this.busy.has(formatRequestId(record))) return
+		this.busy.add(formatRequestId(record))
 		const { customer, key } = record
 		this.effects.commands.push({ kind: 'park', customer, key, at: moment.at })
 	}
@@ -425,12 +425,12 @@
 		if (record.phase === Phase.Admitted) {
 			const patience = addDriftMargin(START_WINDOW_MS)
 			const fresh = now - this.takenOverAt < patience
-			if (!fresh && !this.waiters.anyFor(record)) this.park(record, moment)
+			if (!fresh && !this.waiters.has(record)) this.park(record, moment)
 			return
 		}
 		if (this.doubts.has(record)) return
 		const silent = now - this.holders.lastHeartbeatOf(record.holder, now)
-		if (silent > addDriftMargin(START_WINDOW_MS)) this.doubts.abandoned(record, now)
+		if (silent > addDriftMargin(START_WINDOW_MS)) this.doubts.addAfterHolderLoss(record, now)
 		else this.sayGoAgain(record, moment)
 	}
 
@@ -447,6 +447,6 @@
 	}
 
 	private refuseReuse(from: string, submit: Submit): void {
-		this.verdicts.refuse(from, submit, Problem.KeyReused)
+		this.verdicts.sendRefusal(from, submit, Problem.KeyReused)
 	}
 }
--- a/packages/cell/src/lib/leader/SlotChoice.ts
+++ b/packages/cell/src/lib/leader/SlotSelector.ts
@@ -1,17 +1,17 @@
-/** Chooses workers for requests, by free slots and health, a few candidates at a time. */
+/** Selects workers for requests by free slots and health, from a few random candidates. */
 import type { WorkerHealth } from '@rillrudder/scheduler'
 import type { Random } from '@rillrudder/utils'
 import type { WorkerTable, WorkerRecord } from '../state/WorkerTable'
 
-const SAMPLE = 4
-const REFRESH_EVERY = 200
+const SAMPLE_SIZE = 4
+const REFRESH_INTERVAL_MS = 200
 
 /**
- * The workers that requests may go to.
+ * Selects workers for requests and counts the slots of commands that are not applied yet.
  *
  * @internal
  */
-export class SlotChoice {
+export class SlotSelector {
 	private open: WorkerRecord[] = []
 	private refreshedAt = Number.NEGATIVE_INFINITY
 	/** Slots taken by commands that have not been applied yet. */
@@ -23,60 +23,65 @@
 		private readonly random: Random
 	) {}
 
-	/** WorkerPolls again at which workers are open. */
+	/** Recomputes which workers are open. */
 	refresh(now: number): void {
 		this.refreshedAt = now
 		this.open = []
 		for (const worker of this.workers.all()) {
-			if (this.mayTake(worker, now)) this.open.push(worker)
+			if (this.canTakeWork(worker, now)) this.open.push(worker)
 		}
 	}
 
-	/** @returns whether new work may go to a worker. */
-	mayTake(worker: WorkerRecord, now: number): boolean {
+	/** @returns whether a worker can be given new work. */
+	canTakeWork(worker: WorkerRecord, now: number): boolean {
 		return worker.state === 'live' && this.health.isOpen(worker.id, now)
 	}
 
-	/** Slots that open workers have, free or not. */
+	/** @returns the number of slots of all open workers, free or in use. */
 	totalSlots(now: number): number {
-		this.refreshWhenOld(now)
+		this.refreshIfStale(now)
 		return this.open.reduce((sum, worker) => sum + worker.slots, 0)
 	}
 
-	/** @returns the one with the most free of a few drawn at random, or of all when those are full. */
+	/**
+	 * @param now - monotonic milliseconds.
+	 * @param avoid - a worker that is selected only if no other one has a free slot.
+	 * @returns the worker with the most free slots in a small random sample, or among all open workers
+	 * if the sample has none; undefined if no slot is free.
+	 */
 	choose(now: number, avoid = ''): WorkerRecord | undefined {
-		this.refreshWhenOld(now)
+		this.refreshIfStale(now)
 		if (this.open.length === 0) return undefined
 		let best: WorkerRecord | undefined
-		for (let draw = 0; draw < SAMPLE; draw++) {
+		for (let draw = 0; draw < SAMPLE_SIZE; draw++) {
 			best = this.better(best, this.random.pick(this.open), avoid)
 		}
 		if (best) return best
 		for (const worker of this.open) best = this.better(best, worker, avoid)
-		return best ?? this.open.find((worker) => this.free(worker) > 0)
+		return best ?? this.open.find((worker) => this.freeSlotsOf(worker) > 0)
 	}
 
 	/** Counts a slot as taken until the command that takes it is applied. */
-	hold(worker: string, slots = 1): void {
+	reserve(worker: string, slots = 1): void {
 		this.pending.set(worker, (this.pending.get(worker) ?? 0) + slots)
 	}
 
-	/** The command has been applied, or never will be. */
-	unhold(worker: string, slots = 1): void {
+	/** Releases slots whose command has been applied or will never be applied. */
+	release(worker: string, slots = 1): void {
 		const left = (this.pending.get(worker) ?? 0) - slots
 		if (left > 0) this.pending.set(worker, left)
 		else this.pending.delete(worker)
 	}
 
-	/** Forgets what is held, when leadership changes. */
+	/** Discards all reservations when leadership changes. */
 	clear(): void {
 		this.pending.clear()
 		this.refreshedAt = Number.NEGATIVE_INFINITY
 	}
 
-	/** Slots of a worker that nobody has. */
-	free(worker: WorkerRecord): number {
-		// The record in the table is replaced when the worker changes, so it is looked up anew.
+	/** @returns the number of free slots of a worker; a worker on probe counts as having one slot. */
+	freeSlotsOf(worker: WorkerRecord): number {
+		// The table replaces the record when the worker changes, so the current one is looked up.
 		const record = this.workers.find(worker.id)
 		if (!record || record.state !== 'live') return 0
 		const limit = this.health.isOnProbe(worker.id) ? 1 : record.slots
@@ -88,11 +93,11 @@
 		worker: WorkerRecord,
 		avoid: string
 	): WorkerRecord | undefined {
-		if (worker.id === avoid || this.free(worker) <= 0) return best
-		return !best || this.free(worker) > this.free(best) ? worker : best
+		if (worker.id === avoid || this.freeSlotsOf(worker) <= 0) return best
+		return !best || this.freeSlotsOf(worker) > this.freeSlotsOf(best) ? worker : best
 	}
 
-	private refreshWhenOld(now: number): void {
-		if (now - this.refreshedAt >= REFRESH_EVERY) this.refresh(now)
+	private refreshIfStale(now: number): void {
+		if (now - this.refreshedAt >= REFRESH_INTERVAL_MS) this.refresh(now)
 	}
 }
