--- a/packages/cell/src/index.ts
+++ b/packages/cell/src/index.ts
@@ -28,7 +28,7 @@
 	Effects,
 	type GroupCall,
 	type Moment,
-	type Sending,
+	type OutgoingEvent,
 	type SettleCall,
 	type WorkerExchange,
 } from './lib/leader/Effects'
--- a/packages/cell/src/lib/leader/Effects.ts
+++ b/packages/cell/src/lib/leader/Effects.ts
@@ -1,4 +1,4 @@
-/** What a controller asks its process to do. */
+/** The side effects that a controller asks its process to carry out. */
 import type { Event } from '@rillrudder/protocol'
 import type { DataCentreCommand } from '../commands/DataCentreCommand'
 import type { OperatorCall } from './operatorCalls'
@@ -11,12 +11,12 @@
 }
 
 /** An event for another process. @public */
-export interface Sending {
+export interface OutgoingEvent {
 	readonly to: string
 	readonly event: Event
 }
 
-/** A worker is to be asked how an attempt ended. @public */
+/** A call that asks a worker for the outcome of an attempt. @public */
 export interface SettleCall {
 	readonly worker: string
 	readonly address: string
@@ -33,38 +33,53 @@
 }
 
 /**
- * The effects of the steps since they were last taken. All are to be carried out at once, or not at
- * all: the right to act was looked at when they were made.
+ * The effects collected since the last `take`. They must be carried out immediately or dropped: the
+ * right to act was checked when they were added.
  *
  * @public
  */
 export class Effects {
 	commands: DataCentreCommand[] = []
-	sendings: Sending[] = []
-	settles: SettleCall[] = []
+	outgoingEvents: OutgoingEvent[] = []
+	settleCalls: SettleCall[] = []
 	exchanges: WorkerExchange[] = []
 	groupCalls: GroupCall[] = []
 
-	/** @returns everything gathered, and forgets it. */
-	take(): Pick<Effects, 'commands' | 'sendings' | 'settles' | 'exchanges' | 'groupCalls'> {
-		const { commands, sendings, settles, exchanges, groupCalls } = this
+	/** @returns all collected effects, and clears the collection. */
+	take(): Pick<
+		Effects,
+		'commands' | 'outgoingEvents' | 'settleCalls' | 'exchanges' | 'groupCalls'
+	> {
+		const { commands, outgoingEvents, settleCalls, exchanges, groupCalls } = this
 		this.commands = []
-		this.sendings = []
-		this.settles = []
+		this.outgoingEvents = []
+		this.settleCalls = []
 		this.exchanges = []
 		this.groupCalls = []
-		return { commands, sendings, settles, exchanges, groupCalls }
+		return {
+			commands,
+			outgoingEvents,
+			settleCalls,
+			exchanges,
+			groupCalls,
+		}
 	}
 
-	/** Whether there is nothing to do. */
-	get empty(): boolean {
-		const lists = [this.commands, this.sendings, this.settles, this.exchanges, this.groupCalls]
+	/** Whether no effects are collected. */
+	get isEmpty(): boolean {
+		const lists = [
+			this.commands,
+			this.outgoingEvents,
+			this.settleCalls,
+			this.exchanges,
+			this.groupCalls,
+		]
 		return lists.every((list) => list.length === 0)
 	}
 }
 
 /**
- * The moment of a step, and whether its controller may act for its data centre.
+ * The time and the term in which a controller takes a step.
  *
  * @public
  */
--- a/packages/cell/src/lib/leader/LeaderDriver.ts
+++ b/packages/cell/src/lib/leader/LeaderDriver.ts
@@ -180,13 +180,13 @@
 	/** Carries out what was decided. To be called after every step, before anything is waited for. */
 	carryOut(): void {
 		const { effects } = this.controller
-		if (effects.empty || !this.mayDecide) return
-		const { commands, sendings, settles, exchanges, groupCalls } = effects.take()
+		if (effects.isEmpty || !this.mayDecide) return
+		const { commands, outgoingEvents, settleCalls, exchanges, groupCalls } = effects.take()
 		const { surroundings } = this.parts
 		if (commands.length > 0) this.group?.propose(commands.map(encodeDataCentreCommand))
-		for (const { to, event } of sendings) surroundings.send(to, event)
+		for (const { to, event } of outgoingEvents) surroundings.send(to, event)
 		for (const exchange of exchanges) surroundings.exchange(exchange)
-		for (const call of settles) surroundings.settle(call)
+		for (const call of settleCalls) surroundings.settle(call)
 		for (const call of groupCalls) surroundings.callGroup(call)
 	}
 
--- a/packages/cell/src/lib/leader/LoanController.ts
+++ b/packages/cell/src/lib/leader/LoanController.ts
@@ -127,7 +127,7 @@
 			grant: loan?.grant ?? 0,
 			term: moment.term,
 		}
-		this.effects.sendings.push({ to: holder.id, event: { body: { $case: 'loans', value } } })
+		this.effects.outgoingEvents.push({ to: holder.id, event: { body: { $case: 'loans', value } } })
 	}
 
 	private release(holder: string): void {
--- a/packages/cell/src/lib/leader/RequestController.ts
+++ b/packages/cell/src/lib/leader/RequestController.ts
@@ -365,7 +365,7 @@
 			group: this.homes.name,
 			incarnation: holder.incarnation,
 		}
-		this.effects.sendings.push({ to: holder.id, event: { body: { $case: 'go', value } } })
+		this.effects.outgoingEvents.push({ to: holder.id, event: { body: { $case: 'go', value } } })
 	}
 
 	/**
@@ -443,7 +443,7 @@
 			return
 		}
 		const value = { group, leader: '', customer, key }
-		this.effects.sendings.push({ to: from, event: { body: { $case: 'redirect', value } } })
+		this.effects.outgoingEvents.push({ to: from, event: { body: { $case: 'redirect', value } } })
 	}
 
 	private refuseReuse(from: string, submit: Submit): void {
--- a/packages/cell/src/lib/leader/UnresolvedAttempts.ts
+++ b/packages/cell/src/lib/leader/UnresolvedAttempts.ts
@@ -102,7 +102,7 @@
 		const { customer, key, worker } = attempt.record
 		const address = this.state.workers.find(worker)?.address
 		if (address === undefined) return
-		this.effects.settles.push({ worker, address, customer, key, fence: attempt.fence })
+		this.effects.settleCalls.push({ worker, address, customer, key, fence: attempt.fence })
 	}
 }
 
--- a/packages/cell/src/lib/leader/VerdictSender.ts
+++ b/packages/cell/src/lib/leader/VerdictSender.ts
@@ -82,6 +82,6 @@
 		const wait = Math.ceil(this.estimateWait(customer))
 		const retryAfterMs = Math.min(MAX_RETRY_AFTER_MS, Math.max(MIN_RETRY_AFTER_MS, wait))
 		const value = { customer, key, outcome, problem, answer, retryAfterMs }
-		this.effects.sendings.push({ to, event: { body: { $case: 'verdict', value } } })
+		this.effects.outgoingEvents.push({ to, event: { body: { $case: 'verdict', value } } })
 	}
 }
