--- a/apps/control/src/lib/groups/DataCentreHost.ts
+++ b/apps/control/src/lib/groups/DataCentreHost.ts
@@ -54,22 +54,22 @@
 		this.parts.metrics.count(Metric.Exchanges)
 		void this.parts.workers
 			.exchange(exchange)
-			.then((reply) => this.post((driver) => driver.replied(exchange.worker, reply)))
+			.then((reply) => this.post((driver) => driver.onExchangeReply(exchange.worker, reply)))
 	}
 
 	override settle(call: SettleCall): void {
 		void this.parts.workers
 			.settle(call)
-			.then((reply) => reply && this.post((driver) => driver.settled(call, reply)))
+			.then((reply) => reply && this.post((driver) => driver.onSettleReply(call, reply)))
 	}
 
 	override callGroup(call: GroupCall): void {
 		void this.parts
 			.callGroup(call.group, call.call)
-			.then((reply) => this.post((driver) => driver.claimAnswered(call, reply)))
+			.then((reply) => this.post((driver) => driver.onClaimReply(call, reply)))
 	}
 
-	override leadership(gained: boolean): void {
+	override onLeadershipChanged(gained: boolean): void {
 		const { log, metrics, layout } = this.parts
 		if (gained) metrics.count(Metric.LeadershipGained, 1, layout.name)
 		log.info(gained ? 'leadership-gained' : 'leadership-lost', { group: layout.name })
@@ -90,7 +90,14 @@
 		const { layout, self, random, dataCentres, inForce } = parts
 		const { name } = layout
 		const surroundings = new ProcessEnvironment(parts, (step) => void this.mailbox.post(step))
-		this.driver = new LeaderDriver({ name, self, random, dataCentres, inForce, surroundings })
+		this.driver = new LeaderDriver({
+			name,
+			self,
+			random,
+			dataCentres,
+			inForce,
+			environment: surroundings,
+		})
 	}
 
 	/** Name of the data centre. */
@@ -123,17 +130,17 @@
 
 	/** Takes an operator's call, or says who leads. */
 	call(call: OperatorCall, reply: ReplyTo): void {
-		this.post((driver) => driver.call(call, reply))
+		this.post((driver) => driver.onOperatorCall(call, reply))
 	}
 
 	/** Takes the platform's list. */
 	list(workers: readonly ListedWorker[]): void {
-		this.post((driver) => driver.list(workers))
+		this.post((driver) => driver.onWorkerList(workers))
 	}
 
 	/** The configuration has changed. */
 	configured(): void {
-		this.post((driver) => driver.configured())
+		this.post((driver) => driver.onConfigurationChanged())
 	}
 
 	/** Hands leadership over, for a planned stop. */
@@ -168,7 +175,7 @@
 
 	private tickController(): void {
 		this.driver.tick()
-		const { requestsOpen, tasksWaiting, tasksRunning, workersClosed } = this.driver.figures
+		const { requestsOpen, tasksWaiting, tasksRunning, workersClosed } = this.driver.stats
 		const { metrics } = this.parts
 		metrics.gauge(Metric.RequestsOpen, requestsOpen, this.name)
 		metrics.gauge(Metric.TasksWaiting, tasksWaiting, this.name)
--- a/apps/control/src/lib/groups/SystemHost.ts
+++ b/apps/control/src/lib/groups/SystemHost.ts
@@ -26,8 +26,8 @@
 		this.driver = new SystemDriver({
 			self,
 			at: () => clock.date().getTime(),
-			accepted,
-			leadership: (gained) =>
+			onConfiguration: accepted,
+			onLeadershipChanged: (gained) =>
 				log.info(gained ? 'leadership-gained' : 'leadership-lost', { group: SYSTEM_GROUP }),
 		})
 	}
@@ -54,7 +54,7 @@
 
 	/** Takes an operator's call, or says who leads. */
 	call(call: OperatorCall, reply: ReplyTo): void {
-		this.driver.call(call, reply)
+		this.driver.onOperatorCall(call, reply)
 	}
 
 	/** Lets time pass. */
--- a/packages/cell/src/lib/leader/DataCentreController.ts
+++ b/packages/cell/src/lib/leader/DataCentreController.ts
@@ -20,7 +20,7 @@
 import { WorkerController, type ListedWorker } from './WorkerController'
 import type { ExchangeReply, SettleReply } from './workerProtocol'
 
-const FORGET_EVERY = 10_000
+const FORGET_INTERVAL_MS = 10_000
 
 /** What a controller decides with. @public */
 export interface ControllerParts {
@@ -51,7 +51,7 @@
 	private readonly operators: OperatorController
 	private readonly homes: HomeController
 	private leading = false
-	private forgetDue = 0
+	private nextForgetAt = 0
 
 	/** @param parts - the state and what else decisions need. */
 	constructor(private readonly parts: ControllerParts) {
@@ -73,12 +73,12 @@
 	}
 
 	/** Whether this controller decides. */
-	get active(): boolean {
+	get isActive(): boolean {
 		return this.leading
 	}
 
 	/** Numbers for metrics. */
-	get figures() {
+	get stats() {
 		const { requests } = this.parts.state
 		const { waitingCount, tasksRunning } = this.tasks.placement
 		return {
@@ -103,7 +103,7 @@
 	}
 
 	/** Its replica no longer leads. */
-	resign(): void {
+	stepDown(): void {
 		this.leading = false
 		this.effects.take()
 		this.holders.clear()
@@ -117,12 +117,12 @@
 	}
 
 	/** The configuration has changed. */
-	configured(): void {
+	onConfigurationChanged(): void {
 		if (this.leading) this.tasks.configured()
 	}
 
 	/** Takes a heartbeat of an entry instance. */
-	beat(from: string, beat: Beat, moment: Moment): void {
+	onHeartbeat(from: string, beat: Beat, moment: Moment): void {
 		const { holder, replaced } = this.holders.onHeartbeat(from, beat, moment.now)
 		if (replaced) this.requests.onHolderReplaced(replaced.incarnationId, moment)
 		for (const sign of beat.signs) {
@@ -135,28 +135,34 @@
 	}
 
 	/** Takes a request. */
-	submit(from: string, submit: Submit, moment: Moment): void {
+	onSubmit(from: string, submit: Submit, moment: Moment): void {
 		this.requests.submit(from, submit, moment)
 	}
 
 	/** Takes the end of an attempt. */
-	report(from: string, report: Report, moment: Moment): void {
-		if (report.refusal === 'leaving') this.refusedLeaving(report, moment)
+	onReport(from: string, report: Report, moment: Moment): void {
+		if (report.refusal === 'leaving') this.onLeavingRefusal(report, moment)
 		this.requests.report(from, report, moment)
 	}
 
 	/** The caller no longer waits. */
-	withdraw(from: string, withdraw: Withdraw, moment: Moment): void {
+	onWithdraw(from: string, withdraw: Withdraw, moment: Moment): void {
 		this.requests.withdraw(from, withdraw, moment)
 	}
 
 	/** Takes a worker's word on an attempt in doubt. */
-	settled(customer: string, key: string, fence: number, reply: SettleReply, moment: Moment): void {
+	onSettleReply(
+		customer: string,
+		key: string,
+		fence: number,
+		reply: SettleReply,
+		moment: Moment
+	): void {
 		this.requests.settled(customer, key, fence, reply, moment)
 	}
 
 	/** Takes a worker's report on its tasks. */
-	reply(worker: string, reply: ExchangeReply, moment: Moment): void {
+	onExchangeReply(worker: string, reply: ExchangeReply, moment: Moment): void {
 		if (reply.leaving) this.workers.leaving(worker, 'it says so', moment)
 		this.tasks.reply(worker, reply, moment)
 		for (const one of reply.ended) {
@@ -167,23 +173,23 @@
 	}
 
 	/** A worker did not answer an exchange. */
-	silent(worker: string): void {
+	onExchangeFailed(worker: string): void {
 		this.tasks.silent(worker)
 	}
 
 	/** Takes the platform's list of workers. */
-	list(workers: readonly ListedWorker[], moment: Moment): void {
+	onWorkerList(workers: readonly ListedWorker[], moment: Moment): void {
 		this.workers.list(workers, moment)
 	}
 
 	/** Takes an operator's call. */
-	call(call: OperatorCall, moment: Moment, reply: ReplyTo): void {
+	onOperatorCall(call: OperatorCall, moment: Moment, reply: ReplyTo): void {
 		if (call.kind === 'take-home') this.homes.claimed(call, moment, reply)
 		else this.operators.call(call, moment, reply)
 	}
 
 	/** Takes another data centre's answer to a claim of a customer's home. */
-	claimAnswered(call: GroupCall, reply: OperatorReply): void {
+	onClaimReply(call: GroupCall, reply: OperatorReply): void {
 		this.homes.answered(call.call, call.group, reply)
 	}
 
@@ -196,11 +202,11 @@
 			this.tasks.setHealthy(worker.id, this.health.isOpen(worker.id, moment.now))
 		}
 		this.tasks.tick(moment)
-		this.forget(moment)
+		this.proposeForget(moment)
 	}
 
 	/** A command was committed and applied. */
-	applied(applied: Applied, moment: Moment): void {
+	onCommandApplied(applied: Applied, moment: Moment): void {
 		const { command, counted } = applied
 		switch (command.kind) {
 			case 'admit':
@@ -217,9 +223,9 @@
 				return this.loans.changed(command, moment)
 			case 'worker':
 				this.workers.changed(command.id)
-				return this.workerChanged(command.id, moment)
+				return this.onWorkerChanged(command.id, moment)
 			case 'drain':
-				this.workerChanged(command.worker, moment)
+				this.onWorkerChanged(command.worker, moment)
 				return this.operators.committed(command)
 			case 'confirm':
 				if (counted) this.tasks.confirmed(this.waitingTasksOf(command.plan))
@@ -244,13 +250,13 @@
 		}
 	}
 
-	private refusedLeaving(report: Report, moment: Moment): void {
+	private onLeavingRefusal(report: Report, moment: Moment): void {
 		const record = this.parts.state.requests.find(report.customer, report.key)
 		const same = record?.attempt === report.attempt
 		if (record && same) this.workers.leaving(record.worker, 'it refused work', moment)
 	}
 
-	private workerChanged(id: string, moment: Moment): void {
+	private onWorkerChanged(id: string, moment: Moment): void {
 		this.slots.refresh(moment.now)
 		this.tasks.workerChanged(id)
 		if (!this.parts.state.workers.find(id)) this.health.forget(id)
@@ -264,9 +270,9 @@
 			.filter((record) => record.task.id.startsWith(prefix) && record.phase === 'waiting')
 	}
 
-	private forget(moment: Moment): void {
-		if (moment.now < this.forgetDue) return
-		this.forgetDue = moment.now + FORGET_EVERY
+	private proposeForget(moment: Moment): void {
+		if (moment.now < this.nextForgetAt) return
+		this.nextForgetAt = moment.now + FORGET_INTERVAL_MS
 		const { keepAnswers, keepKeys, answerMemory } = this.parts.inForce().configuration.limits
 		const answersBefore = moment.at - keepAnswers
 		const keysBefore = moment.at - keepKeys
--- a/packages/cell/src/lib/leader/LeaderDriver.ts
+++ b/packages/cell/src/lib/leader/LeaderDriver.ts
@@ -41,7 +41,7 @@
 	/** Calls the leader of another group; the reply goes to `LeaderDriver.claimAnswered`. */
 	abstract callGroup(call: GroupCall): void
 	/** Leadership was gained or lost. */
-	abstract leadership(gained: boolean): void
+	abstract onLeadershipChanged(gained: boolean): void
 }
 
 /** What a driver is made with. @public */
@@ -54,7 +54,7 @@
 	readonly dataCentres: readonly string[]
 	/** @returns what is in force. */
 	readonly inForce: () => InForce
-	readonly surroundings: Environment
+	readonly environment: Environment
 }
 
 type Step = (moment: Moment) => void
@@ -93,12 +93,12 @@
 
 	/** Whether this process decides for the data centre. */
 	get leads(): boolean {
-		return this.controller.active
+		return this.controller.isActive
 	}
 
 	/** Numbers for metrics. */
-	get figures() {
-		return this.controller.figures
+	get stats() {
+		return this.controller.stats
 	}
 
 	/** Takes an event of an entry instance, or says who leads. */
@@ -106,19 +106,21 @@
 		const body = event.body
 		switch (body?.$case) {
 			case 'beat':
-				return this.decide(from, '', '', (moment) => this.controller.beat(from, body.value, moment))
+				return this.decideOrRedirect(from, '', '', (moment) =>
+					this.controller.onHeartbeat(from, body.value, moment)
+				)
 			case 'submit': {
 				const { customer, key } = body.value
-				const step: Step = (moment) => this.controller.submit(from, body.value, moment)
-				return this.decide(from, customer, key, step)
+				const step: Step = (moment) => this.controller.onSubmit(from, body.value, moment)
+				return this.decideOrRedirect(from, customer, key, step)
 			}
 			case 'report':
-				return this.decide(from, '', '', (moment) =>
-					this.controller.report(from, body.value, moment)
+				return this.decideOrRedirect(from, '', '', (moment) =>
+					this.controller.onReport(from, body.value, moment)
 				)
 			case 'withdraw':
-				return this.decide(from, '', '', (moment) =>
-					this.controller.withdraw(from, body.value, moment)
+				return this.decideOrRedirect(from, '', '', (moment) =>
+					this.controller.onWithdraw(from, body.value, moment)
 				)
 			default:
 				return
@@ -126,101 +128,101 @@
 	}
 
 	/** Takes an operator's call, or says who leads. */
-	call(call: OperatorCall, reply: ReplyTo): void {
-		if (this.mayDecide) this.controller.call(call, this.moment(), reply)
+	onOperatorCall(call: OperatorCall, reply: ReplyTo): void {
+		if (this.canDecide) this.controller.onOperatorCall(call, this.moment(), reply)
 		else reply({ code: NOT_THE_LEADER, message: this.group?.leader ?? '' })
 	}
 
 	/** Takes the platform's list. */
-	list(workers: readonly ListedWorker[]): void {
+	onWorkerList(workers: readonly ListedWorker[]): void {
 		const here = workers.filter((worker) => worker.dataCentre === this.parts.name)
-		if (this.mayDecide) this.controller.list(here, this.moment())
+		if (this.canDecide) this.controller.onWorkerList(here, this.moment())
 	}
 
 	/** Takes a worker's reply; undefined when none came. */
-	replied(worker: string, reply: ExchangeReply | undefined): void {
-		if (!this.mayDecide) return
-		if (reply) this.controller.reply(worker, reply, this.moment())
-		else this.controller.silent(worker)
+	onExchangeReply(worker: string, reply: ExchangeReply | undefined): void {
+		if (!this.canDecide) return
+		if (reply) this.controller.onExchangeReply(worker, reply, this.moment())
+		else this.controller.onExchangeFailed(worker)
 	}
 
 	/** Takes a worker's word on an attempt. */
-	settled(call: SettleCall, reply: SettleReply): void {
+	onSettleReply(call: SettleCall, reply: SettleReply): void {
 		const { customer, key, fence } = call
-		if (this.mayDecide) this.controller.settled(customer, key, fence, reply, this.moment())
+		if (this.canDecide) this.controller.onSettleReply(customer, key, fence, reply, this.moment())
 	}
 
 	/** Takes another data centre's answer to a claim of a customer's home. */
-	claimAnswered(call: GroupCall, reply: OperatorReply): void {
-		if (this.mayDecide) this.controller.claimAnswered(call, reply)
+	onClaimReply(call: GroupCall, reply: OperatorReply): void {
+		if (this.canDecide) this.controller.onClaimReply(call, reply)
 	}
 
 	/** The configuration has changed. */
-	configured(): void {
-		this.controller.configured()
+	onConfigurationChanged(): void {
+		this.controller.onConfigurationChanged()
 	}
 
 	/** Lets time pass. */
 	tick(): void {
-		if (this.mayDecide) this.controller.tick(this.moment())
+		if (this.canDecide) this.controller.tick(this.moment())
 	}
 
 	/** The group has taken a step: leadership may have moved, and commands may have been applied. */
 	followGroup(): number {
 		this.followLeadership()
-		if (!this.controller.active) this.applied = []
-		if (!this.mayDecide) return 0
+		if (!this.controller.isActive) this.applied = []
+		if (!this.canDecide) return 0
 		const applied = this.applied
 		this.applied = []
 		const moment = this.moment()
-		for (const one of applied) this.controller.applied(one, moment)
+		for (const one of applied) this.controller.onCommandApplied(one, moment)
 		return applied.length
 	}
 
 	/** Carries out what was decided. To be called after every step, before anything is waited for. */
 	carryOut(): void {
 		const { effects } = this.controller
-		if (effects.isEmpty || !this.mayDecide) return
+		if (effects.isEmpty || !this.canDecide) return
 		const { commands, outgoingEvents, settleCalls, exchanges, groupCalls } = effects.take()
-		const { surroundings } = this.parts
+		const { environment } = this.parts
 		if (commands.length > 0) this.group?.propose(commands.map(encodeDataCentreCommand))
-		for (const { to, event } of outgoingEvents) surroundings.send(to, event)
-		for (const exchange of exchanges) surroundings.exchange(exchange)
-		for (const call of settleCalls) surroundings.settle(call)
-		for (const call of groupCalls) surroundings.callGroup(call)
+		for (const { to, event } of outgoingEvents) environment.send(to, event)
+		for (const exchange of exchanges) environment.exchange(exchange)
+		for (const call of settleCalls) environment.settle(call)
+		for (const call of groupCalls) environment.callGroup(call)
 	}
 
 	/** Whether the controller decides now; the lease is looked at anew at every step. */
-	private get mayDecide(): boolean {
-		return this.controller.active && this.group?.mayAct === true
+	private get canDecide(): boolean {
+		return this.controller.isActive && this.group?.mayAct === true
 	}
 
-	private decide(from: string, customer: string, key: string, step: Step): void {
-		if (this.mayDecide) {
+	private decideOrRedirect(from: string, customer: string, key: string, step: Step): void {
+		if (this.canDecide) {
 			step(this.moment())
 			return
 		}
-		const { name, self, surroundings } = this.parts
-		const known = this.group?.leader ?? ''
-		const leader = known === self ? '' : known
+		const { name, self, environment } = this.parts
+		const knownLeader = this.group?.leader ?? ''
+		const leader = knownLeader === self ? '' : knownLeader
 		const value = { group: name, leader, customer, key }
-		surroundings.send(from, { body: { $case: 'redirect', value } })
+		environment.send(from, { body: { $case: 'redirect', value } })
 	}
 
 	private followLeadership(): void {
 		if (!this.group) return
-		if (this.controller.active && !this.group.leads) {
-			this.controller.resign()
-			this.parts.surroundings.leadership(false)
-		} else if (!this.controller.active && this.group.mayAct) {
+		if (this.controller.isActive && !this.group.leads) {
+			this.controller.stepDown()
+			this.parts.environment.onLeadershipChanged(false)
+		} else if (!this.controller.isActive && this.group.mayAct) {
 			this.applied = []
 			this.controller.takeOver(this.moment())
-			this.parts.surroundings.leadership(true)
+			this.parts.environment.onLeadershipChanged(true)
 		}
 	}
 
 	private moment(): Moment {
-		const { surroundings } = this.parts
-		return { now: surroundings.now(), at: surroundings.at(), term: this.group?.term ?? 0 }
+		const { environment } = this.parts
+		return { now: environment.now(), at: environment.at(), term: this.group?.term ?? 0 }
 	}
 }
--- a/packages/cell/src/lib/leader/SystemDriver.ts
+++ b/packages/cell/src/lib/leader/SystemDriver.ts
@@ -15,9 +15,9 @@
 	/** Milliseconds since the epoch. */
 	readonly at: () => number
 	/** Told of the configuration in force whenever the group has taken a step. */
-	readonly accepted: (revision: KeptRevision) => void
+	readonly onConfiguration: (revision: KeptRevision) => void
 	/** Leadership was gained or lost. */
-	readonly leadership: (gained: boolean) => void
+	readonly onLeadershipChanged: (gained: boolean) => void
 }
 
 /**
@@ -29,11 +29,11 @@
 	readonly state: SystemState
 	private readonly replies = new Map<string, ReplyTo[]>()
 	private group: GroupAccess | undefined
-	private led = false
+	private wasLeader = false
 
 	/** @param parts - identity and surroundings. */
 	constructor(private readonly parts: SystemDriverParts) {
-		this.state = new SystemState((command) => this.answer(command.request))
+		this.state = new SystemState((command) => this.answerWaiting(command.request))
 	}
 
 	/** Joins the group, once it is open. */
@@ -48,14 +48,14 @@
 	}
 
 	/** Takes an operator's call, or says who leads. */
-	call(call: OperatorCall, reply: ReplyTo): void {
+	onOperatorCall(call: OperatorCall, reply: ReplyTo): void {
 		if (!this.group?.mayAct) {
 			const leader = this.group?.leader ?? ''
 			reply({ code: NOT_THE_LEADER, message: leader === this.parts.self ? '' : leader })
 			return
 		}
 		if (this.state.answers.find(call.request)) {
-			this.say(call.request, reply)
+			this.sendAnswer(call.request, reply)
 			return
 		}
 		const { operator, request } = call
@@ -79,12 +79,12 @@
 	followGroup(): void {
 		if (!this.group) return
 		const { leads } = this.group
-		if (leads !== this.led) {
-			this.led = leads
-			this.parts.leadership(leads)
-			if (!leads) this.turnAway()
+		if (leads !== this.wasLeader) {
+			this.wasLeader = leads
+			this.parts.onLeadershipChanged(leads)
+			if (!leads) this.rejectWaiting()
 		}
-		this.parts.accepted(this.state.current)
+		this.parts.onConfiguration(this.state.current)
 	}
 
 	private propose(
@@ -92,10 +92,10 @@
 		at: number,
 		reply: ReplyTo
 	): void {
-		const read = parseConfiguration('configuration', call.document)
-		if (!read.ok) {
-			const content = { findings: read.error }
-			reply({ code: 422, message: read.error.map(formatFinding).join('\n'), content })
+		const parsed = parseConfiguration('configuration', call.document)
+		if (!parsed.ok) {
+			const content = { findings: parsed.error }
+			reply({ code: 422, message: parsed.error.map(formatFinding).join('\n'), content })
 			return
 		}
 		const { operator, request, replaces, document } = call
@@ -112,14 +112,14 @@
 		this.group?.propose([encodeSystemCommand(command)])
 	}
 
-	private answer(request: string): void {
+	private answerWaiting(request: string): void {
 		const waiting = this.replies.get(request) ?? []
 		this.replies.delete(request)
-		for (const reply of waiting) this.say(request, reply)
+		for (const reply of waiting) this.sendAnswer(request, reply)
 	}
 
 	/** A refused proposal is answered with what is in force instead. */
-	private say(request: string, reply: ReplyTo): void {
+	private sendAnswer(request: string, reply: ReplyTo): void {
 		const answer = this.state.answers.find(request)
 		if (!answer) return
 		const content = answer.accepted ? answer : { ...answer, current: this.state.current }
@@ -127,7 +127,7 @@
 	}
 
 	/** Those who wait ask again, and get the answer that was kept if there is one. */
-	private turnAway(): void {
+	private rejectWaiting(): void {
 		for (const waiting of this.replies.values()) {
 			for (const reply of waiting) reply({ code: 503, message: 'leadership has moved; ask again' })
 		}
--- a/packages/runs/src/lib/cell/RunControl.ts
+++ b/packages/runs/src/lib/cell/RunControl.ts
@@ -167,7 +167,7 @@
 	/** Takes the platform's list. */
 	list(workers: readonly ListedWorker[]): void {
 		for (const driver of this.drivers.values()) {
-			driver.list(workers)
+			driver.onWorkerList(workers)
 			driver.carryOut()
 		}
 	}
@@ -221,8 +221,8 @@
 		const system = new SystemDriver({
 			self: this.parts.self.id,
 			at: () => this.clock.date().getTime(),
-			accepted: (revision) => this.holder.install(revision),
-			leadership: () => undefined,
+			onConfiguration: (revision) => this.holder.install(revision),
+			onLeadershipChanged: () => undefined,
 		})
 		this.system = system
 		const running = this.addMember(layout, system.state, () => system.followGroup())
@@ -243,7 +243,7 @@
 			random: this.seeded(),
 			dataCentres: dataCentresOf(instances),
 			inForce: () => this.holder.inForce,
-			surroundings,
+			environment: surroundings,
 		})
 		surroundings.driver = driver
 		this.drivers.set(layout.name, driver)
@@ -316,7 +316,7 @@
 		const holder = new ConfigurationHolder(keeper, ({ revision }) => {
 			shown(revision)
 			this.relay?.changed()
-			for (const driver of this.drivers.values()) driver.configured()
+			for (const driver of this.drivers.values()) driver.onConfigurationChanged()
 		})
 		if (disk) holder.restore(disk.revision)
 		return holder
@@ -347,11 +347,11 @@
 
 	private callHere(group: string, call: OperatorCall, reply: ReplyTo): boolean {
 		if (group === SYSTEM_GROUP) {
-			this.system?.call(call, reply)
+			this.system?.onOperatorCall(call, reply)
 			return this.system !== undefined
 		}
 		const driver = this.drivers.get(group)
-		driver?.call(call, reply)
+		driver?.onOperatorCall(call, reply)
 		driver?.carryOut()
 		return driver !== undefined
 	}
--- a/packages/runs/src/lib/cell/RunEnvironment.ts
+++ b/packages/runs/src/lib/cell/RunEnvironment.ts
@@ -84,7 +84,7 @@
 	override exchange(exchange: WorkerExchange): void {
 		const { workers, process } = this.control.parts
 		workers.exchange(process, exchange, (reply) => {
-			this.driver.replied(exchange.worker, reply)
+			this.driver.onExchangeReply(exchange.worker, reply)
 			this.driver.carryOut()
 		})
 	}
@@ -92,19 +92,19 @@
 	override settle(call: SettleCall): void {
 		const { workers, process } = this.control.parts
 		workers.settle(process, call, (reply) => {
-			this.driver.settled(call, reply)
+			this.driver.onSettleReply(call, reply)
 			this.driver.carryOut()
 		})
 	}
 
 	override callGroup(call: GroupCall): void {
 		this.control.call(call.group, call.call, (reply) => {
-			this.driver.claimAnswered(call, reply)
+			this.driver.onClaimReply(call, reply)
 			this.driver.carryOut()
 		})
 	}
 
-	override leadership(): void {
+	override onLeadershipChanged(): void {
 		// Nothing to log in a run.
 	}
 }
