--- a/apps/control/src/lib/ControlProcess.ts
+++ b/apps/control/src/lib/ControlProcess.ts
@@ -18,7 +18,7 @@
 	servesPeer,
 	type OperatorCall,
 	type OperatorReply,
-	type ReplyTo,
+	type ReplyCallback,
 } from '@rillrudder/cell'
 import { randomInt, randomUUID } from 'node:crypto'
 import { VError } from 'verror'
@@ -232,7 +232,7 @@
 			self: this.settings.self.id,
 			clock: this.clock,
 			groups: this.groups,
-			name: () => randomUUID(),
+			newCallId: () => randomUUID(),
 			send: (to, event) => this.send(to, event),
 			callHere: (group, call, reply) => this.callHere(group, call, reply),
 		})
@@ -318,7 +318,7 @@
 		return new Promise((resolve) => this.router.call(group, call, resolve))
 	}
 
-	private callHere(group: string, call: OperatorCall, reply: ReplyTo): boolean {
+	private callHere(group: string, call: OperatorCall, reply: ReplyCallback): boolean {
 		if (group === SYSTEM_GROUP) {
 			this.system?.call(call, reply)
 			return this.system !== undefined
--- a/apps/control/src/lib/groups/DataCentreHost.ts
+++ b/apps/control/src/lib/groups/DataCentreHost.ts
@@ -6,7 +6,7 @@
 	type GroupCall,
 	type OperatorCall,
 	type OperatorReply,
-	type ReplyTo,
+	type ReplyCallback,
 	type SettleCall,
 	type WorkerExchange,
 } from '@rillrudder/cell'
@@ -129,7 +129,7 @@
 	}
 
 	/** Takes an operator's call, or says who leads. */
-	call(call: OperatorCall, reply: ReplyTo): void {
+	call(call: OperatorCall, reply: ReplyCallback): void {
 		this.post((driver) => driver.onOperatorCall(call, reply))
 	}
 
--- a/apps/control/src/lib/groups/SystemHost.ts
+++ b/apps/control/src/lib/groups/SystemHost.ts
@@ -1,5 +1,5 @@
 /** The system's group at work in this process. */
-import { SystemDriver, type OperatorCall, type ReplyTo } from '@rillrudder/cell'
+import { SystemDriver, type OperatorCall, type ReplyCallback } from '@rillrudder/cell'
 import type { Group } from '@rillrudder/group'
 import type { Event } from '@rillrudder/protocol'
 import { SYSTEM_GROUP, type KeptRevision } from '@rillrudder/settings'
@@ -53,7 +53,7 @@
 	}
 
 	/** Takes an operator's call, or says who leads. */
-	call(call: OperatorCall, reply: ReplyTo): void {
+	call(call: OperatorCall, reply: ReplyCallback): void {
 		this.driver.onOperatorCall(call, reply)
 	}
 
--- a/packages/cell/src/index.ts
+++ b/packages/cell/src/index.ts
@@ -38,7 +38,7 @@
 	type OperatorCall,
 	type OperatorReply,
 } from './lib/leader/operatorCalls'
-export type { ReplyTo } from './lib/leader/OperatorController'
+export type { ReplyCallback } from './lib/leader/OperatorController'
 export { OperatorRouter, type OperatorRouterParts } from './lib/leader/OperatorRouter'
 export { SystemDriver, type SystemDriverParts } from './lib/leader/SystemDriver'
 export {
--- a/packages/cell/src/lib/leader/DataCentreController.ts
+++ b/packages/cell/src/lib/leader/DataCentreController.ts
@@ -12,7 +12,7 @@
 import { HomeController } from './HomeController'
 import { LoanController } from './LoanController'
 import type { OperatorCall, OperatorReply } from './operatorCalls'
-import { OperatorController, type ReplyTo } from './OperatorController'
+import { OperatorController, type ReplyCallback } from './OperatorController'
 import { PlanController } from './PlanController'
 import { RequestController } from './RequestController'
 import { SlotSelector } from './SlotSelector'
@@ -131,7 +131,7 @@
 				this.health.onFailure(sign.worker, customer, moment.now)
 			for (let count = sign.succeeded; count > 0; count--) this.health.onSuccess(sign.worker)
 		}
-		this.loans.beat(holder, beat, moment)
+		this.loans.onHeartbeat(holder, beat, moment)
 	}
 
 	/** Takes a request. */
@@ -183,14 +183,14 @@
 	}
 
 	/** Takes an operator's call. */
-	onOperatorCall(call: OperatorCall, moment: Moment, reply: ReplyTo): void {
-		if (call.kind === 'take-home') this.homes.claimed(call, moment, reply)
-		else this.operators.call(call, moment, reply)
+	onOperatorCall(call: OperatorCall, moment: Moment, reply: ReplyCallback): void {
+		if (call.kind === 'take-home') this.homes.onClaim(call, moment, reply)
+		else this.operators.onCall(call, moment, reply)
 	}
 
 	/** Takes another data centre's answer to a claim of a customer's home. */
 	onClaimReply(call: GroupCall, reply: OperatorReply): void {
-		this.homes.answered(call.call, call.group, reply)
+		this.homes.onClaimReply(call.call, call.group, reply)
 	}
 
 	/** Lets time pass. */
@@ -220,19 +220,19 @@
 			case 'finish':
 				return this.requests.finished(command, moment)
 			case 'lend':
-				return this.loans.changed(command, moment)
+				return this.loans.onLoanChanged(command, moment)
 			case 'worker':
 				this.workers.changed(command.id)
 				return this.onWorkerChanged(command.id, moment)
 			case 'drain':
 				this.onWorkerChanged(command.worker, moment)
-				return this.operators.committed(command)
+				return this.operators.onCommitted(command)
 			case 'confirm':
 				if (counted) this.tasks.confirmed(this.waitingTasksOf(command.plan))
-				return this.operators.committed(command)
+				return this.operators.onCommitted(command)
 			case 'cancel':
 				if (counted) this.tasks.cancelled(this.parts.state.tasks.ofIntent(command.intent))
-				return this.operators.committed(command)
+				return this.operators.onCommitted(command)
 			case 'place':
 				return this.tasks.placed(command, counted)
 			case 'unplace':
@@ -242,9 +242,9 @@
 			case 'plan':
 			case 'reject':
 			case 'close-home':
-				return this.operators.committed(command)
+				return this.operators.onCommitted(command)
 			case 'open-home':
-				return this.homes.opened(command.customer)
+				return this.homes.onHomeOpened(command.customer)
 			case 'forget':
 				return
 		}
--- a/packages/cell/src/lib/leader/HomeController.ts
+++ b/packages/cell/src/lib/leader/HomeController.ts
@@ -12,19 +12,19 @@
 import type { RequestRecord } from '../state/RequestTable'
 import type { Effects, Moment } from './Effects'
 import type { OperatorCall, OperatorReply } from './operatorCalls'
-import type { ReplyTo } from './OperatorController'
+import type { ReplyCallback } from './OperatorController'
 
-const ASK_EVERY = 500
+const CLAIM_RETRY_INTERVAL_MS = 500
 /** Bytes of kept answers that go along with a home; the newest stay. */
-const MOST_ANSWER_BYTES = 8 * 1024 * 1024
+const MAX_ANSWER_BYTES = 8 * 1024 * 1024
 const SYSTEM = 'system'
 
 /** HTTP statuses of a claim's answer. */
-const ClaimAnswer = {
+const ClaimStatus = {
 	/** Closed, with nothing open: here are the keys. */
-	Given: 200,
+	Released: 200,
 	/** Ask again: it is being closed, or something is still open. */
-	Wait: 202,
+	Pending: 202,
 	/** A newer configuration names another home, or a newer claim was answered. */
 	Refused: 409,
 } as const
@@ -32,10 +32,10 @@
 interface Claim {
 	readonly customer: string
 	readonly revision: number
-	readonly given: Set<string>
+	readonly released: Set<string>
 	readonly records: RequestRecord[]
-	askAt: number
-	opening: boolean
+	nextCallAt: number
+	isOpening: boolean
 }
 
 type ClaimCall = Extract<OperatorCall, { kind: 'take-home' }>
@@ -47,7 +47,7 @@
  */
 export class HomeController {
 	private readonly claims = new Map<string, Claim>()
-	private readonly firstHomes = new Map<string, string>()
+	private readonly initialHomes = new Map<string, string>()
 
 	constructor(
 		/** Name of the data centre. */
@@ -61,13 +61,13 @@
 	/** Forgets what only a leader needs. */
 	clear(): void {
 		this.claims.clear()
-		this.firstHomes.clear()
+		this.initialHomes.clear()
 	}
 
 	/** Whether this data centre keeps a customer's order. */
 	owns(customer: string): boolean {
 		const record = this.state.homes.find(customer)
-		const open = record ? record.open : this.firstHome(customer) === this.name
+		const open = record ? record.open : this.initialHomeOf(customer) === this.name
 		return open && fencedAt(this.inForce().fences, this.name) <= (record?.revision ?? 0)
 	}
 
@@ -78,82 +78,82 @@
 	}
 
 	/** Starts to claim a customer whose home should be here. */
-	claim(customer: string): void {
+	startClaim(customer: string): void {
 		if (this.claims.has(customer)) return
 		const { revision } = this.inForce()
 		if (revision === 0) return
-		const claim = { customer, revision, given: new Set<string>(), records: [] }
-		this.claims.set(customer, { ...claim, askAt: 0, opening: false })
+		const claim = { customer, revision, released: new Set<string>(), records: [] }
+		this.claims.set(customer, { ...claim, nextCallAt: 0, isOpening: false })
 	}
 
 	/** Claims what the configuration names, and asks again where it is time. */
 	tick(moment: Moment): void {
 		for (const { name, home } of this.inForce().configuration.customers) {
-			if (home === this.name && !this.owns(name)) this.claim(name)
+			if (home === this.name && !this.owns(name)) this.startClaim(name)
 		}
-		for (const claim of this.claims.values()) this.pursue(claim, moment)
+		for (const claim of this.claims.values()) this.advanceClaim(claim, moment)
 	}
 
 	/** Takes another data centre's answer to a claim. */
-	answered(call: ClaimCall, from: string, reply: OperatorReply): void {
+	onClaimReply(call: ClaimCall, from: string, reply: OperatorReply): void {
 		const claim = this.claims.get(call.customer)
 		if (!claim || claim.revision !== call.revision) return
-		if (reply.code === ClaimAnswer.Refused) {
+		if (reply.code === ClaimStatus.Refused) {
 			this.claims.delete(call.customer)
-		} else if (reply.code === ClaimAnswer.Given && !claim.given.has(from)) {
-			claim.given.add(from)
+		} else if (reply.code === ClaimStatus.Released && !claim.released.has(from)) {
+			claim.released.add(from)
 			claim.records.push(...(reply.content as RequestRecord[]))
-			claim.askAt = 0
+			claim.nextCallAt = 0
 		}
 	}
 
 	/** A home was opened here, or was not: a newer move stands. */
-	opened(customer: string): void {
+	onHomeOpened(customer: string): void {
 		this.claims.delete(customer)
 	}
 
 	/** Another data centre claims a home. */
-	claimed(call: ClaimCall, moment: Moment, reply: ReplyTo): void {
+	onClaim(call: ClaimCall, moment: Moment, reply: ReplyCallback): void {
 		const { customer, to, revision } = call
 		const record = this.state.homes.find(customer)
 		if (record?.revision === revision && record.to === to) {
 			if (this.state.requests.openOf(customer) > 0) {
-				reply({ code: ClaimAnswer.Wait, message: 'ending what is open' })
+				reply({ code: ClaimStatus.Pending, message: 'ending what is open' })
 			} else {
-				reply({ code: ClaimAnswer.Given, message: '', content: this.recordsOf(customer) })
+				reply({ code: ClaimStatus.Released, message: '', content: this.recordsOf(customer) })
 			}
 			return
 		}
-		const newer = (record?.revision ?? 0) >= revision
-		const other = this.inForce().revision >= revision && this.homeOf(customer) !== to
-		if (newer || other) {
-			reply({ code: ClaimAnswer.Refused, message: 'a newer claim or configuration stands' })
+		const hasNewerClaim = (record?.revision ?? 0) >= revision
+		const namesOtherHome = this.inForce().revision >= revision && this.homeOf(customer) !== to
+		if (hasNewerClaim || namesOtherHome) {
+			reply({ code: ClaimStatus.Refused, message: 'a newer claim or configuration stands' })
 			return
 		}
-		reply({ code: ClaimAnswer.Wait, message: 'closing' })
-		this.close(call, moment)
+		reply({ code: ClaimStatus.Pending, message: 'closing' })
+		this.proposeClose(call, moment)
 	}
 
-	private close(call: ClaimCall, moment: Moment): void {
+	private proposeClose(call: ClaimCall, moment: Moment): void {
 		const { customer, to, revision } = call
 		const request = `close-${customer}-${to}-${revision}`
 		const part = { operator: SYSTEM, request, at: moment.at }
 		this.effects.commands.push({ kind: 'close-home', ...part, customer, to, revision })
 	}
 
-	private pursue(claim: Claim, moment: Moment): void {
+	private advanceClaim(claim: Claim, moment: Moment): void {
 		const { customer, revision } = claim
 		if (this.owns(customer) || this.homeOf(customer) !== this.name) {
 			this.claims.delete(customer)
 			return
 		}
-		if (claim.opening || moment.now < claim.askAt) return
-		claim.askAt = moment.now + ASK_EVERY
+		if (claim.isOpening || moment.now < claim.nextCallAt) return
+		claim.nextCallAt = moment.now + CLAIM_RETRY_INTERVAL_MS
 		const { fences } = this.inForce()
 		const others = this.dataCentres.filter((one) => one !== this.name)
-		const missing = others.filter((one) => !claim.given.has(one))
+		const missing = others.filter((one) => !claim.released.has(one))
 		if (missing.every((one) => isDown(fences, one))) {
-			this.open(claim, missing, moment)
+			this.proposeOpen(claim, missing, moment)
 			return
 		}
 		for (const group of missing) {
@@ -163,8 +163,8 @@
 		}
 	}
 
-	private open(claim: Claim, without: readonly string[], moment: Moment): void {
-		claim.opening = true
+	private proposeOpen(claim: Claim, without: readonly string[], moment: Moment): void {
+		claim.isOpening = true
 		const { customer, revision, records } = claim
 		const at = moment.at
 		const opening = { customer, revision, without: [...without], records, at }
@@ -172,24 +172,24 @@
 	}
 
 	/** It follows from names that do not change, and is asked for at every tick. */
-	private firstHome(customer: string): string {
-		let home = this.firstHomes.get(customer)
+	private initialHomeOf(customer: string): string {
+		let home = this.initialHomes.get(customer)
 		if (home === undefined) {
 			home = homeOf({ customers: [] }, this.dataCentres, customer)
-			this.firstHomes.set(customer, home)
+			this.initialHomes.set(customer, home)
 		}
 		return home
 	}
 
 	/** Finished requests, newest answers first until the bound is reached; the keys all go. */
 	private recordsOf(customer: string): RequestRecord[] {
-		let left = MOST_ANSWER_BYTES
+		let remaining = MAX_ANSWER_BYTES
 		return this.state.requests
 			.recordsOf(customer)
 			.reverse()
 			.map((record) => {
-				left -= record.answer?.body.length ?? 0
-				return left >= 0 ? record : { ...record, answer: undefined }
+				remaining -= record.answer?.body.length ?? 0
+				return remaining >= 0 ? record : { ...record, answer: undefined }
 			})
 			.reverse()
 	}
--- a/packages/cell/src/lib/leader/LeaderDriver.ts
+++ b/packages/cell/src/lib/leader/LeaderDriver.ts
@@ -10,7 +10,7 @@
 import { DataCentreController } from './DataCentreController'
 import type { GroupCall, Moment, SettleCall, WorkerExchange } from './Effects'
 import type { OperatorCall, OperatorReply } from './operatorCalls'
-import type { ReplyTo } from './OperatorController'
+import type { ReplyCallback } from './OperatorController'
 import type { ListedWorker } from './WorkerController'
 import type { ExchangeReply, SettleReply } from './workerProtocol'
 
@@ -128,7 +128,7 @@
 	}
 
 	/** Takes an operator's call, or says who leads. */
-	onOperatorCall(call: OperatorCall, reply: ReplyTo): void {
+	onOperatorCall(call: OperatorCall, reply: ReplyCallback): void {
 		if (this.canDecide) this.controller.onOperatorCall(call, this.moment(), reply)
 		else reply({ code: NOT_THE_LEADER, message: this.group?.leader ?? '' })
 	}
--- a/packages/cell/src/lib/leader/LoanController.ts
+++ b/packages/cell/src/lib/leader/LoanController.ts
@@ -14,12 +14,12 @@
 import { LOAN_DURATION_MS, addDriftMargin } from './timing'
 
 /** Slots that are never lent, kept for requests that are not repeatable. */
-const KEPT_SHARE = 0.25
+const UNLENT_SHARE = 0.25
 /** Slots lent beyond what is in use, so that the next request finds one. */
-const SPARE = 4
-const MOST_AT_ONCE = 64
+const INITIAL_SLOTS = 4
+const MAX_SLOTS_PER_GRANT = 64
 /** What a request may still run after its loan is over, in milliseconds. */
-const RUN_OUT = 1000
+const RUN_OUT_MS = 1000
 
 /**
  * The leader's controller for lent slots.
@@ -28,7 +28,7 @@
  */
 export class LoanController {
 	/** Entry instances whose loan is being changed, with the slots held back for the change. */
-	private readonly busy = new Map<string, Map<string, number>>()
+	private readonly pendingChanges = new Map<string, Map<string, number>>()
 
 	constructor(
 		private readonly dataCentre: string,
@@ -40,30 +40,33 @@
 
 	/** Forgets what only a leader needs. */
 	clear(): void {
-		this.busy.clear()
+		this.pendingChanges.clear()
 	}
 
 	/** Answers a heartbeat: renews the loan, takes back what was returned, lends more where it is wanted. */
-	beat(holder: EntryIncarnation, beat: Beat, moment: Moment): void {
+	onHeartbeat(holder: EntryIncarnation, beat: Beat, moment: Moment): void {
 		const loan = this.state.workers.loanOf(holder.incarnationId)
-		if (!this.busy.has(holder.incarnationId)) this.adjust(holder, beat, loan, moment)
-		this.answer(holder, loan, moment)
+		if (!this.pendingChanges.has(holder.incarnationId)) this.adjust(holder, beat, loan, moment)
+		this.sendLoans(holder, loan, moment)
 	}
 
 	/** A change was committed. */
-	changed(command: CommandOf<'lend'>, moment: Moment): void {
+	onLoanChanged(command: CommandOf<'lend'>, moment: Moment): void {
 		this.release(command.holder)
 		const holder = this.holders.find(command.holder)
-		if (holder) this.answer(holder, this.state.workers.loanOf(command.holder), moment)
+		if (holder) this.sendLoans(holder, this.state.workers.loanOf(command.holder), moment)
 	}
 
 	/** Takes back the loans of entry instances that are certainly over. */
 	tick(moment: Moment): void {
 		for (const loan of this.state.workers.loans()) {
-			const silent = moment.now - this.holders.lastHeartbeatOf(loan.holder, moment.now)
-			if (silent < addDriftMargin(LOAN_DURATION_MS) + RUN_OUT || this.busy.has(loan.holder))
+			const silentMs = moment.now - this.holders.lastHeartbeatOf(loan.holder, moment.now)
+			if (
+				silentMs < addDriftMargin(LOAN_DURATION_MS) + RUN_OUT_MS ||
+				this.pendingChanges.has(loan.holder)
+			)
 				continue
-			this.busy.set(loan.holder, new Map())
+			this.pendingChanges.set(loan.holder, new Map())
 			this.effects.commands.push({ kind: 'lend', holder: loan.holder, slots: [] })
 		}
 	}
@@ -77,29 +80,29 @@
 		const settled = !loan || beat.grant === loan.grant
 		const lent = new Map(loan?.slots)
 		const wanted = settled ? heldOf(beat, lent) : lent
-		const more = settled ? this.wantedMore(beat, wanted, moment.now) : 0
+		const more = settled ? this.additionalSlots(beat, wanted, moment.now) : 0
 		const added = this.pick(more, moment.now)
 		if (added.size === 0 && sameSlots(lent, wanted)) return
 		for (const [worker, slots] of added) {
 			wanted.set(worker, (wanted.get(worker) ?? 0) + slots)
 		}
-		this.busy.set(holder.incarnationId, added)
+		this.pendingChanges.set(holder.incarnationId, added)
 		const slots = [...wanted].map(([worker, count]) => ({ worker, slots: count }))
 		this.effects.commands.push({ kind: 'lend', holder: holder.incarnationId, slots })
 	}
 
-	private wantedMore(beat: Beat, held: Map<string, number>, now: number): number {
+	private additionalSlots(beat: Beat, held: Map<string, number>, now: number): number {
 		// Slots are lent inside the data centre; from elsewhere only requests in order are taken.
 		if (beat.leaving || beat.dataCentre !== beat.group) return 0
 		const has = sum(held)
-		const least = has === 0 ? SPARE : 0
-		const wanted = Math.max(beat.wanted, least)
-		const lendable = this.slots.totalSlots(now) * (1 - KEPT_SHARE) - this.lentInAll()
+		const minimum = has === 0 ? INITIAL_SLOTS : 0
+		const wanted = Math.max(beat.wanted, minimum)
+		const lendable = this.slots.totalSlots(now) * (1 - UNLENT_SHARE) - this.totalLent()
 		const fair = Math.ceil(
-			(this.slots.totalSlots(now) * (1 - KEPT_SHARE)) / Math.max(1, this.holders.size)
+			(this.slots.totalSlots(now) * (1 - UNLENT_SHARE)) / Math.max(1, this.holders.size)
 		)
-		const room = this.othersWait(beat) ? fair - has : Number.POSITIVE_INFINITY
-		return Math.max(0, Math.floor(Math.min(wanted, lendable, room, MOST_AT_ONCE)))
+		const fairLimit = this.areOthersWaiting(beat) ? fair - has : Number.POSITIVE_INFINITY
+		return Math.max(0, Math.floor(Math.min(wanted, lendable, fairLimit, MAX_SLOTS_PER_GRANT)))
 	}
 
 	private pick(count: number, now: number): Map<string, number> {
@@ -114,7 +117,7 @@
 	}
 
 	/** Says what is lent, less what is wanted back: from closed workers, and above the fair share. */
-	private answer(holder: EntryIncarnation, loan: Loan | undefined, moment: Moment): void {
+	private sendLoans(holder: EntryIncarnation, loan: Loan | undefined, moment: Moment): void {
 		const loans = [...(loan?.slots ?? [])].map(([id, slots]) => {
 			const worker = this.state.workers.find(id)
 			const open = worker !== undefined && this.slots.canTakeWork(worker, moment.now)
@@ -131,17 +134,18 @@
 	}
 
 	private release(holder: string): void {
-		for (const [worker, slots] of this.busy.get(holder) ?? []) this.slots.release(worker, slots)
-		this.busy.delete(holder)
+		for (const [worker, slots] of this.pendingChanges.get(holder) ?? [])
+			this.slots.release(worker, slots)
+		this.pendingChanges.delete(holder)
 	}
 
-	private lentInAll(): number {
+	private totalLent(): number {
 		let lent = 0
 		for (const loan of this.state.workers.loans()) lent += sum(loan.slots)
 		return lent
 	}
 
-	private othersWait(beat: Beat): boolean {
+	private areOthersWaiting(beat: Beat): boolean {
 		for (const holder of this.holders.all()) {
 			if (holder.wanted > 0 && !holder.incarnationId.endsWith(`#${beat.incarnation}`)) return true
 		}
--- a/packages/cell/src/lib/leader/OperatorController.ts
+++ b/packages/cell/src/lib/leader/OperatorController.ts
@@ -14,10 +14,10 @@
 import type { OperatorCall, OperatorReply } from './operatorCalls'
 import type { PlanController } from './PlanController'
 
-const MOST_LISTED = 5000
+const MAX_LISTED_TASKS = 5000
 
 /** Where a reply goes. @public */
-export type ReplyTo = (reply: OperatorReply) => void
+export type ReplyCallback = (reply: OperatorReply) => void
 
 type OperatorCommand = Extract<DataCentreCommand, { request: string }>
 
@@ -28,7 +28,7 @@
  */
 export class OperatorController {
 	/** Replies that wait for a commitment, by the request's id. */
-	private readonly replies = new Map<string, ReplyTo[]>()
+	private readonly replies = new Map<string, ReplyCallback[]>()
 
 	constructor(
 		private readonly state: DataCentreState,
@@ -46,10 +46,10 @@
 	}
 
 	/** Takes a call. */
-	call(call: OperatorCall, moment: Moment, reply: ReplyTo): void {
+	onCall(call: OperatorCall, moment: Moment, reply: ReplyCallback): void {
 		const known = this.state.answers.find(call.request)
 		if (known) {
-			this.sayKnown(call.request, reply)
+			this.sendStoredAnswer(call.request, reply)
 			return
 		}
 		const { operator, request } = call
@@ -82,20 +82,24 @@
 	}
 
 	/** An operator's command was committed. */
-	committed(command: OperatorCommand): void {
+	onCommitted(command: OperatorCommand): void {
 		const waiting = this.replies.get(command.request) ?? []
 		this.replies.delete(command.request)
-		for (const reply of waiting) this.sayKnown(command.request, reply)
+		for (const reply of waiting) this.sendStoredAnswer(command.request, reply)
 	}
 
-	private plan(call: Extract<OperatorCall, { kind: 'plan' }>, moment: Moment, reply: ReplyTo) {
-		const read = parseIntent('intent', call.document)
-		if (!read.ok) {
-			const content = { findings: read.error }
-			reply({ code: 422, message: read.error.map(formatFinding).join('\n'), content })
+	private plan(
+		call: Extract<OperatorCall, { kind: 'plan' }>,
+		moment: Moment,
+		reply: ReplyCallback
+	) {
+		const parsed = parseIntent('intent', call.document)
+		if (!parsed.ok) {
+			const content = { findings: parsed.error }
+			reply({ code: 422, message: parsed.error.map(formatFinding).join('\n'), content })
 			return
 		}
-		this.commit(this.planCommand(read.value, call, moment), reply)
+		this.commit(this.planCommand(parsed.value, call, moment), reply)
 	}
 
 	private planCommand(
@@ -114,15 +118,15 @@
 	private confirm(
 		call: Extract<OperatorCall, { kind: 'confirm' }>,
 		moment: Moment,
-		reply: ReplyTo
+		reply: ReplyCallback
 	): void {
 		const plan = this.state.tasks.plan(call.plan)
 		const { operator, request } = call
 		const { ground } = this.state
 		if (plan?.phase === PlanPhase.Proposed && plan.ground !== ground) {
 			const fresh = this.plans.draft(plan.intent, plan.id)
-			if (summary(fresh) !== summary(plan)) {
-				this.refuseStale(plan, call, moment, reply)
+			if (summarizeSteps(fresh) !== summarizeSteps(plan)) {
+				this.replanStale(plan, call, moment, reply)
 				return
 			}
 		}
@@ -131,11 +135,11 @@
 		this.commit({ kind: 'confirm', operator, request, at, plan: call.plan, verified }, reply)
 	}
 
-	private refuseStale(
+	private replanStale(
 		plan: PlanRecord,
 		call: { operator: string; request: string },
 		moment: Moment,
-		reply: ReplyTo
+		reply: ReplyCallback
 	): void {
 		const request = `${call.request}-fresh`
 		const command = this.planCommand(plan.intent, { operator: call.operator, request }, moment)
@@ -148,7 +152,7 @@
 		)
 	}
 
-	private commit(command: OperatorCommand, reply: ReplyTo): void {
+	private commit(command: OperatorCommand, reply: ReplyCallback): void {
 		const waiting = this.replies.get(command.request)
 		if (waiting) {
 			waiting.push(reply)
@@ -158,7 +162,7 @@
 		this.effects.commands.push(command)
 	}
 
-	private sayKnown(request: string, reply: ReplyTo): void {
+	private sendStoredAnswer(request: string, reply: ReplyCallback): void {
 		const answer = this.state.answers.find(request)
 		if (!answer) {
 			reply({ code: 503, message: 'the answer is not known; ask again' })
@@ -179,7 +183,7 @@
 
 	private tasks(intent: string | undefined): OperatorReply {
 		const records = intent ? this.state.tasks.ofIntent(intent) : [...this.state.tasks.all()]
-		const content = records.slice(0, MOST_LISTED).map(describe)
+		const content = records.slice(0, MAX_LISTED_TASKS).map(describe)
 		return { code: 200, message: '', content }
 	}
 }
@@ -191,7 +195,7 @@
 }
 
 /** What a plan moves, without the very workers, which may differ while the plan is the same. */
-function summary(plan: { readonly steps: readonly PlanStep[] }): string {
+function summarizeSteps(plan: { readonly steps: readonly PlanStep[] }): string {
 	const counts = new Map<string, number>()
 	for (const step of plan.steps) {
 		const [, first, last] = /(\d+)(?:-(\d+))?$/.exec(step.task) ?? []
--- a/packages/cell/src/lib/leader/OperatorRouter.ts
+++ b/packages/cell/src/lib/leader/OperatorRouter.ts
@@ -8,11 +8,11 @@
 import type { GroupLayout } from '@rillrudder/settings'
 import type { Clock } from '@rillrudder/utils'
 import { operatorCallSchema, type OperatorCall, type OperatorReply } from './operatorCalls'
-import type { ReplyTo } from './OperatorController'
+import type { ReplyCallback } from './OperatorController'
 
-const TRY_FOR = 1500
-const TRIES = 6
-const BETWEEN_TRIES = 200
+const TRY_TIMEOUT_MS = 1500
+const MAX_TRIES = 6
+const RETRY_DELAY_MS = 200
 /** The HTTP status of a replica that does not lead. */
 const NOT_THE_LEADER = 421
 const UNAVAILABLE = 503
@@ -23,18 +23,18 @@
 	readonly clock: Clock
 	readonly groups: readonly GroupLayout[]
 	/** Makes a name for a call that this process has not used before. */
-	readonly name: () => string
+	readonly newCallId: () => string
 	readonly send: (to: string, event: Event) => boolean
 	/** Answers a call for a group that has a replica here. @returns false when it has none. */
-	readonly callHere: (group: string, call: OperatorCall, reply: ReplyTo) => boolean
+	readonly callHere: (group: string, call: OperatorCall, reply: ReplyCallback) => boolean
 }
 
 /** A call that is looking for its leader. */
-interface Search {
+interface LeaderSearch {
 	readonly group: string
 	readonly call: OperatorCall
 	readonly voters: readonly string[]
-	readonly reply: ReplyTo
+	readonly reply: ReplyCallback
 	target: string
 	tries: number
 }
@@ -59,14 +59,14 @@
 	 * @param reply - told once. Code 503 says that nobody who leads could be reached; it may have been
 	 * done then, and the same request again tells.
 	 */
-	call(group: string, call: OperatorCall, reply: ReplyTo): void {
+	call(group: string, call: OperatorCall, reply: ReplyCallback): void {
 		const layout = this.parts.groups.find((one) => one.name === group)
 		if (!layout) {
 			reply({ code: 404, message: `there is no group ${group}` })
 			return
 		}
 		const voters = layout.voters.map((voter) => voter.id)
-		const target = this.leaders.get(group) ?? this.preferred(voters)
+		const target = this.leaders.get(group) ?? this.initialTarget(voters)
 		this.tryNext({ group, call, voters, reply, target, tries: 0 })
 	}
 
@@ -88,18 +88,18 @@
 		this.waiting.get(event.id)?.(JSON.parse(event.reply.toString()) as OperatorReply)
 	}
 
-	private tryNext(search: Search): void {
-		if (search.tries === TRIES) {
+	private tryNext(search: LeaderSearch): void {
+		if (search.tries === MAX_TRIES) {
 			this.leaders.delete(search.group)
 			const message = `no leader of ${search.group} could be reached; ask again to learn whether it was done`
 			search.reply({ code: UNAVAILABLE, message })
 			return
 		}
 		search.tries += 1
-		this.ask(search, (reply) => this.took(search, reply))
+		this.send(search, (reply) => this.onTryEnded(search, reply))
 	}
 
-	private took(search: Search, reply: OperatorReply | undefined): void {
+	private onTryEnded(search: LeaderSearch, reply: OperatorReply | undefined): void {
 		const { group, target, voters } = search
 		if (reply && reply.code !== NOT_THE_LEADER && reply.code !== UNAVAILABLE) {
 			this.leaders.set(group, target)
@@ -109,21 +109,21 @@
 		const hint = reply?.code === NOT_THE_LEADER ? reply.message : ''
 		const hinted = hint !== '' && hint !== target
 		search.target = hinted ? hint : voters[(voters.indexOf(target) + 1) % voters.length]
-		this.parts.clock.after(hinted ? 0 : BETWEEN_TRIES, () => this.tryNext(search))
+		this.parts.clock.after(hinted ? 0 : RETRY_DELAY_MS, () => this.tryNext(search))
 	}
 
-	private ask(search: Search, took: (reply: OperatorReply | undefined) => void): void {
+	private send(search: LeaderSearch, onEnd: (reply: OperatorReply | undefined) => void): void {
 		const { target, group, call } = search
-		const id = this.parts.name()
+		const id = this.parts.newCallId()
 		let done = false
 		const finish = (reply: OperatorReply | undefined): void => {
 			if (done) return
 			done = true
 			timer.cancel()
 			this.waiting.delete(id)
-			took(reply)
+			onEnd(reply)
 		}
-		const timer = this.parts.clock.after(TRY_FOR, () => finish(undefined))
+		const timer = this.parts.clock.after(TRY_TIMEOUT_MS, () => finish(undefined))
 		if (target === this.parts.self) {
 			if (!this.parts.callHere(group, call, finish)) finish(undefined)
 			return
@@ -133,7 +133,7 @@
 		if (!this.parts.send(target, { body: { $case: 'operatorCall', value } })) finish(undefined)
 	}
 
-	private preferred(voters: string[]): string {
+	private initialTarget(voters: string[]): string {
 		return voters.includes(this.parts.self) ? this.parts.self : voters[0]
 	}
 }
--- a/packages/cell/src/lib/leader/PlanController.ts
+++ b/packages/cell/src/lib/leader/PlanController.ts
@@ -11,7 +11,7 @@
 import type { PlanStep } from '../state/TaskTable'
 
 /** Tasks that are tried out one by one; beyond them the plan counts on. */
-const MOST_TRIED = 2000
+const MAX_TRIAL_PLACEMENTS = 2000
 
 /** A plan before it is kept. @public */
 export interface DraftPlan {
@@ -19,7 +19,7 @@
 	readonly impossible: string[]
 }
 
-interface Tried {
+interface TrialPlacement {
 	readonly worker: string
 	readonly rack: string
 }
@@ -46,12 +46,16 @@
 		const impossible = explainInfeasibility(this.ledger(), intent, quota)
 		if (impossible.length > 0) return { steps: [], impossible }
 		const allowed = this.allowedByQuota(intent, quota)
-		const tried = this.tryOut(intent, Math.min(intent.tasks, allowed, MOST_TRIED))
-		const whole = intent.kind !== IntentKind.Gang || tried.length === intent.tasks
-		const starting = whole ? tried : []
+		const placements = this.placeTentatively(
+			intent,
+			Math.min(intent.tasks, allowed, MAX_TRIAL_PLACEMENTS)
+		)
+		const isComplete = intent.kind !== IntentKind.Gang || placements.length === intent.tasks
+		const starting = isComplete ? placements : []
 		const steps = startSteps(intent, name, starting)
 		const left = intent.tasks - starting.length
-		if (left > 0) steps.push(this.waitStep(intent, name, starting.length, allowed, tried.length))
+		if (left > 0)
+			steps.push(this.waitStep(intent, name, starting.length, allowed, placements.length))
 		return { steps, impossible }
 	}
 
@@ -61,30 +65,30 @@
 		let allowed = 0
 		while (allowed < intent.tasks) {
 			const after = times(intent.each, allowed + 1)
-			const within =
+			const isWithinQuota =
 				used.cpu + after.cpu <= quota.cpu &&
 				used.memory + after.memory <= quota.memory &&
 				used.accelerators + after.accelerators <= quota.accelerators
-			if (!within) break
+			if (!isWithinQuota) break
 			allowed += 1
 		}
 		return allowed
 	}
 
 	/** Reserves one task after the other, and gives everything back. */
-	private tryOut(intent: Intent, most: number): Tried[] {
+	private placeTentatively(intent: Intent, max: number): TrialPlacement[] {
 		const ledger = this.ledger()
-		const tried: Tried[] = []
+		const placements: TrialPlacement[] = []
 		const siblings = new SiblingCounts()
-		while (tried.length < most) {
+		while (placements.length < max) {
 			const there = siblings.countsOf(intent.name)
 			const worker = chooseWorker(ledger, intent.each, intent.kind, there)
 			if (!worker || !ledger.reserve(worker.id, intent.each)) break
 			siblings.adjust(intent.name, worker.id, worker.rack, 1)
-			tried.push({ worker: worker.id, rack: worker.rack })
+			placements.push({ worker: worker.id, rack: worker.rack })
 		}
-		for (const { worker } of tried) ledger.release(worker, intent.each)
-		return tried
+		for (const { worker } of placements) ledger.release(worker, intent.each)
+		return placements
 	}
 
 	private waitStep(
@@ -95,12 +99,12 @@
 		fitting: number
 	): PlanStep {
 		const action = 'wait'
-		const task = range(intent, name, started + 1, intent.tasks)
-		return { action, task, where: '', why: whyWaits(intent, allowed, fitting) }
+		const task = formatTaskRange(intent, name, started + 1, intent.tasks)
+		return { action, task, where: '', why: waitReasonOf(intent, allowed, fitting) }
 	}
 }
 
-function whyWaits(intent: Intent, allowed: number, fitting: number): string {
+function waitReasonOf(intent: Intent, allowed: number, fitting: number): string {
 	if (allowed < intent.tasks) return `the quota of team ${intent.team} is used up`
 	if (intent.kind === IntentKind.Gang) {
 		return `only ${fitting} of ${intent.tasks} tasks fit now, and a gang starts whole`
@@ -110,9 +114,13 @@
 }
 
 /** One step a rack, with how many tasks go to each of its workers. */
-function startSteps(intent: Intent, name: string, tried: readonly Tried[]): PlanStep[] {
+function startSteps(
+	intent: Intent,
+	name: string,
+	placements: readonly TrialPlacement[]
+): PlanStep[] {
 	const racks = new Map<string, Map<string, number>>()
-	for (const { worker, rack } of tried) {
+	for (const { worker, rack } of placements) {
 		const workers = racks.get(rack) ?? new Map<string, number>()
 		workers.set(worker, (workers.get(worker) ?? 0) + 1)
 		racks.set(rack, workers)
@@ -120,14 +128,19 @@
 	let first = 1
 	return [...racks].map(([rack, workers]) => {
 		const count = [...workers.values()].reduce((sum, one) => sum + one, 0)
-		const task = range(intent, name, first, first + count - 1)
+		const task = formatTaskRange(intent, name, first, first + count - 1)
 		first += count
 		const named = [...workers].map(([worker, one]) => (one === 1 ? worker : `${worker} x${one}`))
-		return { action: 'start', task, where: `${rack}: ${named.join(', ')}`, why: whyStarts(intent) }
+		return {
+			action: 'start',
+			task,
+			where: `${rack}: ${named.join(', ')}`,
+			why: startReasonOf(intent),
+		}
 	})
 }
 
-function whyStarts(intent: Intent): string {
+function startReasonOf(intent: Intent): string {
 	switch (intent.kind) {
 		case IntentKind.Service:
 			return 'fits, spread over racks and workers'
@@ -138,7 +151,7 @@
 	}
 }
 
-function range(intent: Intent, name: string, first: number, last: number): string {
+function formatTaskRange(intent: Intent, name: string, first: number, last: number): string {
 	const from = `${intent.name}/${name}/${first}`
 	return first === last ? from : `${from}-${last}`
 }
--- a/packages/cell/src/lib/leader/RequestController.ts
+++ b/packages/cell/src/lib/leader/RequestController.ts
@@ -439,7 +439,7 @@
 		const { customer, key } = submit
 		const group = this.homes.homeOf(customer)
 		if (group === submit.group) {
-			this.homes.claim(customer)
+			this.homes.startClaim(customer)
 			return
 		}
 		const value = { group, leader: '', customer, key }
--- a/packages/cell/src/lib/leader/SystemDriver.ts
+++ b/packages/cell/src/lib/leader/SystemDriver.ts
@@ -5,7 +5,7 @@
 import { SystemState } from '../state/SystemState'
 import type { GroupAccess } from './LeaderDriver'
 import type { OperatorCall } from './operatorCalls'
-import type { ReplyTo } from './OperatorController'
+import type { ReplyCallback } from './OperatorController'
 
 const NOT_THE_LEADER = 421
 
@@ -27,7 +27,7 @@
  */
 export class SystemDriver {
 	readonly state: SystemState
-	private readonly replies = new Map<string, ReplyTo[]>()
+	private readonly replies = new Map<string, ReplyCallback[]>()
 	private group: GroupAccess | undefined
 	private wasLeader = false
 
@@ -48,7 +48,7 @@
 	}
 
 	/** Takes an operator's call, or says who leads. */
-	onOperatorCall(call: OperatorCall, reply: ReplyTo): void {
+	onOperatorCall(call: OperatorCall, reply: ReplyCallback): void {
 		if (!this.group?.mayAct) {
 			const leader = this.group?.leader ?? ''
 			reply({ code: NOT_THE_LEADER, message: leader === this.parts.self ? '' : leader })
@@ -90,7 +90,7 @@
 	private propose(
 		call: Extract<OperatorCall, { kind: 'propose' }>,
 		at: number,
-		reply: ReplyTo
+		reply: ReplyCallback
 	): void {
 		const parsed = parseConfiguration('configuration', call.document)
 		if (!parsed.ok) {
@@ -102,7 +102,7 @@
 		this.commit({ kind: 'propose', operator, request, at, replaces, document }, reply)
 	}
 
-	private commit(command: SystemCommand, reply: ReplyTo): void {
+	private commit(command: SystemCommand, reply: ReplyCallback): void {
 		const waiting = this.replies.get(command.request)
 		if (waiting) {
 			waiting.push(reply)
@@ -119,7 +119,7 @@
 	}
 
 	/** A refused proposal is answered with what is in force instead. */
-	private sendAnswer(request: string, reply: ReplyTo): void {
+	private sendAnswer(request: string, reply: ReplyCallback): void {
 		const answer = this.state.answers.find(request)
 		if (!answer) return
 		const content = answer.accepted ? answer : { ...answer, current: this.state.current }
--- a/packages/runs/src/lib/cell/RunControl.ts
+++ b/packages/runs/src/lib/cell/RunControl.ts
@@ -8,7 +8,7 @@
 	SystemDriver,
 	type ListedWorker,
 	type OperatorCall,
-	type ReplyTo,
+	type ReplyCallback,
 } from '@rillrudder/cell'
 import type { StateMachine } from '@rillrudder/group'
 import { EntryKind, type Event } from '@rillrudder/protocol'
@@ -160,7 +160,7 @@
 	}
 
 	/** Makes a call to the leader of a group. */
-	call(group: string, call: OperatorCall, reply: ReplyTo): void {
+	call(group: string, call: OperatorCall, reply: ReplyCallback): void {
 		this.router.call(group, call, reply)
 	}
 
@@ -339,13 +339,13 @@
 			self: self.id,
 			clock: this.clock,
 			groups: this.groups,
-			name: () => `${self.id}.${process.life}.${++this.names}`,
+			newCallId: () => `${self.id}.${process.life}.${++this.names}`,
 			send: (to, event) => this.send(to, event),
 			callHere: (group, call, reply) => this.callHere(group, call, reply),
 		})
 	}
 
-	private callHere(group: string, call: OperatorCall, reply: ReplyTo): boolean {
+	private callHere(group: string, call: OperatorCall, reply: ReplyCallback): boolean {
 		if (group === SYSTEM_GROUP) {
 			this.system?.onOperatorCall(call, reply)
 			return this.system !== undefined
