--- a/packages/cell/src/lib/leader/DataCentreController.ts
+++ b/packages/cell/src/lib/leader/DataCentreController.ts
@@ -118,7 +118,7 @@
 
 	/** The configuration has changed. */
 	onConfigurationChanged(): void {
-		if (this.leading) this.tasks.configured()
+		if (this.leading) this.tasks.onConfigurationChanged()
 	}
 
 	/** Takes a heartbeat of an entry instance. */
@@ -126,7 +126,7 @@
 		const { holder, replaced } = this.holders.onHeartbeat(from, beat, moment.now)
 		if (replaced) this.requests.onHolderReplaced(replaced.incarnationId, moment)
 		for (const sign of beat.signs) {
-			if (sign.leaving) this.workers.leaving(sign.worker, 'it refused work', moment)
+			if (sign.leaving) this.workers.onLeaving(sign.worker, 'it refused work', moment)
 			for (const customer of sign.failedFor)
 				this.health.onFailure(sign.worker, customer, moment.now)
 			for (let count = sign.succeeded; count > 0; count--) this.health.onSuccess(sign.worker)
@@ -136,18 +136,18 @@
 
 	/** Takes a request. */
 	onSubmit(from: string, submit: Submit, moment: Moment): void {
-		this.requests.submit(from, submit, moment)
+		this.requests.onSubmit(from, submit, moment)
 	}
 
 	/** Takes the end of an attempt. */
 	onReport(from: string, report: Report, moment: Moment): void {
 		if (report.refusal === 'leaving') this.onLeavingRefusal(report, moment)
-		this.requests.report(from, report, moment)
+		this.requests.onReport(from, report, moment)
 	}
 
 	/** The caller no longer waits. */
 	onWithdraw(from: string, withdraw: Withdraw, moment: Moment): void {
-		this.requests.withdraw(from, withdraw, moment)
+		this.requests.onWithdraw(from, withdraw, moment)
 	}
 
 	/** Takes a worker's word on an attempt in doubt. */
@@ -158,13 +158,13 @@
 		reply: SettleReply,
 		moment: Moment
 	): void {
-		this.requests.settled(customer, key, fence, reply, moment)
+		this.requests.onSettleReply(customer, key, fence, reply, moment)
 	}
 
 	/** Takes a worker's report on its tasks. */
 	onExchangeReply(worker: string, reply: ExchangeReply, moment: Moment): void {
-		if (reply.leaving) this.workers.leaving(worker, 'it says so', moment)
-		this.tasks.reply(worker, reply, moment)
+		if (reply.leaving) this.workers.onLeaving(worker, 'it says so', moment)
+		this.tasks.onExchangeReply(worker, reply, moment)
 		for (const one of reply.ended) {
 			const intent = this.parts.state.tasks.find(one.task)?.task.intent ?? one.task
 			if (one.result === 'failed') this.health.onFailure(worker, intent, moment.now)
@@ -174,12 +174,12 @@
 
 	/** A worker did not answer an exchange. */
 	onExchangeFailed(worker: string): void {
-		this.tasks.silent(worker)
+		this.tasks.onExchangeFailed(worker)
 	}
 
 	/** Takes the platform's list of workers. */
 	onWorkerList(workers: readonly ListedWorker[], moment: Moment): void {
-		this.workers.list(workers, moment)
+		this.workers.onWorkerList(workers, moment)
 	}
 
 	/** Takes an operator's call. */
@@ -210,35 +210,35 @@
 		const { command, counted } = applied
 		switch (command.kind) {
 			case 'admit':
-				return this.requests.admitted(command, counted, moment)
+				return this.requests.onAdmitted(command, counted, moment)
 			case 'start':
-				return this.requests.started(command, counted, moment)
+				return this.requests.onStarted(command, counted, moment)
 			case 'unstart':
-				return this.requests.unstarted(command, moment)
+				return this.requests.onUnstarted(command, moment)
 			case 'park':
-				return this.requests.parked(command, counted, moment)
+				return this.requests.onParked(command, counted, moment)
 			case 'finish':
-				return this.requests.finished(command, moment)
+				return this.requests.onFinished(command, moment)
 			case 'lend':
 				return this.loans.onLoanChanged(command, moment)
 			case 'worker':
-				this.workers.changed(command.id)
+				this.workers.onWorkerChanged(command.id)
 				return this.onWorkerChanged(command.id, moment)
 			case 'drain':
 				this.onWorkerChanged(command.worker, moment)
 				return this.operators.onCommitted(command)
 			case 'confirm':
-				if (counted) this.tasks.confirmed(this.waitingTasksOf(command.plan))
+				if (counted) this.tasks.onConfirmed(this.waitingTasksOf(command.plan))
 				return this.operators.onCommitted(command)
 			case 'cancel':
-				if (counted) this.tasks.cancelled(this.parts.state.tasks.ofIntent(command.intent))
+				if (counted) this.tasks.onCancelled(this.parts.state.tasks.ofIntent(command.intent))
 				return this.operators.onCommitted(command)
 			case 'place':
-				return this.tasks.placed(command, counted)
+				return this.tasks.onPlaced(command, counted)
 			case 'unplace':
-				return this.tasks.unplaced(command)
+				return this.tasks.onUnplaced(command)
 			case 'throttle':
-				return this.tasks.throttled(command)
+				return this.tasks.onThrottled(command)
 			case 'plan':
 			case 'reject':
 			case 'close-home':
@@ -253,12 +253,12 @@
 	private onLeavingRefusal(report: Report, moment: Moment): void {
 		const record = this.parts.state.requests.find(report.customer, report.key)
 		const same = record?.attempt === report.attempt
-		if (record && same) this.workers.leaving(record.worker, 'it refused work', moment)
+		if (record && same) this.workers.onLeaving(record.worker, 'it refused work', moment)
 	}
 
 	private onWorkerChanged(id: string, moment: Moment): void {
 		this.slots.refresh(moment.now)
-		this.tasks.workerChanged(id)
+		this.tasks.onWorkerChanged(id)
 		if (!this.parts.state.workers.find(id)) this.health.forget(id)
 	}
 
--- a/packages/cell/src/lib/leader/RequestController.ts
+++ b/packages/cell/src/lib/leader/RequestController.ts
@@ -18,9 +18,9 @@
 import { formatRequestId, RequestWaiters } from './RequestWaiters'
 import type { SettleReply } from './workerProtocol'
 
-const SAY_AGAIN_EVERY = 1000
-const FIRST_PAUSE = 10
-const MOST_DOUBLINGS = 7
+const GO_RESEND_INTERVAL_MS = 1000
+const INITIAL_BACKOFF_MS = 10
+const MAX_BACKOFF_DOUBLINGS = 7
 
 /** Bounds on what may wait. @public */
 export interface RequestLimits {
@@ -39,17 +39,17 @@
 	private readonly waiters = new RequestWaiters()
 	private readonly verdicts: VerdictSender
 	/** Requests for which a command is under way. */
-	private readonly busy = new Set<string>()
+	private readonly inFlight = new Set<string>()
 	/** Requests whose start follows their admission in one batch. */
 	private readonly chained = new Set<string>()
 	/** Customers whose oldest request waits for a slot, the longest wait first. */
 	private readonly starved = new Set<string>()
-	private readonly doubts: UnresolvedAttempts
+	private readonly unresolved: UnresolvedAttempts
 	/** When this leader last said that a request may go; such an attempt is never taken back unasked. */
-	private readonly goSaidAt = new Map<string, number>()
+	private readonly goSentAt = new Map<string, number>()
 	/** An attempt that was taken back is followed by the next one only after a pause that grows. */
-	private readonly notBefore = new Map<string, number>()
-	private takenOverAt = 0
+	private readonly earliestStartAt = new Map<string, number>()
+	private leaderSince = 0
 
 	constructor(
 		private readonly state: DataCentreState,
@@ -59,41 +59,41 @@
 		private readonly homes: HomeController,
 		private readonly limits: () => RequestLimits
 	) {
-		this.doubts = new UnresolvedAttempts(state, effects)
+		this.unresolved = new UnresolvedAttempts(state, effects)
 		this.verdicts = new VerdictSender(state.requests, effects)
 	}
 
 	/** Starts to serve what leaders before this one have admitted. */
 	takeOver(moment: Moment): void {
 		this.clear()
-		this.takenOverAt = moment.now
+		this.leaderSince = moment.now
 	}
 
 	/** Forgets what only a leader needs. */
 	clear(): void {
 		this.waiters.clear()
 		this.verdicts.clear()
-		this.busy.clear()
+		this.inFlight.clear()
 		this.chained.clear()
 		this.starved.clear()
-		this.doubts.clear()
-		this.goSaidAt.clear()
-		this.notBefore.clear()
+		this.unresolved.clear()
+		this.goSentAt.clear()
+		this.earliestStartAt.clear()
 	}
 
 	/** Takes a request, new or sent again. */
-	submit(from: string, submit: Submit, moment: Moment): void {
+	onSubmit(from: string, submit: Submit, moment: Moment): void {
 		const { customer, key } = submit
 		const record = this.state.requests.find(customer, key)
 		if (record && record.phase !== Phase.Parked) this.resubmit(from, submit, record, moment)
 		else if (record && record.digest !== submit.digest) this.refuseReuse(from, submit)
-		else if (!this.homes.owns(customer)) this.sendHome(from, submit)
-		else if (this.busy.has(formatRequestId(submit))) this.waiters.add(from, submit, moment.now)
-		else this.take(from, submit, moment)
+		else if (!this.homes.owns(customer)) this.redirectHome(from, submit)
+		else if (this.inFlight.has(formatRequestId(submit))) this.waiters.add(from, submit, moment.now)
+		else this.admit(from, submit, moment)
 	}
 
 	/** Takes an entry instance's word on how an attempt ended. */
-	report(from: string, report: Report, moment: Moment): void {
+	onReport(from: string, report: Report, moment: Moment): void {
 		const record = this.state.requests.find(report.customer, report.key)
 		if (!record || record.phase !== Phase.Started || record.attempt !== report.attempt) return
 		if (report.end === AttemptEnd.ATTEMPT_END_ANSWERED && report.answer) {
@@ -105,12 +105,12 @@
 			this.waiters.removeProcess(from, record)
 			this.unstart(record)
 		} else {
-			this.doubts.addAfterMissingAnswer(record, moment.now)
+			this.unresolved.addAfterMissingAnswer(record, moment.now)
 		}
 	}
 
 	/** The caller no longer waits; what has started runs on. */
-	withdraw(from: string, withdraw: Withdraw, moment: Moment): void {
+	onWithdraw(from: string, withdraw: Withdraw, moment: Moment): void {
 		this.waiters.removeProcess(from, withdraw)
 		if (this.waiters.has(withdraw)) return
 		const record = this.state.requests.find(withdraw.customer, withdraw.key)
@@ -118,7 +118,13 @@
 	}
 
 	/** Takes a worker's word on an attempt that was in doubt. */
-	settled(customer: string, key: string, fence: number, reply: SettleReply, moment: Moment): void {
+	onSettleReply(
+		customer: string,
+		key: string,
+		fence: number,
+		reply: SettleReply,
+		moment: Moment
+	): void {
 		const record = this.state.requests.find(customer, key)
 		if (!record || record.phase !== Phase.Started || record.fence !== fence) return
 		switch (reply.state) {
@@ -130,7 +136,7 @@
 			case 'never':
 				return this.unstart(record)
 			case 'running':
-				return this.doubts.extend(record, moment.now)
+				return this.unresolved.extend(record, moment.now)
 		}
 	}
 
@@ -138,7 +144,7 @@
 	onHolderReplaced(incarnationId: string, moment: Moment): void {
 		for (const record of this.state.requests.allOpen()) {
 			if (record.holder === incarnationId && record.phase === Phase.Started) {
-				this.doubts.addAfterHolderLoss(record, moment.now)
+				this.unresolved.addAfterHolderLoss(record, moment.now)
 			}
 		}
 	}
@@ -146,68 +152,68 @@
 	/** Deadlines, silent holders, and what can start now. */
 	tick(moment: Moment): void {
 		this.expire(moment)
-		for (const record of this.state.requests.allOpen()) this.watch(record, moment)
-		for (const record of this.doubts.tick(moment.now)) {
+		for (const record of this.state.requests.allOpen()) this.checkHolder(record, moment)
+		for (const record of this.unresolved.tick(moment.now)) {
 			const problem = Problem.WorkerSilent
 			this.finish(record, { outcome: Outcome.Unknown, problem }, moment)
 		}
-		this.feedStarved(moment)
+		this.startStarved(moment)
 	}
 
 	/** A request was admitted. */
-	admitted(command: CommandOf<'admit'>, counted: boolean, moment: Moment): void {
+	onAdmitted(command: CommandOf<'admit'>, counted: boolean, moment: Moment): void {
 		if (this.chained.has(formatRequestId(command))) return
-		this.busy.delete(formatRequestId(command))
+		this.inFlight.delete(formatRequestId(command))
 		if (counted) this.advance(command.customer, moment)
 	}
 
 	/** A start was committed: the holder may go, and nobody else ever for this attempt. */
-	started(command: CommandOf<'start'>, counted: boolean, moment: Moment): void {
-		this.busy.delete(formatRequestId(command))
+	onStarted(command: CommandOf<'start'>, counted: boolean, moment: Moment): void {
+		this.inFlight.delete(formatRequestId(command))
 		this.chained.delete(formatRequestId(command))
 		this.slots.release(command.worker)
 		const record = this.state.requests.find(command.customer, command.key)
 		if (!counted || !record) return this.advance(command.customer, moment)
 		this.verdicts.onStarted(command, moment.now)
 		const holder = this.holders.find(command.holder)
-		if (holder) this.sayGo(record, holder, moment)
+		if (holder) this.sendGo(record, holder, moment)
 	}
 
 	/** An attempt was taken back. */
-	unstarted(command: CommandOf<'unstart'>, moment: Moment): void {
+	onUnstarted(command: CommandOf<'unstart'>, moment: Moment): void {
 		const name = formatRequestId(command)
-		this.busy.delete(name)
-		this.goSaidAt.delete(name)
+		this.inFlight.delete(name)
+		this.goSentAt.delete(name)
 		this.verdicts.onUnstarted(command)
-		const doubled = FIRST_PAUSE * 2 ** Math.min(command.attempt - 1, MOST_DOUBLINGS)
-		this.notBefore.set(name, moment.now + doubled)
+		const backoffMs = INITIAL_BACKOFF_MS * 2 ** Math.min(command.attempt - 1, MAX_BACKOFF_DOUBLINGS)
+		this.earliestStartAt.set(name, moment.now + backoffMs)
 		this.advance(command.customer, moment)
-		this.feedStarved(moment)
+		this.startStarved(moment)
 	}
 
 	/** A request has ended, and its end is lasting. */
-	finished(command: CommandOf<'finish'>, moment: Moment): void {
+	onFinished(command: CommandOf<'finish'>, moment: Moment): void {
 		const name = formatRequestId(command)
-		this.busy.delete(name)
-		this.goSaidAt.delete(name)
-		this.notBefore.delete(name)
+		this.inFlight.delete(name)
+		this.goSentAt.delete(name)
+		this.earliestStartAt.delete(name)
 		this.verdicts.onFinished(command, moment.now)
 		const record = this.state.requests.find(command.customer, command.key)
 		const processes = this.waiters.processesFor(command)
 		this.waiters.remove(command)
 		if (record) for (const process of processes) this.verdicts.sendOutcome(process, record)
 		this.advance(command.customer, moment)
-		this.feedStarved(moment)
+		this.startStarved(moment)
 	}
 
 	/** A request that nobody waits for has left the queue; it is taken up again if it is sent again. */
-	parked(command: CommandOf<'park'>, counted: boolean, moment: Moment): void {
-		this.busy.delete(formatRequestId(command))
+	onParked(command: CommandOf<'park'>, counted: boolean, moment: Moment): void {
+		this.inFlight.delete(formatRequestId(command))
 		if (counted && !this.waiters.has(command)) this.waiters.remove(command)
 		this.advance(command.customer, moment)
 	}
 
-	private take(from: string, submit: Submit, moment: Moment): void {
+	private admit(from: string, submit: Submit, moment: Moment): void {
 		if (this.isOverloaded(submit)) {
 			this.shed(from, submit, moment)
 			return
@@ -215,7 +221,7 @@
 		const holder = this.holders.currentOf(from)
 		if (!holder) return
 		this.waiters.add(from, submit, moment.now)
-		this.busy.add(formatRequestId(submit))
+		this.inFlight.add(formatRequestId(submit))
 		const { customer, key, digest, timeoutMs } = submit
 		this.effects.commands.push({
 			kind: 'admit',
@@ -253,9 +259,9 @@
 	 */
 	private reconcile(from: string, submit: Submit, record: RequestRecord, moment: Moment): void {
 		if (submit.term !== moment.term) return
-		const same = this.holders.currentOf(from)?.incarnationId === record.holder
-		const told = this.goSaidAt.has(formatRequestId(submit))
-		if (same && !told && submit.runningAttempt !== record.attempt) this.unstart(record)
+		const isSameHolder = this.holders.currentOf(from)?.incarnationId === record.holder
+		const isGoSent = this.goSentAt.has(formatRequestId(submit))
+		if (isSameHolder && !isGoSent && submit.runningAttempt !== record.attempt) this.unstart(record)
 	}
 
 	private isOverloaded(submit: Submit): boolean {
@@ -274,7 +280,7 @@
 			return
 		}
 		this.waiters.add(from, submit, moment.now)
-		this.busy.add(formatRequestId(submit))
+		this.inFlight.add(formatRequestId(submit))
 		const outcome = Outcome.NotRun
 		const at = moment.at
 		this.effects.commands.push({ kind: 'finish', customer, key, digest, outcome, problem, at })
@@ -284,11 +290,11 @@
 	private advance(customer: string, moment: Moment): void {
 		const record = this.state.requests.head(customer)
 		this.starved.delete(customer)
-		if (record?.phase !== Phase.Admitted || this.busy.has(formatRequestId(record))) return
-		if (this.isTooLate(record, moment)) return
+		if (record?.phase !== Phase.Admitted || this.inFlight.has(formatRequestId(record))) return
+		if (this.finishIfTimedOut(record, moment)) return
 		const holder = this.holderFor(record, moment.now)
 		if (!holder) return
-		if (moment.now < (this.notBefore.get(formatRequestId(record)) ?? 0)) {
+		if (moment.now < (this.earliestStartAt.get(formatRequestId(record)) ?? 0)) {
 			this.starved.add(customer)
 			return
 		}
@@ -296,7 +302,7 @@
 	}
 
 	/** The caller's time is over, so it is not started any more. */
-	private isTooLate(record: RequestRecord, moment: Moment): boolean {
+	private finishIfTimedOut(record: RequestRecord, moment: Moment): boolean {
 		if (!this.waiters.hasTimedOut(record, moment.now)) return false
 		const problem = this.starved.has(record.customer) ? Problem.NoWorker : Problem.TimedOut
 		this.finish(record, { outcome: Outcome.NotRun, problem }, moment)
@@ -312,7 +318,7 @@
 		const worker = this.slots.choose(moment.now, record.worker)
 		if (!worker) return false
 		this.slots.reserve(worker.id)
-		this.busy.add(formatRequestId(record))
+		this.inFlight.add(formatRequestId(record))
 		const { customer, key, attempt } = record
 		const start = {
 			customer,
@@ -328,12 +334,12 @@
 	/** The customer's next request starts in the same batch in which its oldest ends. */
 	private chainNext(customer: string, moment: Moment): void {
 		const next = this.state.requests.next(customer)
-		if (next?.phase !== Phase.Admitted || this.busy.has(formatRequestId(next))) return
+		if (next?.phase !== Phase.Admitted || this.inFlight.has(formatRequestId(next))) return
 		const holder = this.holderFor(next, moment.now)
 		if (holder) this.proposeStart(next, holder, moment)
 	}
 
-	private feedStarved(moment: Moment): void {
+	private startStarved(moment: Moment): void {
 		for (const customer of [...this.starved]) {
 			if (!this.slots.choose(moment.now)) return
 			this.advance(customer, moment)
@@ -349,8 +355,8 @@
 		return undefined
 	}
 
-	private sayGo(record: RequestRecord, holder: EntryIncarnation, moment: Moment): void {
-		this.goSaidAt.set(formatRequestId(record), moment.now)
+	private sendGo(record: RequestRecord, holder: EntryIncarnation, moment: Moment): void {
+		this.goSentAt.set(formatRequestId(record), moment.now)
 		const address = this.state.workers.find(record.worker)?.address ?? ''
 		const { customer, key, attempt, worker, fence } = record
 		const value = {
@@ -372,18 +378,18 @@
 	 * The word may have been lost; the holder honours it once, or says how the attempt stands. It is not
 	 * said while the attempt is being taken back or ended.
 	 */
-	private sayGoAgain(record: RequestRecord, moment: Moment): void {
+	private resendGo(record: RequestRecord, moment: Moment): void {
 		const name = formatRequestId(record)
-		if (this.busy.has(name)) return
-		const due = (this.goSaidAt.get(name) ?? this.takenOverAt) + SAY_AGAIN_EVERY
+		if (this.inFlight.has(name)) return
+		const dueAt = (this.goSentAt.get(name) ?? this.leaderSince) + GO_RESEND_INTERVAL_MS
 		const holder = this.holders.find(record.holder)
-		if (moment.now >= due && holder) this.sayGo(record, holder, moment)
+		if (moment.now >= dueAt && holder) this.sendGo(record, holder, moment)
 	}
 
 	private unstart(record: RequestRecord): void {
-		if (this.busy.has(formatRequestId(record))) return
-		this.doubts.remove(record)
-		this.busy.add(formatRequestId(record))
+		if (this.inFlight.has(formatRequestId(record))) return
+		this.unresolved.remove(record)
+		this.inFlight.add(formatRequestId(record))
 		const { customer, key, attempt } = record
 		this.effects.commands.push({ kind: 'unstart', customer, key, attempt })
 	}
@@ -393,9 +399,9 @@
 		end: Pick<CommandOf<'finish'>, 'outcome' | 'problem' | 'answer'>,
 		moment: Moment
 	): void {
-		if (this.busy.has(formatRequestId(record))) return
-		this.doubts.remove(record)
-		this.busy.add(formatRequestId(record))
+		if (this.inFlight.has(formatRequestId(record))) return
+		this.unresolved.remove(record)
+		this.inFlight.add(formatRequestId(record))
 		const { customer, key } = record
 		this.effects.commands.push({ kind: 'finish', customer, key, ...end, at: moment.at })
 		if (this.state.requests.head(customer) === record) this.chainNext(customer, moment)
@@ -406,36 +412,37 @@
 		for (const waiter of this.waiters.takeDue(moment.now)) {
 			const record = this.state.requests.find(waiter.customer, waiter.key)
 			if (record?.phase === Phase.Finished) continue
-			const waits = record?.phase === Phase.Admitted && !this.busy.has(formatRequestId(record))
-			if (waits) this.isTooLate(record, moment)
+			const isWaiting =
+				record?.phase === Phase.Admitted && !this.inFlight.has(formatRequestId(record))
+			if (isWaiting) this.finishIfTimedOut(record, moment)
 			else this.waiters.recheckLater(waiter, moment.now)
 		}
 	}
 
 	private park(record: RequestRecord, moment: Moment): void {
-		if (this.busy.has(formatRequestId(record))) return
-		this.busy.add(formatRequestId(record))
+		if (this.inFlight.has(formatRequestId(record))) return
+		this.inFlight.add(formatRequestId(record))
 		const { customer, key } = record
 		this.effects.commands.push({ kind: 'park', customer, key, at: moment.at })
 	}
 
 	/** WorkerPolls after a request whose holder has gone silent, or has not heard that it may go. */
-	private watch(record: RequestRecord, moment: Moment): void {
+	private checkHolder(record: RequestRecord, moment: Moment): void {
 		const { now } = moment
 		if (record.phase === Phase.Admitted) {
-			const patience = addDriftMargin(START_WINDOW_MS)
-			const fresh = now - this.takenOverAt < patience
-			if (!fresh && !this.waiters.has(record)) this.park(record, moment)
+			const graceMs = addDriftMargin(START_WINDOW_MS)
+			const isNewLeader = now - this.leaderSince < graceMs
+			if (!isNewLeader && !this.waiters.has(record)) this.park(record, moment)
 			return
 		}
-		if (this.doubts.has(record)) return
-		const silent = now - this.holders.lastHeartbeatOf(record.holder, now)
-		if (silent > addDriftMargin(START_WINDOW_MS)) this.doubts.addAfterHolderLoss(record, now)
-		else this.sayGoAgain(record, moment)
+		if (this.unresolved.has(record)) return
+		const silentMs = now - this.holders.lastHeartbeatOf(record.holder, now)
+		if (silentMs > addDriftMargin(START_WINDOW_MS)) this.unresolved.addAfterHolderLoss(record, now)
+		else this.resendGo(record, moment)
 	}
 
 	/** The home is elsewhere, or is on its way here; then the entry instance asks again. */
-	private sendHome(from: string, submit: Submit): void {
+	private redirectHome(from: string, submit: Submit): void {
 		const { customer, key } = submit
 		const group = this.homes.homeOf(customer)
 		if (group === submit.group) {
--- a/packages/cell/src/lib/leader/TaskController.test.ts
+++ b/packages/cell/src/lib/leader/TaskController.test.ts
@@ -35,7 +35,7 @@
 		const rest = { each, urgent: false, checkpoints: false, command: ['run'] }
 		this.apply({ kind: 'plan', intent: { ...intent, ...rest }, ...plan })
 		this.apply({ kind: 'confirm', plan: 'p1', verified: ground, ...OPERATOR, request: 'r2' })
-		this.controller.confirmed([...this.state.tasks.all()])
+		this.controller.onConfirmed([...this.state.tasks.all()])
 	}
 
 	/** Lets time pass; with `change` another replica leads once in the middle. */
@@ -59,16 +59,16 @@
 		const capacity = { cpu: 4000, memory: 4096, accelerators: 0 }
 		const rest = { rack: 'r1', capacity, slots: 2, state: 'live', reason: '', at: 0 } as const
 		this.apply({ kind: 'worker', id, address: `${id}:1`, ...rest })
-		this.controller.workerChanged(id)
+		this.controller.onWorkerChanged(id)
 	}
 
 	private carryOut(command: DataCentreCommand): void {
 		this.apply(command)
 		if (command.kind === 'place') {
 			this.placements += 1
-			this.controller.placed(command, true)
+			this.controller.onPlaced(command, true)
 		}
-		if (command.kind === 'unplace') this.controller.unplaced(command)
+		if (command.kind === 'unplace') this.controller.onUnplaced(command)
 	}
 
 	private apply(command: DataCentreCommand): void {
--- a/packages/cell/src/lib/leader/TaskController.ts
+++ b/packages/cell/src/lib/leader/TaskController.ts
@@ -19,7 +19,7 @@
 import { WorkerLeases } from './WorkerLeases'
 import type { ExchangeReply } from './workerProtocol'
 
-const DECISIONS_A_ROUND = 500
+const MAX_DECISIONS_PER_ROUND = 500
 
 /**
  * The leader's controller for tasks.
@@ -31,12 +31,12 @@
 	placement: Placement
 	readonly leases: WorkerLeases
 	/** Tasks for which a command is under way. */
-	private readonly busy = new Set<string>()
+	private readonly inFlight = new Set<string>()
 	/** Tasks that are being moved out of the way, or stopped, and why. */
-	private readonly leaving = new Map<string, string>()
+	private readonly departureReasons = new Map<string, string>()
 	/** Tasks that wait before they begin again, and until when, milliseconds since the epoch. */
-	private readonly delayed = new Map<string, number>()
-	private again = true
+	private readonly restartAt = new Map<string, number>()
+	private needsDecision = true
 
 	constructor(
 		private readonly state: DataCentreState,
@@ -59,8 +59,8 @@
 		this.clear()
 		this.ledger = new Ledger(this.random)
 		this.placement = new Placement(this.ledger, this.random)
-		this.configured()
-		for (const worker of this.state.workers.all()) this.workerChanged(worker.id)
+		this.onConfigurationChanged()
+		for (const worker of this.state.workers.all()) this.onWorkerChanged(worker.id)
 		for (const record of this.state.tasks.all()) {
 			if (record.phase === TaskPhase.Placed && record.reserved) {
 				this.placement.restore(record.task, record.worker, record.reserved, record.placedAt)
@@ -74,20 +74,20 @@
 
 	/** Forgets what only a leader needs. */
 	clear(): void {
-		this.busy.clear()
-		this.leaving.clear()
-		this.delayed.clear()
+		this.inFlight.clear()
+		this.departureReasons.clear()
+		this.restartAt.clear()
 		this.leases.clear()
 	}
 
 	/** The configuration has changed. */
-	configured(): void {
+	onConfigurationChanged(): void {
 		this.placement.setTeams(this.configuration().teams)
-		this.again = true
+		this.needsDecision = true
 	}
 
 	/** A worker has joined, changed or left. */
-	workerChanged(id: string): void {
+	onWorkerChanged(id: string): void {
 		const worker = this.state.workers.find(id)
 		if (!worker) {
 			this.ledger.leave(id)
@@ -96,8 +96,8 @@
 		const { rack, capacity, slots } = worker
 		this.ledger.join({ id, rack, capacity, slots })
 		this.ledger.setOpen(id, worker.state === 'live')
-		if (worker.state === 'leaving') this.vacate(id)
-		this.again = true
+		if (worker.state === 'leaving') this.drainWorker(id)
+		this.needsDecision = true
 	}
 
 	/** Opens or closes a worker for its health. */
@@ -107,13 +107,13 @@
 	}
 
 	/** A plan was confirmed. */
-	confirmed(records: readonly TaskRecord[]): void {
+	onConfirmed(records: readonly TaskRecord[]): void {
 		this.submit(records)
-		this.again = true
+		this.needsDecision = true
 	}
 
 	/** An intent was cancelled. */
-	cancelled(records: readonly TaskRecord[]): void {
+	onCancelled(records: readonly TaskRecord[]): void {
 		for (const record of records) {
 			this.placement.cancel(record.task.id)
 			if (record.phase === TaskPhase.Placed) this.stop(record, 'cancelled')
@@ -121,8 +121,8 @@
 	}
 
 	/** A placement was committed, or found that the worker had no room. */
-	placed(command: CommandOf<'place'>, counted: boolean): void {
-		this.busy.delete(command.task)
+	onPlaced(command: CommandOf<'place'>, counted: boolean): void {
+		this.inFlight.delete(command.task)
 		const record = this.state.tasks.find(command.task)
 		if (!counted || !record) {
 			this.placement.ended(command.task)
@@ -134,46 +134,47 @@
 	}
 
 	/** A task has left its worker. */
-	unplaced(command: CommandOf<'unplace'>): void {
-		this.busy.delete(command.task)
-		this.leaving.delete(command.task)
+	onUnplaced(command: CommandOf<'unplace'>): void {
+		this.inFlight.delete(command.task)
+		this.departureReasons.delete(command.task)
 		this.placement.ended(command.task)
 		const record = this.state.tasks.find(command.task)
 		if (record?.phase === TaskPhase.Waiting) this.submitWhenDue([record], command.at)
-		this.again = true
+		this.needsDecision = true
 	}
 
 	/** A task was throttled. */
-	throttled(command: CommandOf<'throttle'>): void {
-		this.busy.delete(command.task)
-		this.leaving.delete(command.task)
+	onThrottled(command: CommandOf<'throttle'>): void {
+		this.inFlight.delete(command.task)
+		this.departureReasons.delete(command.task)
 		this.placement.throttled(command.task, command.cpu)
-		this.again = true
+		this.needsDecision = true
 	}
 
 	/** Takes a worker's report. */
-	reply(worker: string, reply: ExchangeReply, moment: Moment): void {
-		this.leases.heard(worker, reply, moment.now)
-		for (const one of reply.refused) this.left(worker, one, false, `refused: ${one.reason}`, moment)
-		for (const one of reply.ended) this.endedThere(worker, one, moment)
-		for (const one of reply.running) this.usage(one)
+	onExchangeReply(worker: string, reply: ExchangeReply, moment: Moment): void {
+		this.leases.onReply(worker, reply, moment.now)
+		for (const one of reply.refused)
+			this.onTaskLeft(worker, one, false, `refused: ${one.reason}`, moment)
+		for (const one of reply.ended) this.onTaskEnded(worker, one, moment)
+		for (const one of reply.running) this.recordUsage(one)
 		for (const record of this.leases.missing(worker, reply)) {
-			this.lost(record, 'the worker no longer runs it', moment)
+			this.unplaceLost(record, 'the worker no longer runs it', moment)
 		}
 	}
 
 	/** A worker did not answer. */
-	silent(worker: string): void {
-		this.leases.failed(worker)
+	onExchangeFailed(worker: string): void {
+		this.leases.onExchangeFailed(worker)
 	}
 
 	/** Decides, renews leases, and gives up on workers whose leases are certainly over. */
 	tick(moment: Moment): void {
 		for (const record of this.leases.expired(moment.now)) {
-			this.lost(record, 'the worker is silent and its lease is over', moment)
+			this.unplaceLost(record, 'the worker is silent and its lease is over', moment)
 		}
 		this.submitDue(moment.at)
-		if (this.again || this.placement.waitingCount > 0) this.decide(moment)
+		if (this.needsDecision || this.placement.waitingCount > 0) this.decide(moment)
 		this.leases.tick(moment)
 	}
 
@@ -183,28 +184,28 @@
 	}
 
 	private decide(moment: Moment): void {
-		this.again = false
-		const decisions = this.placement.decide(moment.at, DECISIONS_A_ROUND)
-		if (decisions.length >= DECISIONS_A_ROUND) this.again = true
+		this.needsDecision = false
+		const decisions = this.placement.decide(moment.at, MAX_DECISIONS_PER_ROUND)
+		if (decisions.length >= MAX_DECISIONS_PER_ROUND) this.needsDecision = true
 		for (const decision of decisions) this.carryOut(decision, moment)
 	}
 
 	private carryOut(decision: Decision, moment: Moment): void {
 		if (decision.kind === 'relieve') {
-			this.relieve(decision)
+			this.preempt(decision)
 			return
 		}
 		const { task, worker, reason } = decision
 		const reserved = this.placement.runningTask(task.id)?.reserved as Resources
-		this.busy.add(task.id)
+		this.inFlight.add(task.id)
 		const at = moment.at
 		this.effects.commands.push({ kind: 'place', task: task.id, worker, reserved, reason, at })
 	}
 
-	private relieve(decision: PreemptionDecision): void {
+	private preempt(decision: PreemptionDecision): void {
 		const record = this.state.tasks.find(decision.task.id)
 		if (!record) return
-		this.leaving.set(decision.task.id, `made room for ${decision.for}`)
+		this.departureReasons.set(decision.task.id, `made room for ${decision.for}`)
 		switch (decision.how) {
 			case PreemptionMethod.Throttle:
 				return this.leases.orderThrottle(record, decision.task.throttleTo ?? 0)
@@ -216,19 +217,19 @@
 	}
 
 	private stop(record: TaskRecord, why: string): void {
-		this.leaving.set(record.task.id, why)
+		this.departureReasons.set(record.task.id, why)
 		this.leases.orderStop(record)
 	}
 
 	/** Moves what can move off a worker that is leaving; the rest runs to its end. */
-	private vacate(worker: string): void {
+	private drainWorker(worker: string): void {
 		for (const record of this.leases.placedOn(worker)) {
 			const { task } = record
-			if (this.leaving.has(task.id)) continue
+			if (this.departureReasons.has(task.id)) continue
 			if (this.leases.withdrawStart(record)) {
-				this.leaving.set(task.id, 'its worker left before it started')
+				this.departureReasons.set(task.id, 'its worker left before it started')
 			} else if (task.checkpoints) {
-				this.leaving.set(task.id, 'its worker is leaving')
+				this.departureReasons.set(task.id, 'its worker is leaving')
 				this.leases.orderCheckpoint(record)
 			} else if (task.kind === IntentKind.Service) {
 				this.stop(record, 'its worker is leaving')
@@ -236,16 +237,16 @@
 		}
 	}
 
-	private endedThere(worker: string, one: ExchangeReply['ended'][number], moment: Moment): void {
+	private onTaskEnded(worker: string, one: ExchangeReply['ended'][number], moment: Moment): void {
 		const record = this.state.tasks.find(one.task)
 		if (!record) return
-		const over = one.result === 'done' && record.task.kind !== IntentKind.Service
-		if (over) this.estimator.ended(record.task, moment.at - record.placedAt)
-		const reason = this.leaving.get(one.task) ?? one.result
-		this.left(worker, one, over, reason, moment)
+		const isDone = one.result === 'done' && record.task.kind !== IntentKind.Service
+		if (isDone) this.estimator.ended(record.task, moment.at - record.placedAt)
+		const reason = this.departureReasons.get(one.task) ?? one.result
+		this.onTaskLeft(worker, one, isDone, reason, moment)
 	}
 
-	private left(
+	private onTaskLeft(
 		worker: string,
 		one: { task: string; fence: number },
 		done: boolean,
@@ -257,17 +258,17 @@
 		this.unplace(record, done, reason, moment)
 	}
 
-	private usage(one: ExchangeReply['running'][number]): void {
+	private recordUsage(one: ExchangeReply['running'][number]): void {
 		const record = this.state.tasks.find(one.task)
 		if (record?.fence !== one.fence) return
 		this.estimator.used(record.task, one)
-		const slowed = this.leases.throttledTo(record)
-		if (slowed === undefined || this.busy.has(one.task)) return
-		this.busy.add(one.task)
-		this.effects.commands.push({ kind: 'throttle', task: one.task, cpu: slowed, at: 0 })
+		const throttledCpu = this.leases.takeThrottle(record)
+		if (throttledCpu === undefined || this.inFlight.has(one.task)) return
+		this.inFlight.add(one.task)
+		this.effects.commands.push({ kind: 'throttle', task: one.task, cpu: throttledCpu, at: 0 })
 	}
 
-	private lost(record: TaskRecord, reason: string, moment: Moment): void {
+	private unplaceLost(record: TaskRecord, reason: string, moment: Moment): void {
 		this.unplace(record, false, reason, moment, true)
 	}
 
@@ -279,8 +280,8 @@
 		lost?: boolean
 	): void {
 		const { id } = record.task
-		if (this.busy.has(id) || record.phase !== TaskPhase.Placed) return
-		this.busy.add(id)
+		if (this.inFlight.has(id) || record.phase !== TaskPhase.Placed) return
+		this.inFlight.add(id)
 		const { worker } = record
 		this.effects.commands.push({ kind: 'unplace', task: id, worker, done, lost, reason, at })
 	}
@@ -291,15 +292,15 @@
 		for (const record of records) {
 			const restart = earliestRestartOf(record)
 			if (restart <= at) due.push(record)
-			else this.delayed.set(record.task.id, restart)
+			else this.restartAt.set(record.task.id, restart)
 		}
 		if (due.length > 0) this.submit(due)
 	}
 
 	private submitDue(at: number): void {
-		for (const [task, restart] of this.delayed) {
+		for (const [task, restart] of this.restartAt) {
 			if (restart > at) continue
-			this.delayed.delete(task)
+			this.restartAt.delete(task)
 			const record = this.state.tasks.find(task)
 			if (record?.phase === TaskPhase.Waiting) this.submit([record])
 		}
--- a/packages/cell/src/lib/leader/WorkerController.ts
+++ b/packages/cell/src/lib/leader/WorkerController.ts
@@ -17,7 +17,7 @@
 }
 
 /** How long a worker must be missing from a list that lags before it counts as gone. */
-const MISSING_FOR = 15_000
+const MISSING_TIMEOUT_MS = 15_000
 
 /**
  * The leader's controller for the workers themselves.
@@ -26,7 +26,7 @@
  */
 export class WorkerController {
 	private readonly missingSince = new Map<string, number>()
-	private readonly busy = new Set<string>()
+	private readonly inFlight = new Set<string>()
 
 	constructor(
 		private readonly state: DataCentreState,
@@ -36,43 +36,45 @@
 
 	clear(): void {
 		this.missingSince.clear()
-		this.busy.clear()
+		this.inFlight.clear()
 	}
 
 	/** A change was committed. */
-	changed(id: string): void {
-		this.busy.delete(id)
+	onWorkerChanged(id: string): void {
+		this.inFlight.delete(id)
 	}
 
 	/** Takes the platform's list. */
-	list(workers: readonly ListedWorker[], moment: Moment): void {
+	onWorkerList(workers: readonly ListedWorker[], moment: Moment): void {
 		const listed = new Set<string>()
 		for (const worker of workers) {
 			listed.add(worker.id)
 			this.missingSince.delete(worker.id)
-			this.compare(worker, moment)
+			this.reconcile(worker, moment)
 		}
 		for (const { id, state } of this.state.workers.all()) {
 			if (listed.has(id) || state === 'gone') continue
 			const since = this.missingSince.get(id) ?? moment.now
 			this.missingSince.set(id, since)
-			if (moment.now - since >= MISSING_FOR) this.change(id, 'gone', 'not listed', moment)
+			if (moment.now - since >= MISSING_TIMEOUT_MS)
+				this.proposeState(id, 'gone', 'not listed', moment)
 		}
 	}
 
 	/** A worker or somebody who met it says that it leaves; the list says so later. */
-	leaving(id: string, reason: string, moment: Moment): void {
-		if (this.state.workers.find(id)?.state === 'live') this.change(id, 'leaving', reason, moment)
+	onLeaving(id: string, reason: string, moment: Moment): void {
+		if (this.state.workers.find(id)?.state === 'live')
+			this.proposeState(id, 'leaving', reason, moment)
 	}
 
-	private compare(listed: ListedWorker, moment: Moment): void {
+	private reconcile(listed: ListedWorker, moment: Moment): void {
 		const known = this.state.workers.find(listed.id)
 		const { slots } = this.configuration()
-		const capacity = offeredToTasks(listed.capacity, slots)
+		const capacity = taskCapacityOf(listed.capacity, slots)
 		// A list that lags must not reopen a worker that is known to leave under the same address.
-		const leaves = known?.state === 'leaving' && known.address === listed.address
-		const state = leaves ? 'leaving' : listed.state
-		const same =
+		const isStillLeaving = known?.state === 'leaving' && known.address === listed.address
+		const state = isStillLeaving ? 'leaving' : listed.state
+		const isUnchanged =
 			known !== undefined &&
 			known.state === state &&
 			known.address === listed.address &&
@@ -80,28 +82,33 @@
 			known.capacity.cpu === capacity.cpu &&
 			known.capacity.memory === capacity.memory &&
 			known.capacity.accelerators === capacity.accelerators
-		if (same || this.busy.has(listed.id)) return
-		this.busy.add(listed.id)
+		if (isUnchanged || this.inFlight.has(listed.id)) return
+		this.inFlight.add(listed.id)
 		const { id, address, rack } = listed
 		const at = moment.at
 		const reason = known?.reason ?? ''
-		const offer = { id, address, rack, capacity, slots: slots.perWorker, state, reason, at }
-		this.effects.commands.push({ kind: 'worker', ...offer })
+		const update = { id, address, rack, capacity, slots: slots.perWorker, state, reason, at }
+		this.effects.commands.push({ kind: 'worker', ...update })
 	}
 
-	private change(id: string, state: 'leaving' | 'gone', reason: string, moment: Moment): void {
+	private proposeState(
+		id: string,
+		state: 'leaving' | 'gone',
+		reason: string,
+		moment: Moment
+	): void {
 		const known = this.state.workers.find(id)
-		if (!known || this.busy.has(id)) return
-		this.busy.add(id)
+		if (!known || this.inFlight.has(id)) return
+		this.inFlight.add(id)
 		const { address, rack, capacity, slots } = known
 		const at = moment.at
-		const change = { id, address, rack, capacity, slots, state, reason, at }
-		this.effects.commands.push({ kind: 'worker', ...change })
+		const update = { id, address, rack, capacity, slots, state, reason, at }
+		this.effects.commands.push({ kind: 'worker', ...update })
 	}
 }
 
 /** What is left for tasks once every request slot has its share. */
-function offeredToTasks(capacity: Resources, slots: Configuration['slots']): Resources {
+function taskCapacityOf(capacity: Resources, slots: Configuration['slots']): Resources {
 	return {
 		cpu: Math.max(0, capacity.cpu - slots.perWorker * slots.cpu),
 		memory: Math.max(0, capacity.memory - slots.perWorker * slots.memory),
--- a/packages/cell/src/lib/leader/WorkerLeases.ts
+++ b/packages/cell/src/lib/leader/WorkerLeases.ts
@@ -5,8 +5,8 @@
 import { addDriftMargin, TASK_LEASE_MS } from './timing'
 import type { ExchangeReply, StartOrder, TaskOrder, ThrottleOrder } from './workerProtocol'
 
-const RENEW_EVERY = TASK_LEASE_MS / 3
-const RETRY_EVERY = 1000
+const RENEW_INTERVAL_MS = TASK_LEASE_MS / 3
+const RETRY_INTERVAL_MS = 1000
 const NO_STAMP = -1
 
 class Lease {
@@ -17,7 +17,7 @@
 	renewedAt: number
 	sentAt = Number.NEGATIVE_INFINITY
 	/** Whether an exchange is under way. */
-	under = false
+	isInFlight = false
 	readonly placed = new Map<string, TaskRecord>()
 	/** Orders to start that no reply has confirmed yet. */
 	readonly start = new Map<string, TaskRecord>()
@@ -25,13 +25,13 @@
 	readonly checkpoint = new Map<string, TaskOrder>()
 	readonly throttle = new Map<string, ThrottleOrder>()
 	/** Tasks that the worker has confirmed to run. */
-	readonly seen = new Set<string>()
+	readonly confirmed = new Set<string>()
 	/** Whether there are orders that have not been sent. */
-	fresh = false
+	hasUnsentOrders = false
 	/** Whether its newest reply said that it takes no new work. */
 	leaving = false
 	/** Starts that were part of the exchange under way. */
-	sent: TaskRecord[] = []
+	sentStarts: TaskRecord[] = []
 
 	constructor(now: number) {
 		this.renewedAt = now
@@ -43,7 +43,7 @@
 		this.stop.delete(task)
 		this.checkpoint.delete(task)
 		this.throttle.delete(task)
-		this.seen.delete(task)
+		this.confirmed.delete(task)
 	}
 }
 
@@ -67,10 +67,10 @@
 		this.now = now
 		for (const record of this.state.tasks.all()) {
 			if (record.phase !== TaskPhase.Placed) continue
-			const lease = this.of(record.worker)
+			const lease = this.leaseOf(record.worker)
 			lease.placed.set(record.task.id, record)
 			lease.start.set(record.task.id, record)
-			lease.fresh = true
+			lease.hasUnsentOrders = true
 		}
 	}
 
@@ -84,12 +84,12 @@
 	}
 
 	orderStart(record: TaskRecord): void {
-		const lease = this.of(record.worker)
+		const lease = this.leaseOf(record.worker)
 		if (lease.placed.size === 0) lease.renewedAt = Math.max(lease.renewedAt, this.now)
 		lease.forget(record.task.id)
 		lease.placed.set(record.task.id, record)
 		lease.start.set(record.task.id, record)
-		lease.fresh = true
+		lease.hasUnsentOrders = true
 	}
 
 	/**
@@ -99,32 +99,32 @@
 	 * @returns false when the task has been seen to run.
 	 */
 	withdrawStart(record: TaskRecord): boolean {
-		const lease = this.of(record.worker)
+		const lease = this.leaseOf(record.worker)
 		if (!lease.start.delete(record.task.id)) return false
 		this.orderStop(record)
 		return true
 	}
 
 	orderStop(record: TaskRecord): void {
-		const lease = this.of(record.worker)
-		lease.stop.set(record.task.id, orderFor(record))
-		lease.fresh = true
+		const lease = this.leaseOf(record.worker)
+		lease.stop.set(record.task.id, toTaskOrder(record))
+		lease.hasUnsentOrders = true
 	}
 
 	orderCheckpoint(record: TaskRecord): void {
-		const lease = this.of(record.worker)
-		lease.checkpoint.set(record.task.id, orderFor(record))
-		lease.fresh = true
+		const lease = this.leaseOf(record.worker)
+		lease.checkpoint.set(record.task.id, toTaskOrder(record))
+		lease.hasUnsentOrders = true
 	}
 
 	orderThrottle(record: TaskRecord, cpu: number): void {
-		const lease = this.of(record.worker)
-		lease.throttle.set(record.task.id, { ...orderFor(record), cpu })
-		lease.fresh = true
+		const lease = this.leaseOf(record.worker)
+		lease.throttle.set(record.task.id, { ...toTaskOrder(record), cpu })
+		lease.hasUnsentOrders = true
 	}
 
 	/** @returns the processors that a task was told to go on with, once its worker has answered. */
-	throttledTo(record: TaskRecord): number | undefined {
+	takeThrottle(record: TaskRecord): number | undefined {
 		const lease = this.leases.get(record.worker)
 		const order = lease?.throttle.get(record.task.id)
 		if (!lease || !order) return undefined
@@ -133,30 +133,30 @@
 	}
 
 	/** Takes the stamp of a reply. */
-	heard(worker: string, reply: ExchangeReply, now: number): void {
+	onReply(worker: string, reply: ExchangeReply, now: number): void {
 		this.now = now
-		const lease = this.of(worker)
-		lease.under = false
+		const lease = this.leaseOf(worker)
+		lease.isInFlight = false
 		if (reply.stamp > lease.stamp) {
 			lease.stamp = reply.stamp
 			lease.stampedAt = now
 		}
 		const known = new Set(reply.running.map((one) => one.task))
-		for (const record of lease.sent) {
+		for (const record of lease.sentStarts) {
 			const { id } = record.task
 			if (!known.has(id)) continue
 			lease.start.delete(id)
-			lease.seen.add(id)
+			lease.confirmed.add(id)
 		}
-		lease.sent = []
+		lease.sentStarts = []
 		lease.leaving = reply.leaving
 		for (const one of reply.refused) lease.start.delete(one.task)
-		if (lease.start.size > 0 && !lease.leaving) lease.fresh = true
+		if (lease.start.size > 0 && !lease.leaving) lease.hasUnsentOrders = true
 	}
 
 	/** @returns tasks that the worker ran and no longer knows. */
 	missing(worker: string, reply: ExchangeReply): TaskRecord[] {
-		const lease = this.of(worker)
+		const lease = this.leaseOf(worker)
 		const named = new Set([
 			...reply.running.map((one) => one.task),
 			...reply.ended.map((one) => one.task),
@@ -164,40 +164,46 @@
 		])
 		return [...lease.placed.values()].filter((record) => {
 			const { id } = record.task
-			return lease.seen.has(id) && !named.has(id)
+			return lease.confirmed.has(id) && !named.has(id)
 		})
 	}
 
 	/** An exchange got no answer. */
-	failed(worker: string): void {
+	onExchangeFailed(worker: string): void {
 		const lease = this.leases.get(worker)
 		if (!lease) return
-		lease.under = false
-		lease.sent = []
-		lease.fresh = lease.start.size + lease.stop.size + lease.checkpoint.size > 0
+		lease.isInFlight = false
+		lease.sentStarts = []
+		lease.hasUnsentOrders = lease.start.size + lease.stop.size + lease.checkpoint.size > 0
 	}
 
 	/** @returns tasks on workers whose leases are certainly over. */
 	expired(now: number): TaskRecord[] {
-		const over: TaskRecord[] = []
+		const expired: TaskRecord[] = []
 		for (const lease of this.leases.values()) {
 			this.dropMoved(lease)
-			if (now - lease.renewedAt > addDriftMargin(TASK_LEASE_MS)) over.push(...lease.placed.values())
+			if (now - lease.renewedAt > addDriftMargin(TASK_LEASE_MS))
+				expired.push(...lease.placed.values())
 		}
-		return over
+		return expired
 	}
 
 	/** Sends what is due: orders at once, renewals every third of a lease. */
 	tick(moment: Moment): void {
 		this.now = moment.now
 		for (const [worker, lease] of this.leases) {
-			if (lease.placed.size === 0 && !lease.fresh) {
+			if (lease.placed.size === 0 && !lease.hasUnsentOrders) {
 				if (lease.stop.size === 0) this.leases.delete(worker)
 				continue
 			}
-			const since = moment.now - lease.sentAt
-			const wait = lease.stamp === NO_STAMP ? RETRY_EVERY : RENEW_EVERY
-			if (lease.under ? since < TASK_LEASE_MS : !lease.fresh && since < wait) continue
+			const elapsedMs = moment.now - lease.sentAt
+			const intervalMs = lease.stamp === NO_STAMP ? RETRY_INTERVAL_MS : RENEW_INTERVAL_MS
+			if (
+				lease.isInFlight
+					? elapsedMs < TASK_LEASE_MS
+					: !lease.hasUnsentOrders && elapsedMs < intervalMs
+			)
+				continue
 			this.send(worker, lease, moment)
 		}
 	}
@@ -205,12 +211,12 @@
 	private send(worker: string, lease: Lease, moment: Moment): void {
 		const address = this.state.workers.find(worker)?.address
 		if (address === undefined) return
-		const greeting = lease.stamp === NO_STAMP
-		lease.under = true
+		const isFirst = lease.stamp === NO_STAMP
+		lease.isInFlight = true
 		lease.sentAt = moment.now
-		lease.fresh = greeting
-		if (!greeting) lease.renewedAt = Math.max(lease.renewedAt, lease.stampedAt)
-		lease.sent = greeting || lease.leaving ? [] : [...lease.start.values()]
+		lease.hasUnsentOrders = isFirst
+		if (!isFirst) lease.renewedAt = Math.max(lease.renewedAt, lease.stampedAt)
+		lease.sentStarts = isFirst || lease.leaving ? [] : [...lease.start.values()]
 		this.effects.exchanges.push({
 			worker,
 			address,
@@ -218,7 +224,7 @@
 				term: moment.term,
 				stamp: lease.stamp,
 				leaseMs: TASK_LEASE_MS,
-				start: lease.sent.map(startOrder),
+				start: lease.sentStarts.map(toStartOrder),
 				stop: [...lease.stop.values()],
 				checkpoint: [...lease.checkpoint.values()],
 				throttle: [...lease.throttle.values()],
@@ -229,12 +235,12 @@
 	/** Forgets tasks that the log has moved elsewhere. */
 	private dropMoved(lease: Lease): void {
 		for (const [id, record] of lease.placed) {
-			const here = record.phase === TaskPhase.Placed && this.of(record.worker) === lease
-			if (!here) lease.forget(id)
+			const isHere = record.phase === TaskPhase.Placed && this.leaseOf(record.worker) === lease
+			if (!isHere) lease.forget(id)
 		}
 	}
 
-	private of(worker: string): Lease {
+	private leaseOf(worker: string): Lease {
 		let lease = this.leases.get(worker)
 		if (!lease) {
 			lease = new Lease(this.now)
@@ -244,12 +250,12 @@
 	}
 }
 
-function orderFor(record: TaskRecord): TaskOrder {
+function toTaskOrder(record: TaskRecord): TaskOrder {
 	return { task: record.task.id, fence: record.fence }
 }
 
-function startOrder(record: TaskRecord): StartOrder {
+function toStartOrder(record: TaskRecord): StartOrder {
 	const { cpu, memory, accelerators } = record.reserved ?? record.task.need
 	const { command } = record
-	return { ...orderFor(record), cpu, memory, accelerators, command }
+	return { ...toTaskOrder(record), cpu, memory, accelerators, command }
 }
--- a/packages/runs/src/lib/cell/promises.test.ts
+++ b/packages/runs/src/lib/cell/promises.test.ts
@@ -137,10 +137,10 @@
 
 test('fails when refusals and the list are not heeded: a leaving worker gets no new work', () => {
 	const failure = withBroken([
-		[WORKER_DESK(), 'leaving', () => () => undefined],
+		[WORKER_DESK(), 'onLeaving', () => () => undefined],
 		[
 			WORKER_DESK(),
-			'list',
+			'onWorkerList',
 			(original) =>
 				function (this: unknown, workers: unknown, moment: unknown) {
 					const live = (workers as object[]).map((worker) => ({ ...worker, state: 'live' }))
