--- a/packages/cell/src/index.ts
+++ b/packages/cell/src/index.ts
@@ -61,12 +61,12 @@
 	type TaskOrder,
 	type ThrottleOrder,
 } from './lib/leader/workerProtocol'
-export { keepAnswer, restoreAnswer, type KeptAnswer } from './lib/records/Answer'
+export { toStoredAnswer, toAnswer, type StoredAnswer } from './lib/records/StoredAnswer'
 export { Outcome, Problem } from './lib/records/Outcome'
 export { type AuditFilter, type AuditRecord } from './lib/state/AuditTrail'
-export { DataCentreState, type Applied } from './lib/state/DataCentreState'
+export { DataCentreState, type AppliedCommand } from './lib/state/DataCentreState'
 export { type OperatorAnswer } from './lib/state/OperatorAnswers'
-export { Phase, type RequestRecord } from './lib/state/RequestTable'
+export { RequestPhase, type RequestRecord } from './lib/state/RequestTable'
 export { SystemState } from './lib/state/SystemState'
 export { PlanPhase, TaskPhase, type PlanRecord, type TaskRecord } from './lib/state/TaskTable'
 export { type Loan, type WorkerRecord } from './lib/state/WorkerTable'
--- a/packages/cell/src/lib/commands/DataCentreCommand.ts
+++ b/packages/cell/src/lib/commands/DataCentreCommand.ts
@@ -5,7 +5,7 @@
 import { Buffer } from 'node:buffer'
 import { readIntentSchema } from '@rillrudder/settings'
 import { z } from 'zod'
-import { keptAnswerSchema } from '../records/Answer'
+import { storedAnswerSchema } from '../records/StoredAnswer'
 import { Outcome, Problem } from '../records/Outcome'
 import { readRecord, writeRecord, type Migration } from './versioned'
 
@@ -56,7 +56,7 @@
 	digest: z.string().optional(),
 	outcome: z.enum(Outcome),
 	problem: z.enum(Problem).optional(),
-	answer: keptAnswerSchema.optional(),
+	answer: storedAnswerSchema.optional(),
 	at: moment,
 })
 
--- a/packages/cell/src/lib/leader/DataCentreController.ts
+++ b/packages/cell/src/lib/leader/DataCentreController.ts
@@ -6,7 +6,7 @@
 import { WorkerHealth } from '@rillrudder/scheduler'
 import type { InForce } from '@rillrudder/settings'
 import type { Random } from '@rillrudder/utils'
-import type { Applied, DataCentreState } from '../state/DataCentreState'
+import type { AppliedCommand, DataCentreState } from '../state/DataCentreState'
 import { Effects, type GroupCall, type Moment } from './Effects'
 import { EntryIncarnations } from './EntryIncarnations'
 import { HomeController } from './HomeController'
@@ -206,17 +206,17 @@
 	}
 
 	/** A command was committed and applied. */
-	onCommandApplied(applied: Applied, moment: Moment): void {
-		const { command, counted } = applied
+	onCommandApplied(applied: AppliedCommand, moment: Moment): void {
+		const { command, hasEffect } = applied
 		switch (command.kind) {
 			case 'admit':
-				return this.requests.onAdmitted(command, counted, moment)
+				return this.requests.onAdmitted(command, hasEffect, moment)
 			case 'start':
-				return this.requests.onStarted(command, counted, moment)
+				return this.requests.onStarted(command, hasEffect, moment)
 			case 'unstart':
 				return this.requests.onUnstarted(command, moment)
 			case 'park':
-				return this.requests.onParked(command, counted, moment)
+				return this.requests.onParked(command, hasEffect, moment)
 			case 'finish':
 				return this.requests.onFinished(command, moment)
 			case 'lend':
@@ -228,13 +228,13 @@
 				this.onWorkerChanged(command.worker, moment)
 				return this.operators.onCommitted(command)
 			case 'confirm':
-				if (counted) this.tasks.onConfirmed(this.waitingTasksOf(command.plan))
+				if (hasEffect) this.tasks.onConfirmed(this.waitingTasksOf(command.plan))
 				return this.operators.onCommitted(command)
 			case 'cancel':
-				if (counted) this.tasks.onCancelled(this.parts.state.tasks.ofIntent(command.intent))
+				if (hasEffect) this.tasks.onCancelled(this.parts.state.tasks.ofIntent(command.intent))
 				return this.operators.onCommitted(command)
 			case 'place':
-				return this.tasks.onPlaced(command, counted)
+				return this.tasks.onPlaced(command, hasEffect)
 			case 'unplace':
 				return this.tasks.onUnplaced(command)
 			case 'throttle':
@@ -276,7 +276,7 @@
 		const { keepAnswers, keepKeys, answerMemory } = this.parts.inForce().configuration.limits
 		const answersBefore = moment.at - keepAnswers
 		const keysBefore = moment.at - keepKeys
-		if (!this.parts.state.requests.isDue(answersBefore, answerMemory)) return
+		if (!this.parts.state.requests.hasExpired(answersBefore, answerMemory)) return
 		this.effects.commands.push({ kind: 'forget', answersBefore, keysBefore, answerMemory })
 	}
 
--- a/packages/cell/src/lib/leader/LeaderDriver.ts
+++ b/packages/cell/src/lib/leader/LeaderDriver.ts
@@ -6,7 +6,7 @@
 import type { InForce } from '@rillrudder/settings'
 import type { Random } from '@rillrudder/utils'
 import { encodeDataCentreCommand } from '../commands/DataCentreCommand'
-import { DataCentreState, type Applied } from '../state/DataCentreState'
+import { DataCentreState, type AppliedCommand } from '../state/DataCentreState'
 import { DataCentreController } from './DataCentreController'
 import type { GroupCall, Moment, SettleCall, WorkerExchange } from './Effects'
 import type { OperatorCall, OperatorReply } from './operatorCalls'
@@ -71,7 +71,7 @@
 	readonly state: DataCentreState
 	private readonly controller: DataCentreController
 	private group: GroupAccess | undefined
-	private applied: Applied[] = []
+	private applied: AppliedCommand[] = []
 
 	/** @param parts - identity and surroundings. */
 	constructor(private readonly parts: LeaderDriverParts) {
--- a/packages/cell/src/lib/leader/RequestController.ts
+++ b/packages/cell/src/lib/leader/RequestController.ts
@@ -4,10 +4,10 @@
  */
 import { AttemptEnd, type Report, type Submit, type Withdraw } from '@rillrudder/protocol'
 import type { CommandOf } from '../commands/DataCentreCommand'
-import { keepAnswer } from '../records/Answer'
+import { toStoredAnswer } from '../records/StoredAnswer'
 import { Outcome, Problem } from '../records/Outcome'
 import type { DataCentreState } from '../state/DataCentreState'
-import { Phase, type RequestRecord } from '../state/RequestTable'
+import { RequestPhase, type RequestRecord } from '../state/RequestTable'
 import { UnresolvedAttempts } from './UnresolvedAttempts'
 import type { Effects, Moment } from './Effects'
 import type { EntryIncarnation, EntryIncarnations } from './EntryIncarnations'
@@ -85,7 +85,7 @@
 	onSubmit(from: string, submit: Submit, moment: Moment): void {
 		const { customer, key } = submit
 		const record = this.state.requests.find(customer, key)
-		if (record && record.phase !== Phase.Parked) this.resubmit(from, submit, record, moment)
+		if (record && record.phase !== RequestPhase.Parked) this.resubmit(from, submit, record, moment)
 		else if (record && record.digest !== submit.digest) this.refuseReuse(from, submit)
 		else if (!this.homes.owns(customer)) this.redirectHome(from, submit)
 		else if (this.inFlight.has(formatRequestId(submit))) this.waiters.add(from, submit, moment.now)
@@ -95,9 +95,10 @@
 	/** Takes an entry instance's word on how an attempt ended. */
 	onReport(from: string, report: Report, moment: Moment): void {
 		const record = this.state.requests.find(report.customer, report.key)
-		if (!record || record.phase !== Phase.Started || record.attempt !== report.attempt) return
+		if (!record || record.phase !== RequestPhase.Started || record.attempt !== report.attempt)
+			return
 		if (report.end === AttemptEnd.ATTEMPT_END_ANSWERED && report.answer) {
-			const answer = keepAnswer(report.answer)
+			const answer = toStoredAnswer(report.answer)
 			this.finish(record, { outcome: Outcome.Ran, answer }, moment)
 		} else if (report.end === AttemptEnd.ATTEMPT_END_NOT_STARTED) {
 			this.unstart(record)
@@ -114,7 +115,7 @@
 		this.waiters.removeProcess(from, withdraw)
 		if (this.waiters.has(withdraw)) return
 		const record = this.state.requests.find(withdraw.customer, withdraw.key)
-		if (record?.phase === Phase.Admitted) this.park(record, moment)
+		if (record?.phase === RequestPhase.Admitted) this.park(record, moment)
 	}
 
 	/** Takes a worker's word on an attempt that was in doubt. */
@@ -126,7 +127,7 @@
 		moment: Moment
 	): void {
 		const record = this.state.requests.find(customer, key)
-		if (!record || record.phase !== Phase.Started || record.fence !== fence) return
+		if (!record || record.phase !== RequestPhase.Started || record.fence !== fence) return
 		switch (reply.state) {
 			case 'ran': {
 				const { status, headers, body } = reply
@@ -143,7 +144,7 @@
 	/** A life is over for certain: what it may have started is in doubt. */
 	onHolderReplaced(incarnationId: string, moment: Moment): void {
 		for (const record of this.state.requests.allOpen()) {
-			if (record.holder === incarnationId && record.phase === Phase.Started) {
+			if (record.holder === incarnationId && record.phase === RequestPhase.Started) {
 				this.unresolved.addAfterHolderLoss(record, moment.now)
 			}
 		}
@@ -161,19 +162,19 @@
 	}
 
 	/** A request was admitted. */
-	onAdmitted(command: CommandOf<'admit'>, counted: boolean, moment: Moment): void {
+	onAdmitted(command: CommandOf<'admit'>, hasEffect: boolean, moment: Moment): void {
 		if (this.chained.has(formatRequestId(command))) return
 		this.inFlight.delete(formatRequestId(command))
-		if (counted) this.advance(command.customer, moment)
+		if (hasEffect) this.advance(command.customer, moment)
 	}
 
 	/** A start was committed: the holder may go, and nobody else ever for this attempt. */
-	onStarted(command: CommandOf<'start'>, counted: boolean, moment: Moment): void {
+	onStarted(command: CommandOf<'start'>, hasEffect: boolean, moment: Moment): void {
 		this.inFlight.delete(formatRequestId(command))
 		this.chained.delete(formatRequestId(command))
 		this.slots.release(command.worker)
 		const record = this.state.requests.find(command.customer, command.key)
-		if (!counted || !record) return this.advance(command.customer, moment)
+		if (!hasEffect || !record) return this.advance(command.customer, moment)
 		this.verdicts.onStarted(command, moment.now)
 		const holder = this.holders.find(command.holder)
 		if (holder) this.sendGo(record, holder, moment)
@@ -207,9 +208,9 @@
 	}
 
 	/** A request that nobody waits for has left the queue; it is taken up again if it is sent again. */
-	onParked(command: CommandOf<'park'>, counted: boolean, moment: Moment): void {
+	onParked(command: CommandOf<'park'>, hasEffect: boolean, moment: Moment): void {
 		this.inFlight.delete(formatRequestId(command))
-		if (counted && !this.waiters.has(command)) this.waiters.remove(command)
+		if (hasEffect && !this.waiters.has(command)) this.waiters.remove(command)
 		this.advance(command.customer, moment)
 	}
 
@@ -244,12 +245,12 @@
 			this.refuseReuse(from, submit)
 			return
 		}
-		if (record.phase === Phase.Finished) {
+		if (record.phase === RequestPhase.Finished) {
 			this.verdicts.sendOutcome(from, record)
 			return
 		}
 		this.waiters.add(from, submit, moment.now)
-		if (record.phase === Phase.Started) this.reconcile(from, submit, record, moment)
+		if (record.phase === RequestPhase.Started) this.reconcile(from, submit, record, moment)
 		else this.advance(submit.customer, moment)
 	}
 
@@ -290,7 +291,8 @@
 	private advance(customer: string, moment: Moment): void {
 		const record = this.state.requests.head(customer)
 		this.starved.delete(customer)
-		if (record?.phase !== Phase.Admitted || this.inFlight.has(formatRequestId(record))) return
+		if (record?.phase !== RequestPhase.Admitted || this.inFlight.has(formatRequestId(record)))
+			return
 		if (this.finishIfTimedOut(record, moment)) return
 		const holder = this.holderFor(record, moment.now)
 		if (!holder) return
@@ -334,7 +336,7 @@
 	/** The customer's next request starts in the same batch in which its oldest ends. */
 	private chainNext(customer: string, moment: Moment): void {
 		const next = this.state.requests.next(customer)
-		if (next?.phase !== Phase.Admitted || this.inFlight.has(formatRequestId(next))) return
+		if (next?.phase !== RequestPhase.Admitted || this.inFlight.has(formatRequestId(next))) return
 		const holder = this.holderFor(next, moment.now)
 		if (holder) this.proposeStart(next, holder, moment)
 	}
@@ -411,9 +413,9 @@
 	private expire(moment: Moment): void {
 		for (const waiter of this.waiters.takeDue(moment.now)) {
 			const record = this.state.requests.find(waiter.customer, waiter.key)
-			if (record?.phase === Phase.Finished) continue
+			if (record?.phase === RequestPhase.Finished) continue
 			const isWaiting =
-				record?.phase === Phase.Admitted && !this.inFlight.has(formatRequestId(record))
+				record?.phase === RequestPhase.Admitted && !this.inFlight.has(formatRequestId(record))
 			if (isWaiting) this.finishIfTimedOut(record, moment)
 			else this.waiters.recheckLater(waiter, moment.now)
 		}
@@ -429,7 +431,7 @@
 	/** WorkerPolls after a request whose holder has gone silent, or has not heard that it may go. */
 	private checkHolder(record: RequestRecord, moment: Moment): void {
 		const { now } = moment
-		if (record.phase === Phase.Admitted) {
+		if (record.phase === RequestPhase.Admitted) {
 			const graceMs = addDriftMargin(START_WINDOW_MS)
 			const isNewLeader = now - this.leaderSince < graceMs
 			if (!isNewLeader && !this.waiters.has(record)) this.park(record, moment)
--- a/packages/cell/src/lib/leader/TaskController.ts
+++ b/packages/cell/src/lib/leader/TaskController.ts
@@ -121,10 +121,10 @@
 	}
 
 	/** A placement was committed, or found that the worker had no room. */
-	onPlaced(command: CommandOf<'place'>, counted: boolean): void {
+	onPlaced(command: CommandOf<'place'>, hasEffect: boolean): void {
 		this.inFlight.delete(command.task)
 		const record = this.state.tasks.find(command.task)
-		if (!counted || !record) {
+		if (!hasEffect || !record) {
 			this.placement.ended(command.task)
 			if (record && !hasEnded(record)) this.submit([record])
 			return
--- a/packages/cell/src/lib/leader/UnresolvedAttempts.ts
+++ b/packages/cell/src/lib/leader/UnresolvedAttempts.ts
@@ -1,6 +1,6 @@
 /** Polls workers for the outcome of attempts without a known result, until a reply or a deadline. */
 import type { DataCentreState } from '../state/DataCentreState'
-import { Phase, type RequestRecord } from '../state/RequestTable'
+import { RequestPhase, type RequestRecord } from '../state/RequestTable'
 import type { Effects } from './Effects'
 import { addDriftMargin, SETTLE_TIMEOUT_MS, START_WINDOW_MS } from './timing'
 
@@ -89,7 +89,7 @@
 		const expired: RequestRecord[] = []
 		for (const [name, attempt] of this.attempts) {
 			const { record } = attempt
-			if (record.phase !== Phase.Started || record.fence !== attempt.fence)
+			if (record.phase !== RequestPhase.Started || record.fence !== attempt.fence)
 				this.attempts.delete(name)
 			else if (now >= attempt.deadline) expired.push(record)
 			else if (now >= attempt.nextSettleAt) this.settle(attempt, now)
--- a/packages/cell/src/lib/leader/VerdictSender.ts
+++ b/packages/cell/src/lib/leader/VerdictSender.ts
@@ -1,5 +1,5 @@
 /** Sends verdicts to entry instances: how a request ended, and after which delay to retry. */
-import { restoreAnswer } from '../records/Answer'
+import { toAnswer } from '../records/StoredAnswer'
 import { Outcome, Problem } from '../records/Outcome'
 import type { RequestTable, RequestRecord } from '../state/RequestTable'
 import type { Effects } from './Effects'
@@ -62,7 +62,7 @@
 		const outcome = record.outcome ?? Outcome.Unknown
 		const isAnswerDropped = outcome === Outcome.Ran && !record.answer
 		const problem = isAnswerDropped ? Problem.AnswerForgotten : (record.problem ?? '')
-		const answer = record.answer ? restoreAnswer(record.answer) : undefined
+		const answer = record.answer ? toAnswer(record.answer) : undefined
 		this.send(process, record, outcome, problem, answer)
 	}
 
@@ -76,7 +76,7 @@
 		request: RequestId,
 		outcome: Outcome,
 		problem: string,
-		answer?: ReturnType<typeof restoreAnswer>
+		answer?: ReturnType<typeof toAnswer>
 	): void {
 		const { customer, key } = request
 		const wait = Math.ceil(this.estimateWait(customer))
--- a/packages/cell/src/lib/state/AuditTrail.ts
+++ b/packages/cell/src/lib/state/AuditTrail.ts
@@ -23,7 +23,7 @@
 	readonly to?: number
 }
 
-const MOST_KEPT = 50_000
+const MAX_RECORDS = 50_000
 
 /**
  * The trail of one log.
@@ -36,8 +36,8 @@
 	/** @param record - a line that follows all others. */
 	add(record: AuditRecord): void {
 		this.records.push(record)
-		if (this.records.length > MOST_KEPT + MOST_KEPT / 10) {
-			this.records = this.records.slice(-MOST_KEPT)
+		if (this.records.length > MAX_RECORDS + MAX_RECORDS / 10) {
+			this.records = this.records.slice(-MAX_RECORDS)
 		}
 	}
 
--- a/packages/cell/src/lib/state/DataCentreState.test.ts
+++ b/packages/cell/src/lib/state/DataCentreState.test.ts
@@ -7,8 +7,8 @@
 	encodeDataCentreCommand,
 	type DataCentreCommand,
 } from '../commands/DataCentreCommand'
-import { DataCentreState, type Applied } from './DataCentreState'
-import { Phase } from './RequestTable'
+import { DataCentreState, type AppliedCommand } from './DataCentreState'
+import { RequestPhase } from './RequestTable'
 
 const WORKER = {
 	kind: 'worker',
@@ -24,10 +24,10 @@
 
 /** A state, and what became of each command. */
 function play(commands: readonly DataCentreCommand[]) {
-	const applied: Applied[] = []
+	const applied: AppliedCommand[] = []
 	const state = new DataCentreState((one) => applied.push(one))
 	commands.forEach((command, index) => state.apply(encodeDataCentreCommand(command), index + 1))
-	return { state, counted: applied.map((one) => one.counted) }
+	return { state, hadEffect: applied.map((one) => one.hasEffect) }
 }
 
 const name = (key: string) => ({ customer: 'batumi', key })
@@ -39,7 +39,7 @@
 	({ kind: 'finish', ...name(key), outcome, at: 2 }) as const
 
 test('a customer is served in the order of admission, one at a time', () => {
-	const { counted } = play([
+	const { hadEffect } = play([
 		WORKER,
 		admit('a'),
 		admit('b'),
@@ -49,11 +49,11 @@
 		finish('a', 'ran'),
 		start('b'),
 	])
-	assert.deepEqual(counted.slice(3), [false, true, false, true, true])
+	assert.deepEqual(hadEffect.slice(3), [false, true, false, true, true])
 })
 
 test('a started request is never finished as not run, and a finished one never again', () => {
-	const { state, counted } = play([
+	const { state, hadEffect } = play([
 		WORKER,
 		admit('a'),
 		start('a'),
@@ -61,18 +61,25 @@
 		finish('a', 'ran'),
 		finish('a', 'not-run'),
 	])
-	assert.deepEqual(counted.slice(3), [false, true, false])
+	assert.deepEqual(hadEffect.slice(3), [false, true, false])
 	assert.equal(state.requests.find('batumi', 'a')?.outcome, 'ran')
 })
 
 test('an attempt is started once; only one that was taken back is followed by another', () => {
 	const unstart = { kind: 'unstart', ...name('a'), attempt: 1 } as const
-	const { counted } = play([WORKER, admit('a'), start('a'), start('a', 2), unstart, start('a', 2)])
-	assert.deepEqual(counted.slice(2), [true, false, true, true])
+	const { hadEffect } = play([
+		WORKER,
+		admit('a'),
+		start('a'),
+		start('a', 2),
+		unstart,
+		start('a', 2),
+	])
+	assert.deepEqual(hadEffect.slice(2), [true, false, true, true])
 })
 
 test('a request that everybody left is taken up again, with attempts that go on counting', () => {
-	const { state, counted } = play([
+	const { state, hadEffect } = play([
 		WORKER,
 		admit('a'),
 		start('a'),
@@ -83,8 +90,8 @@
 		start('a', 1),
 		start('a', 2),
 	])
-	assert.deepEqual(counted.slice(4), [true, false, true, false, true])
-	assert.equal(state.requests.find('batumi', 'a')?.phase, Phase.Started)
+	assert.deepEqual(hadEffect.slice(4), [true, false, true, false, true])
+	assert.equal(state.requests.find('batumi', 'a')?.phase, RequestPhase.Started)
 })
 
 test('no more slots are given away than a worker has, lent ones and taken ones together', () => {
@@ -93,7 +100,7 @@
 		holder,
 		slots: [{ worker: 'w1', slots }],
 	})
-	const { counted } = play([
+	const { hadEffect } = play([
 		WORKER,
 		lend('e1', 1),
 		lend('e2', 2),
@@ -101,7 +108,7 @@
 		start('a'),
 		lend('e2', 1),
 	])
-	assert.deepEqual(counted.slice(1), [true, false, true, true, false])
+	assert.deepEqual(hadEffect.slice(1), [true, false, true, true, false])
 })
 
 test('a home that was closed for a revision opens for a later one only', () => {
@@ -123,8 +130,16 @@
 		records: [],
 		at: 1,
 	})
-	const { counted } = play([close(3), open(2), open(3), admit('a'), open(4), close(4), admit('a')])
-	assert.deepEqual(counted, [true, false, false, false, true, false, true])
+	const { hadEffect } = play([
+		close(3),
+		open(2),
+		open(3),
+		admit('a'),
+		open(4),
+		close(4),
+		admit('a'),
+	])
+	assert.deepEqual(hadEffect, [true, false, false, false, true, false, true])
 })
 
 test('an operator that sends again gets the first answer, and the trail has it once', () => {
--- a/packages/cell/src/lib/state/DataCentreState.ts
+++ b/packages/cell/src/lib/state/DataCentreState.ts
@@ -10,15 +10,15 @@
 import { AuditTrail } from './AuditTrail'
 import { HomeTable } from './HomeTable'
 import { OperatorAnswers, type OperatorAnswer } from './OperatorAnswers'
-import { Phase, RequestTable, type RequestRecord } from './RequestTable'
+import { RequestPhase, RequestTable, type RequestRecord } from './RequestTable'
 import { hasEnded, PlanPhase, TaskTable, TaskPhase } from './TaskTable'
 import { WorkerTable } from './WorkerTable'
 
 /** A command and whether it counted. @public */
-export interface Applied {
+export interface AppliedCommand {
 	readonly command: DataCentreCommand
 	readonly index: number
-	readonly counted: boolean
+	readonly hasEffect: boolean
 }
 
 /** Version of the snapshot; a snapshot of another version is refused. */
@@ -41,14 +41,14 @@
 	ground = 0
 
 	/** @param notify - told of every command after it was applied. */
-	constructor(private readonly notify: (applied: Applied) => void = () => undefined) {
+	constructor(private readonly notify: (applied: AppliedCommand) => void = () => undefined) {
 		super()
 	}
 
 	override apply(bytes: Uint8Array, index: number): void {
 		const command = decodeDataCentreCommand(bytes)
-		const counted = this.carryOut(command, index)
-		this.notify({ command, index, counted })
+		const hasEffect = this.carryOut(command, index)
+		this.notify({ command, index, hasEffect })
 	}
 
 	override snapshot(): Uint8Array {
@@ -129,20 +129,20 @@
 	}
 
 	private start(command: CommandOf<'start'>, index: number): boolean {
-		if (this.requests.head(command.customer)?.phase !== Phase.Admitted) return false
+		if (this.requests.head(command.customer)?.phase !== RequestPhase.Admitted) return false
 		if (!this.workers.takeSlot(command.worker)) return false
-		const counted = this.requests.start(command, index)
-		if (!counted) this.workers.freeSlot(command.worker)
-		return counted
+		const hasEffect = this.requests.start(command, index)
+		if (!hasEffect) this.workers.freeSlot(command.worker)
+		return hasEffect
 	}
 
 	/** The end of an attempt gives its slot back. */
 	private endAttempt(command: CommandOf<'finish' | 'unstart'>, end: () => boolean): boolean {
 		const record = this.requests.find(command.customer, command.key)
-		const worker = record?.phase === Phase.Started ? record.worker : ''
-		const counted = end()
-		if (counted && worker !== '') this.workers.freeSlot(worker)
-		return counted
+		const worker = record?.phase === RequestPhase.Started ? record.worker : ''
+		const hasEffect = end()
+		if (hasEffect && worker !== '') this.workers.freeSlot(worker)
+		return hasEffect
 	}
 
 	private changeWorker(command: CommandOf<'worker'>, index: number): boolean {
@@ -155,7 +155,7 @@
 	}
 
 	private propose(command: CommandOf<'plan'>, index: number): boolean {
-		return this.once(command, index, command.id, () => {
+		return this.applyOnce(command, index, command.id, () => {
 			this.tasks.propose(command)
 			const possible = command.impossible.length === 0
 			const message = possible ? 'planned' : `impossible: ${command.impossible.join('; ')}`
@@ -164,7 +164,7 @@
 	}
 
 	private confirm(command: CommandOf<'confirm'>, index: number): boolean {
-		return this.once(command, index, command.plan, () => {
+		return this.applyOnce(command, index, command.plan, () => {
 			const subject = command.plan
 			const plan = this.tasks.plan(command.plan)
 			if (!plan) return { accepted: false, message: 'no such plan', subject }
@@ -187,7 +187,7 @@
 	}
 
 	private reject(command: CommandOf<'reject'>, index: number): boolean {
-		return this.once(command, index, command.plan, () => {
+		return this.applyOnce(command, index, command.plan, () => {
 			const subject = command.plan
 			const plan = this.tasks.plan(command.plan)
 			if (!plan) return { accepted: false, message: 'no such plan', subject }
@@ -200,7 +200,7 @@
 	}
 
 	private cancel(command: CommandOf<'cancel'>, index: number): boolean {
-		return this.once(command, index, command.intent, () => {
+		return this.applyOnce(command, index, command.intent, () => {
 			const subject = command.intent
 			const open = this.tasks.ofIntent(command.intent).filter((record) => !hasEnded(record))
 			if (open.length === 0) {
@@ -213,7 +213,7 @@
 	}
 
 	private drain(command: CommandOf<'drain'>, index: number): boolean {
-		return this.once(command, index, command.worker, () => {
+		return this.applyOnce(command, index, command.worker, () => {
 			const subject = command.worker
 			const worker = this.workers.find(command.worker)
 			if (!worker) return { accepted: false, message: 'no such worker', subject }
@@ -253,18 +253,18 @@
 	}
 
 	private closeHome(command: CommandOf<'close-home'>, index: number): boolean {
-		return this.once(command, index, command.customer, () => {
+		return this.applyOnce(command, index, command.customer, () => {
 			const { customer, to, revision } = command
-			const counted = this.homes.close(customer, to, revision)
-			const message = counted ? `home moves to ${to}` : 'a newer move stands'
-			return { accepted: counted, message, subject: customer }
+			const hasEffect = this.homes.close(customer, to, revision)
+			const message = hasEffect ? `home moves to ${to}` : 'a newer move stands'
+			return { accepted: hasEffect, message, subject: customer }
 		})
 	}
 
 	private openHome(command: CommandOf<'open-home'>, index: number): boolean {
 		const { customer, revision, at, without } = command
 		if (!this.homes.open(customer, revision)) return false
-		this.requests.adopt(command.records as RequestRecord[])
+		this.requests.addFromPreviousHome(command.records as RequestRecord[])
 		const missing = without.length === 0 ? '' : `, without ${without.join(', ')}, declared down`
 		const outcome = `home opened${missing}`
 		this.audit.add({ index, at, who: SYSTEM, what: 'open-home', subject: customer, outcome })
@@ -272,7 +272,7 @@
 	}
 
 	/** Does an operator's command once, however often it is sent. */
-	private once(
+	private applyOnce(
 		command: CommandOf<'plan' | 'confirm' | 'reject' | 'cancel' | 'drain' | 'close-home'>,
 		index: number,
 		subject: string,
--- a/packages/cell/src/lib/state/OperatorAnswers.ts
+++ b/packages/cell/src/lib/state/OperatorAnswers.ts
@@ -12,7 +12,7 @@
 	readonly revision?: number
 }
 
-const MOST_KEPT = 20_000
+const MAX_ANSWERS = 20_000
 
 /**
  * Answers by the request id that the operator's client chose.
@@ -30,7 +30,7 @@
 	/** Keeps an answer; the oldest is forgotten beyond 20,000. */
 	keep(request: string, answer: OperatorAnswer): void {
 		this.answers.set(request, answer)
-		if (this.answers.size <= MOST_KEPT) return
+		if (this.answers.size <= MAX_ANSWERS) return
 		const oldest = this.answers.keys().next()
 		if (!oldest.done) this.answers.delete(oldest.value)
 	}
--- a/packages/cell/src/lib/state/RequestTable.ts
+++ b/packages/cell/src/lib/state/RequestTable.ts
@@ -1,11 +1,11 @@
 /** The requests of each customer, in the order in which the log admitted them. */
 import { invariant } from '@rillrudder/utils'
 import type { CommandOf } from '../commands/DataCentreCommand'
-import type { KeptAnswer } from '../records/Answer'
+import type { StoredAnswer } from '../records/StoredAnswer'
 import { Outcome, type Problem } from '../records/Outcome'
 
 /** Where a request is in its life. @public */
-export const Phase = {
+export const RequestPhase = {
 	Admitted: 'admitted',
 	Started: 'started',
 	/** Admitted once, and then left by everybody before it was started; sent again, it is admitted anew. */
@@ -13,14 +13,14 @@
 	Finished: 'finished',
 } as const
 /** One of the phases. @public */
-export type Phase = (typeof Phase)[keyof typeof Phase]
+export type RequestPhase = (typeof RequestPhase)[keyof typeof RequestPhase]
 
 /** A request that is not repeatable. @public */
 export interface RequestRecord {
 	readonly customer: string
 	readonly key: string
 	readonly digest: string
-	phase: Phase
+	phase: RequestPhase
 	/** Attempts begun so far; only an attempt that certainly did not start is followed by another. */
 	attempt: number
 	/** Index of the start in the log: a later attempt anywhere has a higher one. */
@@ -30,7 +30,7 @@
 	holder: string
 	outcome?: Outcome
 	problem?: Problem
-	answer?: KeptAnswer
+	answer?: StoredAnswer
 	/** How long an attempt may run, in milliseconds. */
 	readonly timeout: number
 	/** When it was last changed by admission or finish, milliseconds since the epoch. */
@@ -44,7 +44,7 @@
 }
 
 /** A finished request in the order of finishing. */
-interface Finished {
+interface EndedRequest {
 	readonly customer: string
 	readonly key: string
 	readonly at: number
@@ -60,7 +60,7 @@
  */
 export class RequestTable {
 	private readonly customers = new Map<string, CustomerTable>()
-	private finished: Finished[] = []
+	private ended: EndedRequest[] = []
 	private answerBytes = 0
 	private openCount = 0
 
@@ -70,7 +70,7 @@
 	}
 
 	/** Bytes of the answers that are kept. */
-	get bytes(): number {
+	get answerSize(): number {
 		return this.answerBytes
 	}
 
@@ -106,9 +106,9 @@
 	admit(command: CommandOf<'admit'>): void {
 		const table = this.table(command.customer)
 		const known = table.records.get(command.key)
-		if (known && known.phase !== Phase.Parked) return
+		if (known && known.phase !== RequestPhase.Parked) return
 		const { customer, key, digest, holder, timeout, at } = command
-		const record = blankRecord({ customer, key, digest, holder, timeout, at })
+		const record = createRecord({ customer, key, digest, holder, timeout, at })
 		// Attempts go on counting, so that no two of them are ever the same.
 		record.attempt = known?.attempt ?? 0
 		table.records.set(key, record)
@@ -119,10 +119,10 @@
 	/** @returns whether the start counts. */
 	start(command: CommandOf<'start'>, index: number): boolean {
 		const record = this.find(command.customer, command.key)
-		if (!record || record.phase !== Phase.Admitted) return false
+		if (!record || record.phase !== RequestPhase.Admitted) return false
 		if (command.attempt !== record.attempt + 1) return false
 		if (this.head(command.customer) !== record) return false
-		record.phase = Phase.Started
+		record.phase = RequestPhase.Started
 		record.attempt = command.attempt
 		record.fence = index
 		record.worker = command.worker
@@ -133,8 +133,8 @@
 	/** @returns whether the attempt was taken back. */
 	unstart(command: CommandOf<'unstart'>): boolean {
 		const record = this.find(command.customer, command.key)
-		if (record?.phase !== Phase.Started || record.attempt !== command.attempt) return false
-		record.phase = Phase.Admitted
+		if (record?.phase !== RequestPhase.Started || record.attempt !== command.attempt) return false
+		record.phase = RequestPhase.Admitted
 		record.worker = ''
 		return true
 	}
@@ -143,12 +143,12 @@
 	park(command: CommandOf<'park'>): boolean {
 		const table = this.table(command.customer)
 		const record = table.records.get(command.key)
-		if (record?.phase !== Phase.Admitted) return false
+		if (record?.phase !== RequestPhase.Admitted) return false
 		table.open.splice(table.open.indexOf(command.key), 1)
 		this.openCount -= 1
-		record.phase = Phase.Parked
+		record.phase = RequestPhase.Parked
 		record.at = command.at
-		this.remember(record)
+		this.trackEnded(record)
 		return true
 	}
 
@@ -156,42 +156,42 @@
 	finish(command: CommandOf<'finish'>): boolean {
 		const table = this.table(command.customer)
 		let record = table.records.get(command.key)
-		if (record?.phase === Phase.Finished) return false
+		if (record?.phase === RequestPhase.Finished) return false
 		if (!record) {
-			record = this.neverAdmitted(command)
+			record = this.createUnadmitted(command)
 			table.records.set(command.key, record)
-		} else if (record.phase !== Phase.Parked) {
-			const started = record.phase === Phase.Started
+		} else if (record.phase !== RequestPhase.Parked) {
+			const started = record.phase === RequestPhase.Started
 			if (started && command.outcome === Outcome.NotRun) return false
 			table.open.splice(table.open.indexOf(command.key), 1)
 			this.openCount -= 1
 		}
-		record.phase = Phase.Finished
+		record.phase = RequestPhase.Finished
 		record.outcome = command.outcome
 		record.problem = command.problem
 		record.answer = command.answer
 		record.at = command.at
-		this.remember(record)
+		this.trackEnded(record)
 		return true
 	}
 
 	/** Forgets answers and keys that are past their time, and the oldest answers beyond the bound. */
 	forget(command: CommandOf<'forget'>): void {
 		let keys = 0
-		for (const one of this.finished) {
+		for (const one of this.ended) {
 			if (one.at >= command.answersBefore) break
 			if (one.at < command.keysBefore) keys += 1
 			this.dropAnswer(one)
 		}
-		for (const one of this.finished.slice(0, keys)) this.dropKey(one)
-		this.finished = this.finished.slice(keys)
-		this.dropAnswersAbove(command.answerMemory * BYTES_PER_MIB)
+		for (const one of this.ended.slice(0, keys)) this.dropKey(one)
+		this.ended = this.ended.slice(keys)
+		this.dropAnswersAboveLimit(command.answerMemory * BYTES_PER_MIB)
 	}
 
 	/** @returns whether there is something to forget. */
-	isDue(answersBefore: number, answerMemory: number): boolean {
+	hasExpired(answersBefore: number, answerMemory: number): boolean {
 		if (this.answerBytes > answerMemory * BYTES_PER_MIB) return true
-		return this.finished.length > 0 && this.finished[0].at < answersBefore
+		return this.ended.length > 0 && this.ended[0].at < answersBefore
 	}
 
 	/** @returns all of a customer's records, for its next home. */
@@ -200,14 +200,14 @@
 	}
 
 	/** Takes up records from a customer's earlier home. */
-	adopt(records: readonly RequestRecord[]): void {
+	addFromPreviousHome(records: readonly RequestRecord[]): void {
 		for (const record of records) {
 			const table = this.table(record.customer)
 			if (table.records.has(record.key)) continue
-			const ended = record.phase === Phase.Finished || record.phase === Phase.Parked
+			const ended = record.phase === RequestPhase.Finished || record.phase === RequestPhase.Parked
 			invariant(ended, 'a home moves only when nothing is open')
 			table.records.set(record.key, { ...record })
-			this.remember(record)
+			this.trackEnded(record)
 		}
 	}
 
@@ -219,7 +219,7 @@
 				open: table.open,
 				records: [...table.records.values()],
 			})),
-			finished: this.finished,
+			finished: this.ended,
 			answerBytes: this.answerBytes,
 		}
 	}
@@ -228,7 +228,7 @@
 	load(saved: unknown): void {
 		const table = saved as {
 			customers: { name: string; open: string[]; records: RequestRecord[] }[]
-			finished: Finished[]
+			finished: EndedRequest[]
 			answerBytes: number
 		}
 		this.customers.clear()
@@ -237,7 +237,7 @@
 			this.customers.set(name, { open, records: new Map(records.map((one) => [one.key, one])) })
 			this.openCount += open.length
 		}
-		this.finished = table.finished
+		this.ended = table.finished
 		this.answerBytes = table.answerBytes
 	}
 
@@ -250,27 +250,27 @@
 		return table
 	}
 
-	private neverAdmitted(command: CommandOf<'finish'>): RequestRecord {
+	private createUnadmitted(command: CommandOf<'finish'>): RequestRecord {
 		const { customer, key, at } = command
 		const digest = command.digest ?? ''
-		return blankRecord({ customer, key, digest, holder: '', timeout: 0, at })
+		return createRecord({ customer, key, digest, holder: '', timeout: 0, at })
 	}
 
-	private remember(record: RequestRecord): void {
+	private trackEnded(record: RequestRecord): void {
 		const bytes = record.answer?.body.length ?? 0
 		this.answerBytes += bytes
-		this.finished.push({ customer: record.customer, key: record.key, at: record.at, bytes })
+		this.ended.push({ customer: record.customer, key: record.key, at: record.at, bytes })
 	}
 
 	/** Drops the oldest answers until what is kept is within the bound. */
-	private dropAnswersAbove(bytes: number): void {
-		for (const one of this.finished) {
+	private dropAnswersAboveLimit(bytes: number): void {
+		for (const one of this.ended) {
 			if (this.answerBytes <= bytes) return
 			this.dropAnswer(one)
 		}
 	}
 
-	private dropAnswer(one: Finished): void {
+	private dropAnswer(one: EndedRequest): void {
 		const record = this.find(one.customer, one.key)
 		if (!record?.answer) return
 		record.answer = undefined
@@ -278,7 +278,7 @@
 	}
 
 	/** A request that was taken up again since then stays. */
-	private dropKey(one: Finished): void {
+	private dropKey(one: EndedRequest): void {
 		const record = this.find(one.customer, one.key)
 		if (record?.at === one.at) this.customers.get(one.customer)?.records.delete(one.key)
 	}
@@ -286,6 +286,6 @@
 
 type Admission = Pick<RequestRecord, 'customer' | 'key' | 'digest' | 'holder' | 'timeout' | 'at'>
 
-function blankRecord(admission: Admission): RequestRecord {
-	return { ...admission, phase: Phase.Admitted, attempt: 0, fence: 0, worker: '' }
+function createRecord(admission: Admission): RequestRecord {
+	return { ...admission, phase: RequestPhase.Admitted, attempt: 0, fence: 0, worker: '' }
 }
--- a/packages/cell/src/lib/state/TaskTable.ts
+++ b/packages/cell/src/lib/state/TaskTable.ts
@@ -3,7 +3,7 @@
 import { IntentKind, type Intent } from '@rillrudder/settings'
 import type { CommandOf } from '../commands/DataCentreCommand'
 
-const DEFAULT_RUN_TIME = 600_000
+const DEFAULT_RUN_TIME_MS = 600_000
 
 /** Where a plan is in its life. @public */
 export const PlanPhase = {
@@ -64,10 +64,10 @@
 	readonly history: string[]
 }
 
-const MOST_HISTORY = 12
+const MAX_HISTORY_LINES = 12
 /** Milliseconds on one worker after which earlier losses count no more; many times the lease that ends a lost run. */
-const SOUND_AFTER = 600_000
-const MOST_ENDED = 20_000
+const LOSS_RESET_MS = 600_000
+const MAX_ENDED_TASKS = 20_000
 
 /**
  * Plans and tasks.
@@ -114,13 +114,13 @@
 	/** Makes the tasks of a confirmed plan. */
 	confirm(plan: PlanRecord, at: number): TaskRecord[] {
 		plan.phase = PlanPhase.Confirmed
-		const made: TaskRecord[] = []
+		const created: TaskRecord[] = []
 		for (let number = 1; number <= plan.intent.tasks; number++) {
-			made.push(this.make(plan, number, at))
+			created.push(this.createTask(plan, number, at))
 		}
-		const ids = made.map((record) => record.task.id)
+		const ids = created.map((record) => record.task.id)
 		this.intents.set(plan.intent.name, ids)
-		return made
+		return created
 	}
 
 	/** A task has been given a worker. */
@@ -130,28 +130,28 @@
 		record.reserved = command.reserved
 		record.fence = index
 		record.placedAt = command.at
-		this.note(record, `placed on ${command.worker}: ${command.reason}`)
+		this.addHistory(record, `placed on ${command.worker}: ${command.reason}`)
 	}
 
 	/** A task no longer runs where it ran. */
 	unplace(record: TaskRecord, command: CommandOf<'unplace'>): void {
-		const over = command.done || record.cancelled
+		const hasFinished = command.done || record.cancelled
 		record.phase = record.cancelled
 			? TaskPhase.Cancelled
-			: over
+			: hasFinished
 				? TaskPhase.Done
 				: TaskPhase.Waiting
-		if (command.lost) noteLoss(record, command.at)
+		if (command.lost) recordLoss(record, command.at)
 		record.worker = ''
 		record.reserved = undefined
-		this.note(record, `left ${command.worker}: ${command.reason}`)
-		if (over) this.end(record)
+		this.addHistory(record, `left ${command.worker}: ${command.reason}`)
+		if (hasFinished) this.end(record)
 	}
 
 	/** A task that waits is withdrawn; one that runs is to end. */
 	cancel(record: TaskRecord): void {
 		record.cancelled = true
-		this.note(record, 'cancelled')
+		this.addHistory(record, 'cancelled')
 		if (record.phase !== TaskPhase.Waiting) return
 		record.phase = TaskPhase.Cancelled
 		this.end(record)
@@ -184,7 +184,7 @@
 		this.ended = table.ended
 	}
 
-	private make(plan: PlanRecord, number: number, at: number): TaskRecord {
+	private createTask(plan: PlanRecord, number: number, at: number): TaskRecord {
 		const { intent } = plan
 		const id = `${intent.name}/${plan.id}/${number}`
 		const record: TaskRecord = {
@@ -196,7 +196,7 @@
 				need: intent.each,
 				urgent: intent.urgent,
 				deadline: intent.deadline === undefined ? undefined : Date.parse(intent.deadline),
-				runTime: intent.runTime ?? DEFAULT_RUN_TIME,
+				runTime: intent.runTime ?? DEFAULT_RUN_TIME_MS,
 				submitted: at,
 				checkpoints: intent.checkpoints,
 				throttleTo: intent.throttleTo,
@@ -210,28 +210,28 @@
 			cancelled: false,
 			history: [],
 		}
-		this.note(record, `confirmed by plan ${plan.id}`)
+		this.addHistory(record, `confirmed by plan ${plan.id}`)
 		this.tasks.set(id, record)
 		return record
 	}
 
-	private note(record: TaskRecord, text: string): void {
+	private addHistory(record: TaskRecord, text: string): void {
 		record.history.push(text)
-		if (record.history.length > MOST_HISTORY) record.history.splice(1, 1)
+		if (record.history.length > MAX_HISTORY_LINES) record.history.splice(1, 1)
 	}
 
 	/** Ended tasks stay explainable for a while; the oldest go first. */
 	private end(record: TaskRecord): void {
 		this.ended.push(record.task.id)
-		if (this.ended.length <= MOST_ENDED) return
-		for (const id of this.ended.splice(0, MOST_ENDED / 10)) this.tasks.delete(id)
+		if (this.ended.length <= MAX_ENDED_TASKS) return
+		for (const id of this.ended.splice(0, MAX_ENDED_TASKS / 10)) this.tasks.delete(id)
 	}
 }
 
 /** A task that ran for long before its worker was lost did no harm by beginning. */
-function noteLoss(record: TaskRecord, at: number): void {
-	const inARow = at - record.placedAt < SOUND_AFTER
-	record.losses = (inARow ? (record.losses ?? 0) : 0) + 1
+function recordLoss(record: TaskRecord, at: number): void {
+	const isConsecutive = at - record.placedAt < LOSS_RESET_MS
+	record.losses = (isConsecutive ? (record.losses ?? 0) : 0) + 1
 	record.lostAt = at
 }
 
--- a/packages/cell/src/lib/state/WorkerTable.ts
+++ b/packages/cell/src/lib/state/WorkerTable.ts
@@ -37,7 +37,7 @@
  */
 export class WorkerTable {
 	private readonly workers = new Map<string, WorkerRecord>()
-	private readonly lentTo = new Map<string, Loan>()
+	private readonly loansByHolder = new Map<string, Loan>()
 
 	/** @returns a worker, if it is known. */
 	find(id: string): WorkerRecord | undefined {
@@ -51,12 +51,12 @@
 
 	/** @returns all loans. */
 	loans(): IterableIterator<Loan> {
-		return this.lentTo.values()
+		return this.loansByHolder.values()
 	}
 
 	/** @returns what an entry instance has been lent. */
 	loanOf(holder: string): Loan | undefined {
-		return this.lentTo.get(holder)
+		return this.loansByHolder.get(holder)
 	}
 
 	/** @returns whether anything changed. */
@@ -82,7 +82,7 @@
 
 	/** @returns whether the loan counts; one that would lend more than there is does not. */
 	lend(command: CommandOf<'lend'>, index: number): boolean {
-		const before = this.lentTo.get(command.holder)?.slots ?? new Map<string, number>()
+		const before = this.loansByHolder.get(command.holder)?.slots ?? new Map<string, number>()
 		const after = new Map(command.slots.map((one) => [one.worker, one.slots]))
 		for (const [id, slots] of after) {
 			const worker = this.workers.get(id)
@@ -92,8 +92,9 @@
 		}
 		for (const [id, slots] of before) this.changeLent(id, -slots)
 		for (const [id, slots] of after) this.changeLent(id, slots)
-		if (after.size === 0) this.lentTo.delete(command.holder)
-		else this.lentTo.set(command.holder, { holder: command.holder, grant: index, slots: after })
+		if (after.size === 0) this.loansByHolder.delete(command.holder)
+		else
+			this.loansByHolder.set(command.holder, { holder: command.holder, grant: index, slots: after })
 		return true
 	}
 
@@ -131,7 +132,10 @@
 
 	/** @returns the table for a snapshot. */
 	save(): unknown {
-		const loans = [...this.lentTo.values()].map((loan) => ({ ...loan, slots: [...loan.slots] }))
+		const loans = [...this.loansByHolder.values()].map((loan) => ({
+			...loan,
+			slots: [...loan.slots],
+		}))
 		return { workers: [...this.workers.values()], loans }
 	}
 
@@ -142,10 +146,10 @@
 			loans: { holder: string; grant: number; slots: [string, number][] }[]
 		}
 		this.workers.clear()
-		this.lentTo.clear()
+		this.loansByHolder.clear()
 		for (const worker of table.workers) this.workers.set(worker.id, worker)
 		for (const loan of table.loans) {
-			this.lentTo.set(loan.holder, { ...loan, slots: new Map(loan.slots) })
+			this.loansByHolder.set(loan.holder, { ...loan, slots: new Map(loan.slots) })
 		}
 	}
 
