--- a/apps/control/src/lib/ControlProcess.ts
+++ b/apps/control/src/lib/ControlProcess.ts
@@ -15,7 +15,7 @@
 	ConfigurationHolder,
 	ConfigurationRelay,
 	OperatorRouter,
-	servesPeer,
+	shouldServePeer,
 	type OperatorCall,
 	type OperatorReply,
 	type ReplyCallback,
@@ -180,7 +180,7 @@
 			clock: this.clock,
 			send: (to, event) => this.send(to, event),
 			peers: () => this.connected,
-			serves: (peer) => servesPeer(this.settings.self, this.settings.instances, peer),
+			shouldServe: (peer) => shouldServePeer(this.settings.self, this.settings.instances, peer),
 			isCurrent: () => this.system?.isCurrent ?? false,
 			current: () => this.holder.current,
 		})
@@ -294,7 +294,7 @@
 				return this.holder.install({ revision, document: document.toString(), fences })
 			}
 			case 'configurationAck':
-				return this.relay.acknowledge(from, body.value.revision)
+				return this.relay.onAcknowledgement(from, body.value.revision)
 			case 'operatorCall':
 				return this.router.receiveCall(from, body.value)
 			case 'operatorReply':
@@ -331,10 +331,10 @@
 	private peerChanged(peer: string, connected: boolean): void {
 		if (connected) {
 			this.connected.add(peer)
-			this.relay.joined(peer)
+			this.relay.onPeerConnected(peer)
 		} else {
 			this.connected.delete(peer)
-			this.relay.left(peer)
+			this.relay.onPeerLost(peer)
 		}
 		this.log.debug(connected ? 'peer-connected' : 'peer-lost', { peer })
 	}
@@ -343,7 +343,7 @@
 		this.metrics.gauge(Metric.ConfigurationRevision, revision.revision)
 		this.log.info('configuration-in-force', { revision: revision.revision })
 		for (const host of this.hosts.values()) host.configured()
-		this.relay?.changed()
+		this.relay?.onRevisionChanged()
 	}
 
 	private status(): unknown {
--- a/apps/control/src/lib/DiskKeeper.ts
+++ b/apps/control/src/lib/DiskKeeper.ts
@@ -1,5 +1,5 @@
 /** Keeps the newest configuration revision in the data folder. */
-import { RevisionKeeper } from '@rillrudder/cell'
+import { RevisionStore } from '@rillrudder/cell'
 import type { KeptRevision } from '@rillrudder/settings'
 import type { RevisionFile } from '@rillrudder/store'
 
@@ -8,7 +8,7 @@
  *
  * @internal
  */
-export class DiskKeeper extends RevisionKeeper {
+export class DiskKeeper extends RevisionStore {
 	/**
 	 * @param file - where it is kept.
 	 * @param fail - told when it can't be kept.
--- a/packages/cell/src/index.ts
+++ b/packages/cell/src/index.ts
@@ -11,12 +11,12 @@
 	encodeSystemCommand,
 	type SystemCommand,
 } from './lib/commands/SystemCommand'
-export { ConfigurationHolder, RevisionKeeper } from './lib/configuration/ConfigurationHolder'
+export { ConfigurationHolder, RevisionStore } from './lib/configuration/ConfigurationHolder'
 export {
 	ConfigurationRelay,
 	type ConfigurationRelayParts,
 } from './lib/configuration/ConfigurationRelay'
-export { servesPeer } from './lib/configuration/servesPeer'
+export { shouldServePeer } from './lib/configuration/shouldServePeer'
 export { DataCentreController, type ControllerParts } from './lib/leader/DataCentreController'
 export {
 	LeaderDriver,
--- a/packages/cell/src/lib/configuration/ConfigurationHolder.ts
+++ b/packages/cell/src/lib/configuration/ConfigurationHolder.ts
@@ -9,7 +9,7 @@
 import { invariant } from '@rillrudder/utils'
 
 /** Keeps the newest revision on a disk. @public */
-export abstract class RevisionKeeper {
+export abstract class RevisionStore {
 	/**
 	 * Makes a revision lasting.
 	 *
@@ -25,64 +25,64 @@
  * @public
  */
 export class ConfigurationHolder {
-	private shown: KeptRevision = NO_REVISION
-	private decided: InForce = NOTHING_IN_FORCE
-	private wanted: KeptRevision = NO_REVISION
-	private saving = false
+	private installed: KeptRevision = NO_REVISION
+	private parsedInForce: InForce = NOTHING_IN_FORCE
+	private newest: KeptRevision = NO_REVISION
+	private isSaving = false
 
 	/**
-	 * @param keeper - absent on an instance without a disk.
-	 * @param changed - told after a new revision is in force.
+	 * @param store - absent on an instance without a disk.
+	 * @param onChanged - told after a new revision is in force.
 	 */
 	constructor(
-		private readonly keeper: RevisionKeeper | undefined,
-		private readonly changed: (revision: KeptRevision) => void
+		private readonly store: RevisionStore | undefined,
+		private readonly onChanged: (revision: KeptRevision) => void
 	) {}
 
 	/** The revision in force. */
 	get current(): KeptRevision {
-		return this.shown
+		return this.installed
 	}
 
 	/** The same, as decisions see it. */
 	get inForce(): InForce {
-		return this.decided
+		return this.parsedInForce
 	}
 
 	/** Takes up what was shown before a restart. */
 	restore(kept: KeptRevision): void {
-		this.wanted = kept
+		this.newest = kept
 		if (kept.revision > 0) this.show(kept)
 	}
 
 	/** Puts a revision in force, unless a newer one is; on a disk it lasts before it is shown. */
 	install(offered: KeptRevision): void {
-		if (offered.revision <= this.wanted.revision) return
-		this.wanted = offered
-		if (!this.keeper) this.show(offered)
-		else if (!this.saving) this.save(this.keeper)
+		if (offered.revision <= this.newest.revision) return
+		this.newest = offered
+		if (!this.store) this.show(offered)
+		else if (!this.isSaving) this.save(this.store)
 	}
 
-	private save(keeper: RevisionKeeper): void {
-		this.saving = true
-		const next = this.wanted
-		keeper.save(next, () => {
-			this.saving = false
+	private save(store: RevisionStore): void {
+		this.isSaving = true
+		const next = this.newest
+		store.save(next, () => {
+			this.isSaving = false
 			this.show(next)
-			if (this.wanted.revision > next.revision) this.save(keeper)
+			if (this.newest.revision > next.revision) this.save(store)
 		})
 	}
 
 	private show(next: KeptRevision): void {
-		invariant(next.revision > this.shown.revision, 'a revision is never lower', {
-			from: this.shown.revision,
+		invariant(next.revision > this.installed.revision, 'a revision is never lower', {
+			from: this.installed.revision,
 			to: next.revision,
 		})
-		const read = parseConfiguration('configuration', next.document)
-		invariant(read.ok, 'only a good configuration is accepted', { revision: next.revision })
-		this.shown = next
+		const parsed = parseConfiguration('configuration', next.document)
+		invariant(parsed.ok, 'only a good configuration is accepted', { revision: next.revision })
+		this.installed = next
 		const { revision, fences } = next
-		this.decided = { revision, fences, configuration: read.value }
-		this.changed(next)
+		this.parsedInForce = { revision, fences, configuration: parsed.value }
+		this.onChanged(next)
 	}
 }
--- a/packages/cell/src/lib/configuration/ConfigurationRelay.ts
+++ b/packages/cell/src/lib/configuration/ConfigurationRelay.ts
@@ -7,9 +7,9 @@
 import type { KeptRevision } from '@rillrudder/settings'
 import type { Clock, Timer } from '@rillrudder/utils'
 
-const OFFER_EVERY = 500
+const OFFER_INTERVAL_MS = 500
 /** How long a voter that hears no leader keeps quiet after its start: it may be behind. */
-const QUIET = 5000
+const STARTUP_QUIET_MS = 5000
 
 /** What a relay works with. @public */
 export interface ConfigurationRelayParts {
@@ -18,7 +18,7 @@
 	/** Processes that are connected now. */
 	readonly peers: () => Iterable<string>
 	/** Whether this instance hands revisions on to a peer. */
-	readonly serves: (peer: string) => boolean
+	readonly shouldServe: (peer: string) => boolean
 	/** Whether this instance knows that it is not behind. */
 	readonly isCurrent: () => boolean
 	readonly current: () => KeptRevision
@@ -36,7 +36,7 @@
 
 	constructor(private readonly parts: ConfigurationRelayParts) {
 		this.startedAt = parts.clock.now()
-		this.timer = parts.clock.every(OFFER_EVERY, () => this.offerToAll())
+		this.timer = parts.clock.every(OFFER_INTERVAL_MS, () => this.offerToAll())
 	}
 
 	/** Which revision each process has said to have in force. */
@@ -45,24 +45,24 @@
 	}
 
 	/** Offers a new revision at once, and tells everybody that it is in force here. */
-	changed(): void {
+	onRevisionChanged(): void {
 		this.offerToAll()
-		for (const peer of this.parts.peers()) this.tell(peer)
+		for (const peer of this.parts.peers()) this.sendAcknowledgement(peer)
 	}
 
 	/** A peer has come. */
-	joined(peer: string): void {
-		this.tell(peer)
+	onPeerConnected(peer: string): void {
+		this.sendAcknowledgement(peer)
 		this.offer(peer)
 	}
 
 	/** A peer has gone; what it had is no longer known. */
-	left(peer: string): void {
+	onPeerLost(peer: string): void {
 		this.acknowledged.delete(peer)
 	}
 
 	/** A peer says what it has in force. */
-	acknowledge(peer: string, revision: number): void {
+	onAcknowledgement(peer: string, revision: number): void {
 		this.acknowledged.set(peer, revision)
 	}
 
@@ -76,18 +76,18 @@
 
 	private offer(peer: string): void {
 		const { revision, document, fences } = this.parts.current()
-		if (revision === 0 || !this.parts.serves(peer) || !this.maySpeak()) return
+		if (revision === 0 || !this.parts.shouldServe(peer) || !this.canOffer()) return
 		if ((this.acknowledged.get(peer) ?? 0) >= revision) return
 		const value = { revision, document: Buffer.from(document), fences: [...fences] }
 		this.parts.send(peer, { body: { $case: 'configurationOffer', value } })
 	}
 
-	private tell(peer: string): void {
+	private sendAcknowledgement(peer: string): void {
 		const { revision } = this.parts.current()
 		this.parts.send(peer, { body: { $case: 'configurationAck', value: { revision } } })
 	}
 
-	private maySpeak(): boolean {
-		return this.parts.isCurrent() || this.parts.clock.now() - this.startedAt > QUIET
+	private canOffer(): boolean {
+		return this.parts.isCurrent() || this.parts.clock.now() - this.startedAt > STARTUP_QUIET_MS
 	}
 }
--- a/packages/cell/src/lib/configuration/servesPeer.ts
+++ b/packages/cell/src/lib/configuration/shouldServePeer.ts
@@ -12,7 +12,11 @@
  * @returns whether it does.
  * @public
  */
-export function servesPeer(self: Instance, instances: readonly Instance[], peer: string): boolean {
+export function shouldServePeer(
+	self: Instance,
+	instances: readonly Instance[],
+	peer: string
+): boolean {
 	const voters = systemVoters(instances)
 	if (!voters.some((voter) => voter.id === self.id)) return false
 	const instance = instances.find((one) => one.id === peer.split('/')[0])
--- a/packages/runs/src/lib/cell/RunControl.ts
+++ b/packages/runs/src/lib/cell/RunControl.ts
@@ -4,7 +4,7 @@
 	ConfigurationRelay,
 	LeaderDriver,
 	OperatorRouter,
-	servesPeer,
+	shouldServePeer,
 	SystemDriver,
 	type ListedWorker,
 	type OperatorCall,
@@ -135,7 +135,7 @@
 				return
 			}
 			case 'configurationAck':
-				return this.relay.acknowledge(from, body.value.revision)
+				return this.relay.onAcknowledgement(from, body.value.revision)
 			case 'operatorCall':
 				return this.router.receiveCall(from, body.value)
 			case 'operatorReply':
@@ -148,10 +148,10 @@
 	peerChanged(peer: string, connected: boolean): void {
 		if (connected) {
 			this.connected.add(peer)
-			this.relay.joined(peer)
+			this.relay.onPeerConnected(peer)
 		} else {
 			this.connected.delete(peer)
-			this.relay.left(peer)
+			this.relay.onPeerLost(peer)
 		}
 	}
 
@@ -315,7 +315,7 @@
 		const keeper = disk ? new RunKeeper(disk, after, () => this.saveTime()) : undefined
 		const holder = new ConfigurationHolder(keeper, ({ revision }) => {
 			shown(revision)
-			this.relay?.changed()
+			this.relay?.onRevisionChanged()
 			for (const driver of this.drivers.values()) driver.onConfigurationChanged()
 		})
 		if (disk) holder.restore(disk.revision)
@@ -327,7 +327,7 @@
 			clock: this.clock,
 			send: (to, event) => this.send(to, event),
 			peers: () => this.connected,
-			serves: (peer) => servesPeer(this.parts.self, this.parts.instances, peer),
+			shouldServe: (peer) => shouldServePeer(this.parts.self, this.parts.instances, peer),
 			isCurrent: () => this.system?.isCurrent ?? false,
 			current: () => this.holder.current,
 		})
--- a/packages/runs/src/lib/cell/RunEnvironment.ts
+++ b/packages/runs/src/lib/cell/RunEnvironment.ts
@@ -1,7 +1,7 @@
 /** What is around the drivers of a run's control process: its replicas, its disk, its workers and links. */
 import {
 	GroupAccess,
-	RevisionKeeper,
+	RevisionStore,
 	Environment,
 	type LeaderDriver,
 	type GroupCall,
@@ -44,7 +44,7 @@
 }
 
 /** Keeps revisions on the simulated disk. @internal */
-export class RunKeeper extends RevisionKeeper {
+export class RunKeeper extends RevisionStore {
 	constructor(
 		private readonly disk: ControlDisk,
 		private readonly after: (span: number, call: () => void) => void,
