--- a/packages/cell/src/lib/leader/DataCentreController.ts
+++ b/packages/cell/src/lib/leader/DataCentreController.ts
@@ -1,6 +1,6 @@
 /**
- * The leader's decisions for one data centre: events and moments go in, effects come out. It does
- * nothing while its replica does not lead, and forgets what only a leader needs when it stops leading.
+ * The leader's decisions for one data centre: it handles events and ticks, and collects effects. It is
+ * inactive while its replica does not lead, and discards leader-only state when it stops leading.
  */
 import type { Beat, Report, Submit, Withdraw } from '@rillrudder/protocol'
 import { WorkerHealth } from '@rillrudder/scheduler'
@@ -22,7 +22,7 @@
 
 const FORGET_INTERVAL_MS = 10_000
 
-/** What a controller decides with. @public */
+/** The dependencies of a controller. @public */
 export interface ControllerParts {
 	/** Name of the data centre. */
 	readonly name: string
@@ -30,7 +30,7 @@
 	readonly random: Random
 	/** All data centres. */
 	readonly dataCentres: readonly string[]
-	/** @returns what is in force. */
+	/** @returns the configuration and the fences in force. */
 	readonly inForce: () => InForce
 }
 
@@ -53,7 +53,7 @@
 	private leading = false
 	private nextForgetAt = 0
 
-	/** @param parts - the state and what else decisions need. */
+	/** @param parts - the replicated state and other dependencies. */
 	constructor(private readonly parts: ControllerParts) {
 		const { name, dataCentres, state, random, inForce } = parts
 		const configuration = () => inForce().configuration
@@ -72,12 +72,12 @@
 		this.operators = new OperatorController(state, plans, effects, whyWaiting)
 	}
 
-	/** Whether this controller decides. */
+	/** Whether this controller is active, that is, its replica leads. */
 	get isActive(): boolean {
 		return this.leading
 	}
 
-	/** Numbers for metrics. */
+	/** Values for metrics. */
 	get stats() {
 		const { requests } = this.parts.state
 		const { waitingCount, tasksRunning } = this.tasks.placement
@@ -90,7 +90,7 @@
 		}
 	}
 
-	/** Its replica has begun to lead, and has applied everything that was committed before. */
+	/** Handles the start of leadership. The replica must have applied all entries committed before. */
 	takeOver(moment: Moment): void {
 		this.leading = true
 		this.holders.clear()
@@ -102,7 +102,7 @@
 		this.tasks.takeOver(moment)
 	}
 
-	/** Its replica no longer leads. */
+	/** Handles the end of leadership: drops pending effects and all leader-only state. */
 	stepDown(): void {
 		this.leading = false
 		this.effects.take()
@@ -116,17 +116,17 @@
 		this.operators.clear()
 	}
 
-	/** The configuration has changed. */
+	/** Handles a change of the configuration. */
 	onConfigurationChanged(): void {
 		if (this.leading) this.tasks.onConfigurationChanged()
 	}
 
-	/** Takes a heartbeat of an entry instance. */
+	/** Handles a heartbeat of an entry instance. */
 	onHeartbeat(from: string, beat: Beat, moment: Moment): void {
 		const { holder, replaced } = this.holders.onHeartbeat(from, beat, moment.now)
 		if (replaced) this.requests.onHolderReplaced(replaced.incarnationId, moment)
 		for (const sign of beat.signs) {
-			if (sign.leaving) this.workers.onLeaving(sign.worker, 'it refused work', moment)
+			if (sign.leaving) this.workers.onLeaving(sign.worker, 'the worker refused work', moment)
 			for (const customer of sign.failedFor)
 				this.health.onFailure(sign.worker, customer, moment.now)
 			for (let count = sign.succeeded; count > 0; count--) this.health.onSuccess(sign.worker)
@@ -134,23 +134,23 @@
 		this.loans.onHeartbeat(holder, beat, moment)
 	}
 
-	/** Takes a request. */
+	/** Handles a submitted request. */
 	onSubmit(from: string, submit: Submit, moment: Moment): void {
 		this.requests.onSubmit(from, submit, moment)
 	}
 
-	/** Takes the end of an attempt. */
+	/** Handles an entry instance's report on the end of an attempt. */
 	onReport(from: string, report: Report, moment: Moment): void {
 		if (report.refusal === 'leaving') this.onLeavingRefusal(report, moment)
 		this.requests.onReport(from, report, moment)
 	}
 
-	/** The caller no longer waits. */
+	/** Handles a caller that no longer waits for its request. */
 	onWithdraw(from: string, withdraw: Withdraw, moment: Moment): void {
 		this.requests.onWithdraw(from, withdraw, moment)
 	}
 
-	/** Takes a worker's word on an attempt in doubt. */
+	/** Handles a worker's reply about an attempt whose outcome is unknown. */
 	onSettleReply(
 		customer: string,
 		key: string,
@@ -161,9 +161,9 @@
 		this.requests.onSettleReply(customer, key, fence, reply, moment)
 	}
 
-	/** Takes a worker's report on its tasks. */
+	/** Handles a worker's report on its tasks. */
 	onExchangeReply(worker: string, reply: ExchangeReply, moment: Moment): void {
-		if (reply.leaving) this.workers.onLeaving(worker, 'it says so', moment)
+		if (reply.leaving) this.workers.onLeaving(worker, 'reported by the worker', moment)
 		this.tasks.onExchangeReply(worker, reply, moment)
 		for (const one of reply.ended) {
 			const intent = this.parts.state.tasks.find(one.task)?.task.intent ?? one.task
@@ -172,28 +172,28 @@
 		}
 	}
 
-	/** A worker did not answer an exchange. */
+	/** Handles an exchange that a worker did not answer. */
 	onExchangeFailed(worker: string): void {
 		this.tasks.onExchangeFailed(worker)
 	}
 
-	/** Takes the platform's list of workers. */
+	/** Handles a list of workers from the platform. */
 	onWorkerList(workers: readonly ListedWorker[], moment: Moment): void {
 		this.workers.onWorkerList(workers, moment)
 	}
 
-	/** Takes an operator's call. */
+	/** Handles an operator's call. */
 	onOperatorCall(call: OperatorCall, moment: Moment, reply: ReplyCallback): void {
 		if (call.kind === 'take-home') this.homes.onClaim(call, moment, reply)
 		else this.operators.onCall(call, moment, reply)
 	}
 
-	/** Takes another data centre's answer to a claim of a customer's home. */
+	/** Handles another data centre's reply to a claim of a customer's home. */
 	onClaimReply(call: GroupCall, reply: OperatorReply): void {
 		this.homes.onClaimReply(call.call, call.group, reply)
 	}
 
-	/** Lets time pass. */
+	/** Runs the periodic work of all controllers. */
 	tick(moment: Moment): void {
 		this.homes.tick(moment)
 		this.requests.tick(moment)
@@ -205,7 +205,7 @@
 		this.proposeForget(moment)
 	}
 
-	/** A command was committed and applied. */
+	/** Handles a command that was committed and applied. */
 	onCommandApplied(applied: AppliedCommand, moment: Moment): void {
 		const { command, hasEffect } = applied
 		switch (command.kind) {
@@ -253,7 +253,7 @@
 	private onLeavingRefusal(report: Report, moment: Moment): void {
 		const record = this.parts.state.requests.find(report.customer, report.key)
 		const same = record?.attempt === report.attempt
-		if (record && same) this.workers.onLeaving(record.worker, 'it refused work', moment)
+		if (record && same) this.workers.onLeaving(record.worker, 'the worker refused work', moment)
 	}
 
 	private onWorkerChanged(id: string, moment: Moment): void {
--- a/packages/cell/src/lib/leader/HomeController.ts
+++ b/packages/cell/src/lib/leader/HomeController.ts
@@ -1,11 +1,11 @@
 /**
- * Which customers' order this data centre keeps.
+ * Decides for which customers this data centre orders the requests, that is, whose home it is.
  *
- * A customer's first home follows from its name. A later one is claimed: the data centre that the
- * configuration of some revision names asks all others, each of which closes the home for that revision,
- * ends what it has open, and hands its keys over. Only when all have done so, or have been declared
- * down, does the claimant open it. Who has closed a home for a revision can't open it for an earlier
- * one, so two never have it, however late an answer comes.
+ * A customer's initial home is derived from its name. A later home is claimed: the data centre that a
+ * configuration revision names calls all others. Each closes the home for that revision, finishes its
+ * open requests and returns its records. The claimant opens the home only when all have done so or are
+ * declared down. A data centre that has closed a home for a revision can't open it for an earlier one,
+ * so two data centres never hold it at once, however late a reply arrives.
  */
 import { fencedAt, homeOf, isDown, type InForce } from '@rillrudder/settings'
 import type { DataCentreState } from '../state/DataCentreState'
@@ -15,17 +15,17 @@
 import type { ReplyCallback } from './OperatorController'
 
 const CLAIM_RETRY_INTERVAL_MS = 500
-/** Bytes of kept answers that go along with a home; the newest stay. */
+/** Bytes of stored answers that are transferred with a home; the newest ones are kept. */
 const MAX_ANSWER_BYTES = 8 * 1024 * 1024
 const SYSTEM = 'system'
 
-/** HTTP statuses of a claim's answer. */
+/** HTTP statuses of a reply to a claim. */
 const ClaimStatus = {
-	/** Closed, with nothing open: here are the keys. */
+	/** The home is closed and no request is open; the reply carries the records. */
 	Released: 200,
-	/** Ask again: it is being closed, or something is still open. */
+	/** The home is being closed or has open requests; the claimant must call again. */
 	Pending: 202,
-	/** A newer configuration names another home, or a newer claim was answered. */
+	/** A newer configuration names another home, or a newer claim was accepted. */
 	Refused: 409,
 } as const
 
@@ -58,26 +58,26 @@
 		private readonly inForce: () => InForce
 	) {}
 
-	/** Forgets what only a leader needs. */
+	/** Discards leader-only state. */
 	clear(): void {
 		this.claims.clear()
 		this.initialHomes.clear()
 	}
 
-	/** Whether this data centre keeps a customer's order. */
+	/** Whether this data centre is the home of a customer. */
 	owns(customer: string): boolean {
 		const record = this.state.homes.find(customer)
 		const open = record ? record.open : this.initialHomeOf(customer) === this.name
 		return open && fencedAt(this.inForce().fences, this.name) <= (record?.revision ?? 0)
 	}
 
-	/** Where a customer's requests should go. */
+	/** @returns the data centre that the configuration names as a customer's home. */
 	homeOf(customer: string): string {
 		const { configuration } = this.inForce()
 		return homeOf(configuration, this.dataCentres, customer)
 	}
 
-	/** Starts to claim a customer whose home should be here. */
+	/** Starts to claim the home of a customer that the configuration assigns to this data centre. */
 	startClaim(customer: string): void {
 		if (this.claims.has(customer)) return
 		const { revision } = this.inForce()
@@ -86,7 +86,7 @@
 		this.claims.set(customer, { ...claim, nextCallAt: 0, isOpening: false })
 	}
 
-	/** Claims what the configuration names, and asks again where it is time. */
+	/** Claims the homes that the configuration assigns here, and repeats calls that are due. */
 	tick(moment: Moment): void {
 		for (const { name, home } of this.inForce().configuration.customers) {
 			if (home === this.name && !this.owns(name)) this.startClaim(name)
@@ -94,7 +94,7 @@
 		for (const claim of this.claims.values()) this.advanceClaim(claim, moment)
 	}
 
-	/** Takes another data centre's answer to a claim. */
+	/** Handles another data centre's reply to a claim. */
 	onClaimReply(call: ClaimCall, from: string, reply: OperatorReply): void {
 		const claim = this.claims.get(call.customer)
 		if (!claim || claim.revision !== call.revision) return
@@ -107,18 +107,18 @@
 		}
 	}
 
-	/** A home was opened here, or was not: a newer move stands. */
+	/** Handles the commit of an opening, which may have had no effect because of a newer move. */
 	onHomeOpened(customer: string): void {
 		this.claims.delete(customer)
 	}
 
-	/** Another data centre claims a home. */
+	/** Handles another data centre's claim of a home. */
 	onClaim(call: ClaimCall, moment: Moment, reply: ReplyCallback): void {
 		const { customer, to, revision } = call
 		const record = this.state.homes.find(customer)
 		if (record?.revision === revision && record.to === to) {
 			if (this.state.requests.openOf(customer) > 0) {
-				reply({ code: ClaimStatus.Pending, message: 'ending what is open' })
+				reply({ code: ClaimStatus.Pending, message: 'finishing open requests' })
 			} else {
 				reply({ code: ClaimStatus.Released, message: '', content: this.recordsOf(customer) })
 			}
@@ -127,7 +127,7 @@
 		const hasNewerClaim = (record?.revision ?? 0) >= revision
 		const namesOtherHome = this.inForce().revision >= revision && this.homeOf(customer) !== to
 		if (hasNewerClaim || namesOtherHome) {
-			reply({ code: ClaimStatus.Refused, message: 'a newer claim or configuration stands' })
+			reply({ code: ClaimStatus.Refused, message: 'a newer claim or configuration is in force' })
 			return
 		}
 		reply({ code: ClaimStatus.Pending, message: 'closing' })
@@ -171,7 +171,7 @@
 		this.effects.commands.push({ kind: 'open-home', ...opening })
 	}
 
-	/** It follows from names that do not change, and is asked for at every tick. */
+	/** Cached, since it depends only on names that don't change and is needed at every tick. */
 	private initialHomeOf(customer: string): string {
 		let home = this.initialHomes.get(customer)
 		if (home === undefined) {
@@ -181,7 +181,7 @@
 		return home
 	}
 
-	/** Finished requests, newest answers first until the bound is reached; the keys all go. */
+	/** @returns all of a customer's records; older answers beyond `MAX_ANSWER_BYTES` are left out. */
 	private recordsOf(customer: string): RequestRecord[] {
 		let remaining = MAX_ANSWER_BYTES
 		return this.state.requests
--- a/packages/cell/src/lib/leader/LeaderDriver.ts
+++ b/packages/cell/src/lib/leader/LeaderDriver.ts
@@ -1,6 +1,6 @@
 /**
- * Joins a data centre's controller to its group and its surroundings: follows leadership, hands committed
- * commands to the controller, and carries its effects out only while its replica may act.
+ * Connects a data centre's controller to its group and its environment: follows leadership, passes
+ * applied commands to the controller, and carries its effects out only while its replica may act.
  */
 import type { Event } from '@rillrudder/protocol'
 import type { InForce } from '@rillrudder/settings'
@@ -14,52 +14,52 @@
 import type { ListedWorker } from './WorkerController'
 import type { ExchangeReply, SettleReply } from './workerProtocol'
 
-/** The group as its driver sees it. @public */
+/** A driver's interface to the replica of its group. @public */
 export abstract class GroupAccess {
 	/** Whether this replica leads. */
 	abstract readonly leads: boolean
-	/** Whether it holds the lease at this very moment and has applied all that is committed. */
+	/** Whether this replica holds the leader's lease now and has applied all committed entries. */
 	abstract readonly mayAct: boolean
-	/** Who leads, as far as is known. */
+	/** The instance that leads, as far as is known; empty if unknown. */
 	abstract readonly leader: string
 	abstract readonly term: number
-	/** Adds commands to the log. */
+	/** Proposes commands for the log. */
 	abstract propose(commands: readonly Uint8Array[]): void
 }
 
-/** What is around a driver. @public */
+/** A driver's interface to the process that hosts it. @public */
 export abstract class Environment {
 	/** Monotonic milliseconds. */
 	abstract now(): number
 	/** Milliseconds since the epoch. */
 	abstract at(): number
 	abstract send(to: string, event: Event): void
-	/** Calls a worker about its tasks; the reply goes to `LeaderDriver.replied`. */
+	/** Calls a worker about its tasks; the reply goes to `LeaderDriver.onExchangeReply`. */
 	abstract exchange(exchange: WorkerExchange): void
-	/** Asks a worker about an attempt; the word goes to `LeaderDriver.settled`. */
+	/** Asks a worker about an attempt; the reply goes to `LeaderDriver.onSettleReply`. */
 	abstract settle(call: SettleCall): void
-	/** Calls the leader of another group; the reply goes to `LeaderDriver.claimAnswered`. */
+	/** Calls the leader of another group; the reply goes to `LeaderDriver.onClaimReply`. */
 	abstract callGroup(call: GroupCall): void
-	/** Leadership was gained or lost. */
+	/** Called when leadership is gained or lost. */
 	abstract onLeadershipChanged(gained: boolean): void
 }
 
-/** What a driver is made with. @public */
+/** The dependencies of a driver. @public */
 export interface LeaderDriverParts {
 	/** Name of the data centre. */
 	readonly name: string
-	/** This instance. */
+	/** Id of this instance. */
 	readonly self: string
 	readonly random: Random
 	readonly dataCentres: readonly string[]
-	/** @returns what is in force. */
+	/** @returns the configuration and the fences in force. */
 	readonly inForce: () => InForce
 	readonly environment: Environment
 }
 
 type Step = (moment: Moment) => void
 
-/** The HTTP status of a replica that does not lead. */
+/** HTTP status with which a replica that does not lead refuses a call. */
 const NOT_THE_LEADER = 421
 
 /**
@@ -73,7 +73,7 @@
 	private group: GroupAccess | undefined
 	private applied: AppliedCommand[] = []
 
-	/** @param parts - identity and surroundings. */
+	/** @param parts - identity and dependencies. */
 	constructor(private readonly parts: LeaderDriverParts) {
 		const { name, random, dataCentres, inForce } = parts
 		this.state = new DataCentreState((applied) => this.applied.push(applied))
@@ -86,22 +86,22 @@
 		})
 	}
 
-	/** Joins the group, once it is open. */
+	/** Sets the group, once it is open. */
 	join(group: GroupAccess): void {
 		this.group = group
 	}
 
-	/** Whether this process decides for the data centre. */
+	/** Whether this process runs the active controller of the data centre. */
 	get leads(): boolean {
 		return this.controller.isActive
 	}
 
-	/** Numbers for metrics. */
+	/** Values for metrics. */
 	get stats() {
 		return this.controller.stats
 	}
 
-	/** Takes an event of an entry instance, or says who leads. */
+	/** Handles an event of an entry instance, or redirects the sender to the leader. */
 	receive(from: string, event: Event): void {
 		const body = event.body
 		switch (body?.$case) {
@@ -127,47 +127,52 @@
 		}
 	}
 
-	/** Takes an operator's call, or says who leads. */
+	/** Handles an operator's call, or refuses it with the leader's id as the message. */
 	onOperatorCall(call: OperatorCall, reply: ReplyCallback): void {
 		if (this.canDecide) this.controller.onOperatorCall(call, this.moment(), reply)
 		else reply({ code: NOT_THE_LEADER, message: this.group?.leader ?? '' })
 	}
 
-	/** Takes the platform's list. */
+	/** Handles a list of workers from the platform. */
 	onWorkerList(workers: readonly ListedWorker[]): void {
 		const here = workers.filter((worker) => worker.dataCentre === this.parts.name)
 		if (this.canDecide) this.controller.onWorkerList(here, this.moment())
 	}
 
-	/** Takes a worker's reply; undefined when none came. */
+	/** Handles a worker's reply to an exchange; undefined if there was none. */
 	onExchangeReply(worker: string, reply: ExchangeReply | undefined): void {
 		if (!this.canDecide) return
 		if (reply) this.controller.onExchangeReply(worker, reply, this.moment())
 		else this.controller.onExchangeFailed(worker)
 	}
 
-	/** Takes a worker's word on an attempt. */
+	/** Handles a worker's reply to a settle call. */
 	onSettleReply(call: SettleCall, reply: SettleReply): void {
 		const { customer, key, fence } = call
 		if (this.canDecide) this.controller.onSettleReply(customer, key, fence, reply, this.moment())
 	}
 
-	/** Takes another data centre's answer to a claim of a customer's home. */
+	/** Handles another data centre's reply to a claim of a customer's home. */
 	onClaimReply(call: GroupCall, reply: OperatorReply): void {
 		if (this.canDecide) this.controller.onClaimReply(call, reply)
 	}
 
-	/** The configuration has changed. */
+	/** Handles a change of the configuration. */
 	onConfigurationChanged(): void {
 		this.controller.onConfigurationChanged()
 	}
 
-	/** Lets time pass. */
+	/** Runs the controller's periodic work. */
 	tick(): void {
 		if (this.canDecide) this.controller.tick(this.moment())
 	}
 
-	/** The group has taken a step: leadership may have moved, and commands may have been applied. */
+	/**
+	 * Called after each step of the group: follows changes of leadership and passes applied commands to
+	 * the controller.
+	 *
+	 * @returns the number of commands passed on.
+	 */
 	followGroup(): number {
 		this.followLeadership()
 		if (!this.controller.isActive) this.applied = []
@@ -179,7 +184,7 @@
 		return applied.length
 	}
 
-	/** Carries out what was decided. To be called after every step, before anything is waited for. */
+	/** Carries out pending effects. Must be called after every step, before anything asynchronous. */
 	carryOut(): void {
 		const { effects } = this.controller
 		if (effects.isEmpty || !this.canDecide) return
@@ -192,7 +197,7 @@
 		for (const call of groupCalls) environment.callGroup(call)
 	}
 
-	/** Whether the controller decides now; the lease is looked at anew at every step. */
+	/** Whether the controller may decide now; the lease is checked again at every step. */
 	private get canDecide(): boolean {
 		return this.controller.isActive && this.group?.mayAct === true
 	}
--- a/packages/cell/src/lib/leader/LoanController.ts
+++ b/packages/cell/src/lib/leader/LoanController.ts
@@ -1,8 +1,9 @@
 /**
- * Lends request slots to entry instances in bulk, so that a repeatable request needs no hop.
+ * Lends request slots to entry instances in bulk, so that a repeatable request needs no round trip to
+ * the leader.
  *
- * A loan is in the log as taken until the entry instance has given it back, or until the instance has
- * been silent for so long that its loan is certainly over.
+ * The log counts lent slots as taken until the entry instance has returned them, or until it has sent
+ * no heartbeat for so long that its loan has certainly expired.
  */
 import type { Beat } from '@rillrudder/protocol'
 import type { CommandOf } from '../commands/DataCentreCommand'
@@ -13,12 +14,12 @@
 import type { SlotSelector } from './SlotSelector'
 import { LOAN_DURATION_MS, addDriftMargin } from './timing'
 
-/** Slots that are never lent, kept for requests that are not repeatable. */
+/** Share of the slots that is never lent, kept for requests that are not repeatable. */
 const UNLENT_SHARE = 0.25
-/** Slots lent beyond what is in use, so that the next request finds one. */
+/** Slots lent to an entry instance that has none, so that its next request finds one. */
 const INITIAL_SLOTS = 4
 const MAX_SLOTS_PER_GRANT = 64
-/** What a request may still run after its loan is over, in milliseconds. */
+/** How long a request may still run after its loan has expired, in milliseconds. */
 const RUN_OUT_MS = 1000
 
 /**
@@ -27,7 +28,7 @@
  * @internal
  */
 export class LoanController {
-	/** Entry instances whose loan is being changed, with the slots held back for the change. */
+	/** Holders whose loan change is not yet applied, with the slots reserved for the change. */
 	private readonly pendingChanges = new Map<string, Map<string, number>>()
 
 	constructor(
@@ -38,26 +39,26 @@
 		private readonly effects: Effects
 	) {}
 
-	/** Forgets what only a leader needs. */
+	/** Discards leader-only state. */
 	clear(): void {
 		this.pendingChanges.clear()
 	}
 
-	/** Answers a heartbeat: renews the loan, takes back what was returned, lends more where it is wanted. */
+	/** Handles a heartbeat: renews the loan, takes returned slots back and lends more if requested. */
 	onHeartbeat(holder: EntryIncarnation, beat: Beat, moment: Moment): void {
 		const loan = this.state.workers.loanOf(holder.incarnationId)
 		if (!this.pendingChanges.has(holder.incarnationId)) this.adjust(holder, beat, loan, moment)
 		this.sendLoans(holder, loan, moment)
 	}
 
-	/** A change was committed. */
+	/** Handles the commit of a loan change. */
 	onLoanChanged(command: CommandOf<'lend'>, moment: Moment): void {
 		this.release(command.holder)
 		const holder = this.holders.find(command.holder)
 		if (holder) this.sendLoans(holder, this.state.workers.loanOf(command.holder), moment)
 	}
 
-	/** Takes back the loans of entry instances that are certainly over. */
+	/** Takes back the slots of holders whose loans have certainly expired. */
 	tick(moment: Moment): void {
 		for (const loan of this.state.workers.loans()) {
 			const silentMs = moment.now - this.holders.lastHeartbeatOf(loan.holder, moment.now)
@@ -92,7 +93,7 @@
 	}
 
 	private additionalSlots(beat: Beat, held: Map<string, number>, now: number): number {
-		// Slots are lent inside the data centre; from elsewhere only requests in order are taken.
+		// Slots are lent only inside the data centre; other data centres send only ordered requests.
 		if (beat.leaving || beat.dataCentre !== beat.group) return 0
 		const has = sum(held)
 		const minimum = has === 0 ? INITIAL_SLOTS : 0
@@ -116,7 +117,7 @@
 		return picked
 	}
 
-	/** Says what is lent, less what is wanted back: from closed workers, and above the fair share. */
+	/** Sends the holder its loan; slots of workers that take no new work are sent as 0, to be returned. */
 	private sendLoans(holder: EntryIncarnation, loan: Loan | undefined, moment: Moment): void {
 		const loans = [...(loan?.slots ?? [])].map(([id, slots]) => {
 			const worker = this.state.workers.find(id)
@@ -153,7 +154,7 @@
 	}
 }
 
-/** What the entry instance still holds; never more than it was lent. */
+/** @returns the slots that the entry instance still holds, at most what it was lent. */
 function heldOf(beat: Beat, lent: Map<string, number>): Map<string, number> {
 	const held = new Map<string, number>()
 	for (const use of beat.uses) {
--- a/packages/cell/src/lib/leader/OperatorController.ts
+++ b/packages/cell/src/lib/leader/OperatorController.ts
@@ -1,4 +1,4 @@
-/** Answers operators of a data centre: plans, confirmations, cancellations, drains, questions. */
+/** Handles the calls of operators to a data centre: plans, confirmations, cancellations, drains, queries. */
 import { formatFinding } from '@rillrudder/utils'
 import { parseIntent, type Intent } from '@rillrudder/settings'
 import type { CommandOf, DataCentreCommand } from '../commands/DataCentreCommand'
@@ -16,7 +16,7 @@
 
 const MAX_LISTED_TASKS = 5000
 
-/** Where a reply goes. @public */
+/** Receives the reply to a call. @public */
 export type ReplyCallback = (reply: OperatorReply) => void
 
 type OperatorCommand = Extract<DataCentreCommand, { request: string }>
@@ -27,7 +27,7 @@
  * @internal
  */
 export class OperatorController {
-	/** Replies that wait for a commitment, by the request's id. */
+	/** Callbacks that wait for a command to be committed, by request id. */
 	private readonly replies = new Map<string, ReplyCallback[]>()
 
 	constructor(
@@ -37,15 +37,16 @@
 		private readonly whyWaiting: (task: string) => string | undefined
 	) {}
 
-	/** Forgets who waits; they ask again and get the answer that was kept. */
+	/** Rejects waiting calls. Operators call again and get the stored answer. */
 	clear(): void {
 		for (const waiting of this.replies.values()) {
-			for (const reply of waiting) reply({ code: 503, message: 'leadership has moved; ask again' })
+			for (const reply of waiting)
+				reply({ code: 503, message: 'leadership has changed; repeat the call' })
 		}
 		this.replies.clear()
 	}
 
-	/** Takes a call. */
+	/** Handles a call. */
 	onCall(call: OperatorCall, moment: Moment, reply: ReplyCallback): void {
 		const known = this.state.answers.find(call.request)
 		if (known) {
@@ -77,11 +78,11 @@
 			case 'declare-down':
 			case 'declare-up':
 			case 'take-home':
-				return reply({ code: 400, message: 'this is for the system group' })
+				return reply({ code: 400, message: 'this call is for the system group' })
 		}
 	}
 
-	/** An operator's command was committed. */
+	/** Handles the commit of an operator's command. */
 	onCommitted(command: OperatorCommand): void {
 		const waiting = this.replies.get(command.request) ?? []
 		this.replies.delete(command.request)
@@ -114,7 +115,7 @@
 		return { kind: 'plan', operator, request, at: moment.at, id, intent, ground, ...draft }
 	}
 
-	/** A plan whose ground has changed is confirmed only if it still comes out the same. */
+	/** Confirms a plan. If its ground has changed, a new draft must result in the same steps. */
 	private confirm(
 		call: Extract<OperatorCall, { kind: 'confirm' }>,
 		moment: Moment,
@@ -146,7 +147,7 @@
 		this.commit({ ...command, id: `${command.id}-${this.state.ground}` }, (fresh) =>
 			reply({
 				code: 409,
-				message: 'the plan is stale; here is a fresh one',
+				message: 'the plan is stale; a new one is attached',
 				content: fresh.content,
 			})
 		)
@@ -165,7 +166,7 @@
 	private sendStoredAnswer(request: string, reply: ReplyCallback): void {
 		const answer = this.state.answers.find(request)
 		if (!answer) {
-			reply({ code: 503, message: 'the answer is not known; ask again' })
+			reply({ code: 503, message: 'the answer is not known; repeat the call' })
 			return
 		}
 		const plan = this.state.tasks.plan(answer.subject)
@@ -175,7 +176,7 @@
 
 	private explain(id: string): OperatorReply {
 		const record = this.state.tasks.find(id)
-		if (!record) return { code: 404, message: `no task ${id} is known`, content: undefined }
+		if (!record) return { code: 404, message: `task ${id} does not exist`, content: undefined }
 		const waiting = record.phase === TaskPhase.Waiting ? this.whyWaiting(id) : undefined
 		const content = { ...describe(record), waiting, history: record.history }
 		return { code: 200, message: '', content }
@@ -194,7 +195,7 @@
 	return { id, intent, team, kind, phase, worker, reserved }
 }
 
-/** What a plan moves, without the very workers, which may differ while the plan is the same. */
+/** Counts tasks by action. Workers are left out, since they may differ between equivalent plans. */
 function summarizeSteps(plan: { readonly steps: readonly PlanStep[] }): string {
 	const counts = new Map<string, number>()
 	for (const step of plan.steps) {
--- a/packages/cell/src/lib/leader/OperatorRouter.ts
+++ b/packages/cell/src/lib/leader/OperatorRouter.ts
@@ -1,4 +1,4 @@
-/** Brings a call to the instance that leads the group it is for, wherever it was made. */
+/** Routes a call from any instance to the leader of the group that it addresses. */
 import { Buffer } from 'node:buffer'
 import type {
 	Event,
@@ -13,23 +13,23 @@
 const TRY_TIMEOUT_MS = 1500
 const MAX_TRIES = 6
 const RETRY_DELAY_MS = 200
-/** The HTTP status of a replica that does not lead. */
+/** HTTP status with which a replica that does not lead refuses a call. */
 const NOT_THE_LEADER = 421
 const UNAVAILABLE = 503
 
-/** What a router works with. @public */
+/** The dependencies of a router. @public */
 export interface OperatorRouterParts {
 	readonly self: string
 	readonly clock: Clock
 	readonly groups: readonly GroupLayout[]
-	/** Makes a name for a call that this process has not used before. */
+	/** @returns an id for a call that this process has not used before. */
 	readonly newCallId: () => string
 	readonly send: (to: string, event: Event) => boolean
-	/** Answers a call for a group that has a replica here. @returns false when it has none. */
+	/** Handles a call for a group with a replica in this process. @returns false if it has none. */
 	readonly callHere: (group: string, call: OperatorCall, reply: ReplyCallback) => boolean
 }
 
-/** A call that is looking for its leader. */
+/** A call with the state of the search for its group's leader. */
 interface LeaderSearch {
 	readonly group: string
 	readonly call: OperatorCall
@@ -48,7 +48,7 @@
 	private readonly waiting = new Map<string, (reply: OperatorReply) => void>()
 	private readonly leaders = new Map<string, string>()
 
-	/** @param parts - identity and surroundings. */
+	/** @param parts - identity and dependencies. */
 	constructor(private readonly parts: OperatorRouterParts) {}
 
 	/**
@@ -56,13 +56,13 @@
 	 *
 	 * @param group - the group.
 	 * @param call - the call.
-	 * @param reply - told once. Code 503 says that nobody who leads could be reached; it may have been
-	 * done then, and the same request again tells.
+	 * @param reply - called once. Code 503 means that no leader could be reached; the call may still have
+	 * taken effect, which a repetition with the same request id reveals.
 	 */
 	call(group: string, call: OperatorCall, reply: ReplyCallback): void {
 		const layout = this.parts.groups.find((one) => one.name === group)
 		if (!layout) {
-			reply({ code: 404, message: `there is no group ${group}` })
+			reply({ code: 404, message: `group ${group} does not exist` })
 			return
 		}
 		const voters = layout.voters.map((voter) => voter.id)
@@ -70,20 +70,20 @@
 		this.tryNext({ group, call, voters, reply, target, tries: 0 })
 	}
 
-	/** Takes a call that another instance passes on. */
+	/** Handles a call that another instance forwards. */
 	receiveCall(from: string, event: CallEvent): void {
 		const parsed = operatorCallSchema.safeParse(JSON.parse(event.request.toString()))
 		const answer = (reply: OperatorReply): void => {
 			const value = { id: event.id, reply: Buffer.from(JSON.stringify(reply)) }
 			this.parts.send(from, { body: { $case: 'operatorReply', value } })
 		}
-		if (!parsed.success) answer({ code: 400, message: 'the call is not as it should be' })
+		if (!parsed.success) answer({ code: 400, message: 'the call does not match the schema' })
 		else if (!this.parts.callHere(event.group, parsed.data, answer)) {
 			answer({ code: NOT_THE_LEADER, message: '' })
 		}
 	}
 
-	/** Takes a reply to a call that was passed on. */
+	/** Handles the reply to a forwarded call. */
 	receiveReply(event: ReplyEvent): void {
 		this.waiting.get(event.id)?.(JSON.parse(event.reply.toString()) as OperatorReply)
 	}
@@ -91,7 +91,7 @@
 	private tryNext(search: LeaderSearch): void {
 		if (search.tries === MAX_TRIES) {
 			this.leaders.delete(search.group)
-			const message = `no leader of ${search.group} could be reached; ask again to learn whether it was done`
+			const message = `no leader of ${search.group} could be reached; repeat the call to learn whether it took effect`
 			search.reply({ code: UNAVAILABLE, message })
 			return
 		}
--- a/packages/cell/src/lib/leader/PlanController.ts
+++ b/packages/cell/src/lib/leader/PlanController.ts
@@ -1,4 +1,4 @@
-/** Turns an intent into a plan that a person can read, without moving anything. */
+/** Drafts a human-readable plan for an intent without placing any task. */
 import {
 	chooseWorker,
 	SiblingCounts,
@@ -10,10 +10,10 @@
 import { IntentKind, type Configuration, type Intent } from '@rillrudder/settings'
 import type { PlanStep } from '../state/TaskTable'
 
-/** Tasks that are tried out one by one; beyond them the plan counts on. */
+/** Tasks that are placed tentatively one by one; the plan lists the remaining ones as waiting. */
 const MAX_TRIAL_PLACEMENTS = 2000
 
-/** A plan before it is kept. @public */
+/** A plan that is not yet in the log. @public */
 export interface DraftPlan {
 	readonly steps: PlanStep[]
 	readonly impossible: string[]
@@ -25,7 +25,7 @@
 }
 
 /**
- * Makes plans.
+ * Drafts plans.
  *
  * @internal
  */
@@ -37,9 +37,9 @@
 	) {}
 
 	/**
-	 * @param intent - what is wanted.
-	 * @param name - a name for the plan, part of its tasks' names.
-	 * @returns what starts where, what waits, and why.
+	 * @param intent - the intent to plan.
+	 * @param name - id of the plan, part of its tasks' ids.
+	 * @returns which tasks start where, which wait, and why; or why the intent is infeasible.
 	 */
 	draft(intent: Intent, name: string): DraftPlan {
 		const quota = this.configuration().teams.find((team) => team.name === intent.team)?.quota
@@ -75,7 +75,7 @@
 		return allowed
 	}
 
-	/** Reserves one task after the other, and gives everything back. */
+	/** Reserves capacity for one task after the other, and releases all reservations at the end. */
 	private placeTentatively(intent: Intent, max: number): TrialPlacement[] {
 		const ledger = this.ledger()
 		const placements: TrialPlacement[] = []
@@ -105,15 +105,15 @@
 }
 
 function waitReasonOf(intent: Intent, allowed: number, fitting: number): string {
-	if (allowed < intent.tasks) return `the quota of team ${intent.team} is used up`
+	if (allowed < intent.tasks) return `the quota of team ${intent.team} is exhausted`
 	if (intent.kind === IntentKind.Gang) {
 		return `only ${fitting} of ${intent.tasks} tasks fit now, and a gang starts whole`
 	}
-	if (intent.urgent) return 'no worker has enough free; batch work makes room for it'
-	return 'no worker has enough free now'
+	if (intent.urgent) return 'no worker has enough free capacity; batch tasks are preempted for it'
+	return 'no worker has enough free capacity now'
 }
 
-/** One step a rack, with how many tasks go to each of its workers. */
+/** @returns one step per rack, with the number of tasks on each of its workers. */
 function startSteps(
 	intent: Intent,
 	name: string,
--- a/packages/cell/src/lib/leader/RequestController.ts
+++ b/packages/cell/src/lib/leader/RequestController.ts
@@ -1,6 +1,6 @@
 /**
- * Serves requests that are not repeatable: each customer's one after another, each started at most
- * once. Nothing is started before its start is committed, and nothing is answered before its end is.
+ * Serves requests that are not repeatable: sequentially for each customer, each started at most once.
+ * No attempt starts before its start is committed, and no verdict is sent before the end is committed.
  */
 import { AttemptEnd, type Report, type Submit, type Withdraw } from '@rillrudder/protocol'
 import type { CommandOf } from '../commands/DataCentreCommand'
@@ -22,11 +22,11 @@
 const INITIAL_BACKOFF_MS = 10
 const MAX_BACKOFF_DOUBLINGS = 7
 
-/** Bounds on what may wait. @public */
+/** Limits on waiting requests. @public */
 export interface RequestLimits {
-	/** Requests that wait in the data centre. */
+	/** Maximum number of open requests in the data centre. */
 	readonly queue: number
-	/** @returns requests of one customer that may wait. */
+	/** @returns the maximum number of open requests of a customer. */
 	readonly customerQueue: (customer: string) => number
 }
 
@@ -38,16 +38,19 @@
 export class RequestController {
 	private readonly waiters = new RequestWaiters()
 	private readonly verdicts: VerdictSender
-	/** Requests for which a command is under way. */
+	/** Requests with a proposed command that is not yet applied. */
 	private readonly inFlight = new Set<string>()
-	/** Requests whose start follows their admission in one batch. */
+	/** Requests whose start was proposed in the same batch as their admission. */
 	private readonly chained = new Set<string>()
-	/** Customers whose oldest request waits for a slot, the longest wait first. */
+	/** Customers whose oldest request waits for a slot or a backoff, the longest wait first. */
 	private readonly starved = new Set<string>()
 	private readonly unresolved: UnresolvedAttempts
-	/** When this leader last said that a request may go; such an attempt is never taken back unasked. */
+	/**
+	 * When this leader last sent `go` for a request. Such an attempt is reverted only when its holder or
+	 * its worker reports that it did not start.
+	 */
 	private readonly goSentAt = new Map<string, number>()
-	/** An attempt that was taken back is followed by the next one only after a pause that grows. */
+	/** Earliest time of the next attempt after a reverted one, with exponential backoff. */
 	private readonly earliestStartAt = new Map<string, number>()
 	private leaderSince = 0
 
@@ -63,13 +66,13 @@
 		this.verdicts = new VerdictSender(state.requests, effects)
 	}
 
-	/** Starts to serve what leaders before this one have admitted. */
+	/** Handles the start of leadership: serves what earlier leaders have admitted. */
 	takeOver(moment: Moment): void {
 		this.clear()
 		this.leaderSince = moment.now
 	}
 
-	/** Forgets what only a leader needs. */
+	/** Discards leader-only state. */
 	clear(): void {
 		this.waiters.clear()
 		this.verdicts.clear()
@@ -81,7 +84,7 @@
 		this.earliestStartAt.clear()
 	}
 
-	/** Takes a request, new or sent again. */
+	/** Handles a submitted request, new or sent again. */
 	onSubmit(from: string, submit: Submit, moment: Moment): void {
 		const { customer, key } = submit
 		const record = this.state.requests.find(customer, key)
@@ -92,7 +95,7 @@
 		else this.admit(from, submit, moment)
 	}
 
-	/** Takes an entry instance's word on how an attempt ended. */
+	/** Handles an entry instance's report on how an attempt ended. */
 	onReport(from: string, report: Report, moment: Moment): void {
 		const record = this.state.requests.find(report.customer, report.key)
 		if (!record || record.phase !== RequestPhase.Started || record.attempt !== report.attempt)
@@ -110,7 +113,7 @@
 		}
 	}
 
-	/** The caller no longer waits; what has started runs on. */
+	/** Handles a caller that no longer waits. An attempt that has started runs on. */
 	onWithdraw(from: string, withdraw: Withdraw, moment: Moment): void {
 		this.waiters.removeProcess(from, withdraw)
 		if (this.waiters.has(withdraw)) return
@@ -118,7 +121,7 @@
 		if (record?.phase === RequestPhase.Admitted) this.park(record, moment)
 	}
 
-	/** Takes a worker's word on an attempt that was in doubt. */
+	/** Handles a worker's reply about an attempt whose outcome is unknown. */
 	onSettleReply(
 		customer: string,
 		key: string,
@@ -141,7 +144,7 @@
 		}
 	}
 
-	/** A life is over for certain: what it may have started is in doubt. */
+	/** Handles an incarnation that has certainly ended: the outcome of its attempts is unknown. */
 	onHolderReplaced(incarnationId: string, moment: Moment): void {
 		for (const record of this.state.requests.allOpen()) {
 			if (record.holder === incarnationId && record.phase === RequestPhase.Started) {
@@ -150,7 +153,7 @@
 		}
 	}
 
-	/** Deadlines, silent holders, and what can start now. */
+	/** Handles passed deadlines and holders without heartbeat, and starts requests that can start. */
 	tick(moment: Moment): void {
 		this.expire(moment)
 		for (const record of this.state.requests.allOpen()) this.checkHolder(record, moment)
@@ -161,14 +164,14 @@
 		this.startStarved(moment)
 	}
 
-	/** A request was admitted. */
+	/** Handles the commit of an admission. */
 	onAdmitted(command: CommandOf<'admit'>, hasEffect: boolean, moment: Moment): void {
 		if (this.chained.has(formatRequestId(command))) return
 		this.inFlight.delete(formatRequestId(command))
 		if (hasEffect) this.advance(command.customer, moment)
 	}
 
-	/** A start was committed: the holder may go, and nobody else ever for this attempt. */
+	/** Handles the commit of a start: only its holder may ever make this attempt. */
 	onStarted(command: CommandOf<'start'>, hasEffect: boolean, moment: Moment): void {
 		this.inFlight.delete(formatRequestId(command))
 		this.chained.delete(formatRequestId(command))
@@ -180,7 +183,7 @@
 		if (holder) this.sendGo(record, holder, moment)
 	}
 
-	/** An attempt was taken back. */
+	/** Handles the commit of a reverted attempt. */
 	onUnstarted(command: CommandOf<'unstart'>, moment: Moment): void {
 		const name = formatRequestId(command)
 		this.inFlight.delete(name)
@@ -192,7 +195,7 @@
 		this.startStarved(moment)
 	}
 
-	/** A request has ended, and its end is lasting. */
+	/** Handles the commit of the end of a request. */
 	onFinished(command: CommandOf<'finish'>, moment: Moment): void {
 		const name = formatRequestId(command)
 		this.inFlight.delete(name)
@@ -207,7 +210,7 @@
 		this.startStarved(moment)
 	}
 
-	/** A request that nobody waits for has left the queue; it is taken up again if it is sent again. */
+	/** Handles a request that left the queue because nobody waits; it is admitted again if resent. */
 	onParked(command: CommandOf<'park'>, hasEffect: boolean, moment: Moment): void {
 		this.inFlight.delete(formatRequestId(command))
 		if (hasEffect && !this.waiters.has(command)) this.waiters.remove(command)
@@ -255,8 +258,8 @@
 	}
 
 	/**
-	 * The holder has not begun the attempt. It honours no word of an earlier leader any more only once it
-	 * says so by naming this leader's term; a word of the one before may still be on its way to it.
+	 * Reverts an attempt that its holder has not started. This is safe only once the holder names this
+	 * leader's term, since it then ignores an earlier leader's `go` that may still be in transit.
 	 */
 	private reconcile(from: string, submit: Submit, record: RequestRecord, moment: Moment): void {
 		if (submit.term !== moment.term) return
@@ -272,7 +275,7 @@
 		return this.verdicts.estimateWait(submit.customer) > submit.timeoutMs
 	}
 
-	/** What is shed is not run; a key that somebody may send again is kept as not run. */
+	/** Refuses a request because of overload. A key chosen by the caller is recorded as not run. */
 	private shed(from: string, submit: Submit, moment: Moment): void {
 		const { customer, key, digest } = submit
 		const problem = Problem.Overloaded
@@ -303,7 +306,7 @@
 		if (!this.proposeStart(record, holder, moment)) this.starved.add(customer)
 	}
 
-	/** The caller's time is over, so it is not started any more. */
+	/** Finishes a request as not run if its caller's deadline has passed. @returns whether it has. */
 	private finishIfTimedOut(record: RequestRecord, moment: Moment): boolean {
 		if (!this.waiters.hasTimedOut(record, moment.now)) return false
 		const problem = this.starved.has(record.customer) ? Problem.NoWorker : Problem.TimedOut
@@ -311,7 +314,7 @@
 		return true
 	}
 
-	/** @returns false when no worker has a slot. */
+	/** @returns false if no worker has a free slot. */
 	private proposeStart(
 		record: Pick<RequestRecord, 'customer' | 'key' | 'attempt' | 'worker'>,
 		holder: EntryIncarnation,
@@ -333,7 +336,7 @@
 		return true
 	}
 
-	/** The customer's next request starts in the same batch in which its oldest ends. */
+	/** Proposes the start of the customer's next request in the batch that finishes its oldest. */
 	private chainNext(customer: string, moment: Moment): void {
 		const next = this.state.requests.next(customer)
 		if (next?.phase !== RequestPhase.Admitted || this.inFlight.has(formatRequestId(next))) return
@@ -348,7 +351,7 @@
 		}
 	}
 
-	/** A process that has the body and was heard recently enough to start it in time. */
+	/** @returns a process that holds the body and sent a heartbeat recently enough to start in time. */
 	private holderFor(record: RequestRecord, now: number): EntryIncarnation | undefined {
 		for (const process of this.waiters.processesFor(record)) {
 			const holder = this.holders.currentOf(process)
@@ -377,8 +380,8 @@
 	}
 
 	/**
-	 * The word may have been lost; the holder honours it once, or says how the attempt stands. It is not
-	 * said while the attempt is being taken back or ended.
+	 * Sends `go` again, since it may have been lost. The holder acts on it once, or reports the state of
+	 * the attempt. It is not sent while the attempt is being reverted or finished.
 	 */
 	private resendGo(record: RequestRecord, moment: Moment): void {
 		const name = formatRequestId(record)
@@ -409,7 +412,10 @@
 		if (this.state.requests.head(customer) === record) this.chainNext(customer, moment)
 	}
 
-	/** A start that is taken back, or an admission that does not count, leaves the caller's time over. */
+	/**
+	 * Finishes admitted requests whose caller's deadline has passed. All others that have not finished
+	 * are checked again later, since their command may have no effect or their start may be reverted.
+	 */
 	private expire(moment: Moment): void {
 		for (const waiter of this.waiters.takeDue(moment.now)) {
 			const record = this.state.requests.find(waiter.customer, waiter.key)
@@ -428,7 +434,10 @@
 		this.effects.commands.push({ kind: 'park', customer, key, at: moment.at })
 	}
 
-	/** WorkerPolls after a request whose holder has gone silent, or has not heard that it may go. */
+	/**
+	 * Parks an admitted request that nobody waits for. For a started one, checks whether its holder has
+	 * stopped sending heartbeats, and otherwise sends `go` again when due.
+	 */
 	private checkHolder(record: RequestRecord, moment: Moment): void {
 		const { now } = moment
 		if (record.phase === RequestPhase.Admitted) {
@@ -443,7 +452,7 @@
 		else this.resendGo(record, moment)
 	}
 
-	/** The home is elsewhere, or is on its way here; then the entry instance asks again. */
+	/** Redirects a request to its customer's home; if the home is moving here, starts to claim it. */
 	private redirectHome(from: string, submit: Submit): void {
 		const { customer, key } = submit
 		const group = this.homes.homeOf(customer)
--- a/packages/cell/src/lib/leader/SystemDriver.ts
+++ b/packages/cell/src/lib/leader/SystemDriver.ts
@@ -1,4 +1,4 @@
-/** Joins the system's state to its group: configuration proposals, and what belongs to all data centres. */
+/** Connects the system's state to its group: configuration proposals and system-wide declarations. */
 import { parseConfiguration, type KeptRevision } from '@rillrudder/settings'
 import { formatFinding } from '@rillrudder/utils'
 import { encodeSystemCommand, type SystemCommand } from '../commands/SystemCommand'
@@ -9,14 +9,14 @@
 
 const NOT_THE_LEADER = 421
 
-/** What a driver is made with. @public */
+/** The dependencies of a driver. @public */
 export interface SystemDriverParts {
 	readonly self: string
 	/** Milliseconds since the epoch. */
 	readonly at: () => number
-	/** Told of the configuration in force whenever the group has taken a step. */
+	/** Called with the configuration in force after each step of the group. */
 	readonly onConfiguration: (revision: KeptRevision) => void
-	/** Leadership was gained or lost. */
+	/** Called when leadership is gained or lost. */
 	readonly onLeadershipChanged: (gained: boolean) => void
 }
 
@@ -31,23 +31,23 @@
 	private group: GroupAccess | undefined
 	private wasLeader = false
 
-	/** @param parts - identity and surroundings. */
+	/** @param parts - identity and dependencies. */
 	constructor(private readonly parts: SystemDriverParts) {
 		this.state = new SystemState((command) => this.answerWaiting(command.request))
 	}
 
-	/** Joins the group, once it is open. */
+	/** Sets the group, once it is open. */
 	join(group: GroupAccess): void {
 		this.group = group
 	}
 
-	/** Whether a leader has been heard since the start, so that what is committed is known. */
+	/** Whether a leader is known, so that this instance's state is up to date. */
 	get isCurrent(): boolean {
 		if (!this.group) return false
 		return this.group.leads ? this.group.mayAct : this.group.leader !== ''
 	}
 
-	/** Takes an operator's call, or says who leads. */
+	/** Handles an operator's call, or refuses it with the leader's id as the message. */
 	onOperatorCall(call: OperatorCall, reply: ReplyCallback): void {
 		if (!this.group?.mayAct) {
 			const leader = this.group?.leader ?? ''
@@ -71,11 +71,11 @@
 			case 'audit':
 				return reply({ code: 200, message: '', content: this.state.audit.select(call) })
 			default:
-				return reply({ code: 400, message: 'this is for a data centre' })
+				return reply({ code: 400, message: 'this call is for a data centre' })
 		}
 	}
 
-	/** The group has taken a step: leadership may have moved, and commands may have been applied. */
+	/** Called after each step of the group: follows leadership and reports the configuration. */
 	followGroup(): void {
 		if (!this.group) return
 		const { leads } = this.group
@@ -118,7 +118,7 @@
 		for (const reply of waiting) this.sendAnswer(request, reply)
 	}
 
-	/** A refused proposal is answered with what is in force instead. */
+	/** Sends the stored answer; a refusal carries the configuration in force. */
 	private sendAnswer(request: string, reply: ReplyCallback): void {
 		const answer = this.state.answers.find(request)
 		if (!answer) return
@@ -126,10 +126,11 @@
 		reply({ code: answer.accepted ? 200 : 409, message: answer.message, content })
 	}
 
-	/** Those who wait ask again, and get the answer that was kept if there is one. */
+	/** Rejects waiting calls. Operators call again and get the stored answer if there is one. */
 	private rejectWaiting(): void {
 		for (const waiting of this.replies.values()) {
-			for (const reply of waiting) reply({ code: 503, message: 'leadership has moved; ask again' })
+			for (const reply of waiting)
+				reply({ code: 503, message: 'leadership has changed; repeat the call' })
 		}
 		this.replies.clear()
 	}
