--- a/packages/cell/src/lib/leader/TaskController.test.ts
+++ b/packages/cell/src/lib/leader/TaskController.test.ts
@@ -1,4 +1,4 @@
-/** What becomes of tasks of intents whose workers are lost again and again. */
+/** Guards against a task that crashes every worker it runs on: its restarts must be delayed. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import { Random } from '@rillrudder/utils'
@@ -14,15 +14,15 @@
 	weight: 1,
 	quota: { cpu: 100_000, memory: 100_000, accelerators: 0 },
 }
-/** Milliseconds between two readings of the leader's clockwork. */
-const STEP = 1000
+/** Milliseconds between two ticks of the leader. */
+const STEP_MS = 1000
 
-/** A leader whose workers answer no exchange, as those do not that a task crashes at once. */
-class Subject {
+/** A leader whose workers answer no exchange, like workers that a task crashes immediately. */
+class LeaderFixture {
 	readonly effects = new Effects()
 	readonly state = new DataCentreState(() => undefined)
 	placements = 0
-	private controller = this.lead()
+	private controller = this.takeOver()
 	private index = 0
 	private now = 0
 
@@ -38,17 +38,17 @@
 		this.controller.onConfirmed([...this.state.tasks.all()])
 	}
 
-	/** Lets time pass; with `change` another replica leads once in the middle. */
-	run(span: number, change = false): void {
-		for (let spent = 0; spent < span; spent += STEP) {
-			this.now += STEP
-			if (change && spent === span / 2) this.controller = this.lead()
+	/** Advances time; with `changeLeader` another replica takes over halfway. */
+	run(durationMs: number, changeLeader = false): void {
+		for (let elapsed = 0; elapsed < durationMs; elapsed += STEP_MS) {
+			this.now += STEP_MS
+			if (changeLeader && elapsed === durationMs / 2) this.controller = this.takeOver()
 			this.controller.tick({ now: this.now, at: this.now, term: 1 })
 			for (const command of this.effects.take().commands) this.carryOut(command)
 		}
 	}
 
-	private lead(): TaskController {
+	private takeOver(): TaskController {
 		const configuration = () => ({ ...DEFAULT_CONFIGURATION, teams: [CLERKS] })
 		const controller = new TaskController(this.state, this.effects, new Random(1), configuration)
 		controller.takeOver({ now: this.now ?? 0, at: this.now ?? 0, term: 1 })
@@ -76,21 +76,21 @@
 	}
 }
 
-test('a task whose workers are lost again and again begins ever more seldom', () => {
-	const subject = new Subject()
-	subject.run(600_000)
-	assert.ok(subject.placements <= 8, `${subject.placements} placements`)
-	assert.ok(subject.placements >= 5, `${subject.placements} placements`)
+test('a task whose workers are lost repeatedly restarts at growing intervals', () => {
+	const fixture = new LeaderFixture()
+	fixture.run(600_000)
+	assert.ok(fixture.placements <= 8, `${fixture.placements} placements`)
+	assert.ok(fixture.placements >= 5, `${fixture.placements} placements`)
 })
 
-test('how often its workers were lost outlives the leader', () => {
-	const subject = new Subject()
-	subject.run(600_000, true)
-	assert.ok(subject.placements <= 9, `${subject.placements} placements`)
+test('the count of lost workers survives a change of the leader', () => {
+	const fixture = new LeaderFixture()
+	fixture.run(600_000, true)
+	assert.ok(fixture.placements <= 9, `${fixture.placements} placements`)
 })
 
-test('a first loss costs no wait', () => {
-	const subject = new Subject()
-	subject.run(22_000)
-	assert.equal(subject.placements, 2)
+test('the first loss causes no delay', () => {
+	const fixture = new LeaderFixture()
+	fixture.run(22_000)
+	assert.equal(fixture.placements, 2)
 })
--- a/packages/cell/src/lib/leader/TaskController.ts
+++ b/packages/cell/src/lib/leader/TaskController.ts
@@ -1,4 +1,4 @@
-/** Places tasks, starts them under leases, and starts them elsewhere only when a lease is certainly over. */
+/** Places tasks, starts them under leases, and restarts them elsewhere only after their lease has certainly expired. */
 import { IntentKind, type Configuration } from '@rillrudder/settings'
 import {
 	Ledger,
@@ -30,11 +30,11 @@
 	ledger: Ledger
 	placement: Placement
 	readonly leases: WorkerLeases
-	/** Tasks for which a command is under way. */
+	/** Tasks with a proposed command that is not yet applied. */
 	private readonly inFlight = new Set<string>()
-	/** Tasks that are being moved out of the way, or stopped, and why. */
+	/** Tasks that are being preempted or stopped, with the reason. */
 	private readonly departureReasons = new Map<string, string>()
-	/** Tasks that wait before they begin again, and until when, milliseconds since the epoch. */
+	/** Restart time of tasks in backoff, in milliseconds since the epoch. */
 	private readonly restartAt = new Map<string, number>()
 	private needsDecision = true
 
@@ -49,12 +49,12 @@
 		this.leases = new WorkerLeases(state, effects)
 	}
 
-	/** What has been learned of run times and sizes. */
+	/** Estimates of run times and resource usage. */
 	get estimator(): Estimator {
 		return this.placement.estimator
 	}
 
-	/** Takes up what the log says runs and waits. */
+	/** Handles the start of leadership: restores placed and waiting tasks from the replicated state. */
 	takeOver(moment: Moment): void {
 		this.clear()
 		this.ledger = new Ledger(this.random)
@@ -72,7 +72,7 @@
 		this.leases.takeOver(moment.now)
 	}
 
-	/** Forgets what only a leader needs. */
+	/** Discards leader-only state. */
 	clear(): void {
 		this.inFlight.clear()
 		this.departureReasons.clear()
@@ -80,13 +80,13 @@
 		this.leases.clear()
 	}
 
-	/** The configuration has changed. */
+	/** Handles a change of the configuration. */
 	onConfigurationChanged(): void {
 		this.placement.setTeams(this.configuration().teams)
 		this.needsDecision = true
 	}
 
-	/** A worker has joined, changed or left. */
+	/** Handles a worker that has joined, changed or left. */
 	onWorkerChanged(id: string): void {
 		const worker = this.state.workers.find(id)
 		if (!worker) {
@@ -100,19 +100,19 @@
 		this.needsDecision = true
 	}
 
-	/** Opens or closes a worker for its health. */
+	/** Opens or closes a worker according to its health. */
 	setHealthy(id: string, healthy: boolean): void {
 		const live = this.state.workers.find(id)?.state === 'live'
 		this.ledger.setOpen(id, live && healthy)
 	}
 
-	/** A plan was confirmed. */
+	/** Handles the confirmation of a plan. */
 	onConfirmed(records: readonly TaskRecord[]): void {
 		this.submit(records)
 		this.needsDecision = true
 	}
 
-	/** An intent was cancelled. */
+	/** Handles the cancellation of an intent. */
 	onCancelled(records: readonly TaskRecord[]): void {
 		for (const record of records) {
 			this.placement.cancel(record.task.id)
@@ -120,7 +120,7 @@
 		}
 	}
 
-	/** A placement was committed, or found that the worker had no room. */
+	/** Handles the commit of a placement; it has no effect if the worker lacked capacity. */
 	onPlaced(command: CommandOf<'place'>, hasEffect: boolean): void {
 		this.inFlight.delete(command.task)
 		const record = this.state.tasks.find(command.task)
@@ -133,7 +133,7 @@
 		if (record.cancelled) this.stop(record, 'cancelled')
 	}
 
-	/** A task has left its worker. */
+	/** Handles the commit of a task's removal from its worker. */
 	onUnplaced(command: CommandOf<'unplace'>): void {
 		this.inFlight.delete(command.task)
 		this.departureReasons.delete(command.task)
@@ -143,7 +143,7 @@
 		this.needsDecision = true
 	}
 
-	/** A task was throttled. */
+	/** Handles the commit of a throttle. */
 	onThrottled(command: CommandOf<'throttle'>): void {
 		this.inFlight.delete(command.task)
 		this.departureReasons.delete(command.task)
@@ -151,7 +151,7 @@
 		this.needsDecision = true
 	}
 
-	/** Takes a worker's report. */
+	/** Handles a worker's report on its tasks. */
 	onExchangeReply(worker: string, reply: ExchangeReply, moment: Moment): void {
 		this.leases.onReply(worker, reply, moment.now)
 		for (const one of reply.refused)
@@ -163,12 +163,12 @@
 		}
 	}
 
-	/** A worker did not answer. */
+	/** Handles an exchange that a worker did not answer. */
 	onExchangeFailed(worker: string): void {
 		this.leases.onExchangeFailed(worker)
 	}
 
-	/** Decides, renews leases, and gives up on workers whose leases are certainly over. */
+	/** Places tasks, renews leases, and unplaces tasks whose leases have certainly expired. */
 	tick(moment: Moment): void {
 		for (const record of this.leases.expired(moment.now)) {
 			this.unplaceLost(record, 'the worker is unreachable and its lease has expired', moment)
@@ -178,7 +178,7 @@
 		this.leases.tick(moment)
 	}
 
-	/** @returns why a task waits. */
+	/** @returns the reason why a task waits, if it does. */
 	whyWaiting(task: string): WaitingReason | undefined {
 		return this.placement.whyWaiting(task)
 	}
@@ -221,7 +221,7 @@
 		this.leases.orderStop(record)
 	}
 
-	/** Moves what can move off a worker that is leaving; the rest runs to its end. */
+	/** Moves tasks off a worker that is leaving where possible; the others run to completion. */
 	private drainWorker(worker: string): void {
 		for (const record of this.leases.placedOn(worker)) {
 			const { task } = record
@@ -286,7 +286,7 @@
 		this.effects.commands.push({ kind: 'unplace', task: id, worker, done, lost, reason, at })
 	}
 
-	/** Those whose workers were lost again and again come later. */
+	/** Submits waiting tasks, delaying those in restart backoff. */
 	private submitWhenDue(records: readonly TaskRecord[], at: number): void {
 		const due: TaskRecord[] = []
 		for (const record of records) {
@@ -306,7 +306,7 @@
 		}
 	}
 
-	/** Tasks of a gang go to the placement together. */
+	/** Submits tasks to the placement, those of a gang together. */
 	private submit(records: readonly TaskRecord[]): void {
 		const gangs = new Map<string, TaskRecord[]>()
 		for (const record of records) {
--- a/packages/cell/src/lib/leader/WorkerController.ts
+++ b/packages/cell/src/lib/leader/WorkerController.ts
@@ -1,4 +1,4 @@
-/** Which workers there are, from the platform's lagging list, their own word, and their silence. */
+/** Maintains the set of workers from the platform's list, which may lag, and from workers' own reports. */
 import type { Resources } from '@rillrudder/scheduler'
 import type { Configuration } from '@rillrudder/settings'
 import type { DataCentreState } from '../state/DataCentreState'
@@ -16,11 +16,11 @@
 	readonly capacity: Resources
 }
 
-/** How long a worker must be missing from a list that lags before it counts as gone. */
+/** How long a worker must be missing from the list before it counts as gone, since the list may lag. */
 const MISSING_TIMEOUT_MS = 15_000
 
 /**
- * The leader's controller for the workers themselves.
+ * The leader's controller for the membership of workers.
  *
  * @internal
  */
@@ -39,12 +39,12 @@
 		this.inFlight.clear()
 	}
 
-	/** A change was committed. */
+	/** Handles the commit of a worker's change. */
 	onWorkerChanged(id: string): void {
 		this.inFlight.delete(id)
 	}
 
-	/** Takes the platform's list. */
+	/** Handles a list of workers from the platform. */
 	onWorkerList(workers: readonly ListedWorker[], moment: Moment): void {
 		const listed = new Set<string>()
 		for (const worker of workers) {
@@ -61,7 +61,7 @@
 		}
 	}
 
-	/** A worker or somebody who met it says that it leaves; the list says so later. */
+	/** Handles a report that a worker is leaving, by itself or an entry instance, ahead of the list. */
 	onLeaving(id: string, reason: string, moment: Moment): void {
 		if (this.state.workers.find(id)?.state === 'live')
 			this.proposeState(id, 'leaving', reason, moment)
@@ -107,7 +107,7 @@
 	}
 }
 
-/** What is left for tasks once every request slot has its share. */
+/** @returns the capacity that remains for tasks after the share of all request slots. */
 function taskCapacityOf(capacity: Resources, slots: Configuration['slots']): Resources {
 	return {
 		cpu: Math.max(0, capacity.cpu - slots.perWorker * slots.cpu),
--- a/packages/cell/src/lib/leader/WorkerLeases.ts
+++ b/packages/cell/src/lib/leader/WorkerLeases.ts
@@ -1,4 +1,4 @@
-/** The exchanges with workers: orders, renewals, and when a silent worker's leases are certainly over. */
+/** Exchanges with workers: orders, lease renewals, and the expiry of an unreachable worker's leases. */
 import type { DataCentreState } from '../state/DataCentreState'
 import { TaskPhase, type TaskRecord } from '../state/TaskTable'
 import type { Effects, Moment } from './Effects'
@@ -9,28 +9,30 @@
 const RETRY_INTERVAL_MS = 1000
 const NO_STAMP = -1
 
+/** The leases of all tasks on one worker, and the orders for it. */
 class Lease {
+	/** Newest stamp that the worker has sent. */
 	stamp = NO_STAMP
-	/** When the reply that carried the stamp came; the worker made the stamp before. */
+	/** When the reply with the stamp arrived; the worker made the stamp earlier. */
 	stampedAt = Number.NEGATIVE_INFINITY
-	/** When the newest stamp that was sent back had come: the leases end one span after it. */
+	/** Arrival time of the newest stamp that was sent back; the leases expire one duration after it. */
 	renewedAt: number
 	sentAt = Number.NEGATIVE_INFINITY
-	/** Whether an exchange is under way. */
+	/** Whether an exchange is in flight. */
 	isInFlight = false
 	readonly placed = new Map<string, TaskRecord>()
-	/** Orders to start that no reply has confirmed yet. */
+	/** Start orders that no reply has confirmed yet. */
 	readonly start = new Map<string, TaskRecord>()
 	readonly stop = new Map<string, TaskOrder>()
 	readonly checkpoint = new Map<string, TaskOrder>()
 	readonly throttle = new Map<string, ThrottleOrder>()
-	/** Tasks that the worker has confirmed to run. */
+	/** Tasks that the worker has confirmed as running. */
 	readonly confirmed = new Set<string>()
 	/** Whether there are orders that have not been sent. */
 	hasUnsentOrders = false
-	/** Whether its newest reply said that it takes no new work. */
+	/** Whether the worker's newest reply reports that it takes no new work. */
 	leaving = false
-	/** Starts that were part of the exchange under way. */
+	/** Start orders that are part of the exchange in flight. */
 	sentStarts: TaskRecord[] = []
 
 	constructor(now: number) {
@@ -61,7 +63,7 @@
 		private readonly effects: Effects
 	) {}
 
-	/** Counts every lease anew from now: the leader before may have renewed it until just now. */
+	/** Restarts every lease now, since the previous leader may have renewed it just before. */
 	takeOver(now: number): void {
 		this.leases.clear()
 		this.now = now
@@ -78,7 +80,7 @@
 		this.leases.clear()
 	}
 
-	/** Tasks that are placed on a worker. */
+	/** @returns the tasks that are placed on a worker. */
 	placedOn(worker: string): TaskRecord[] {
 		return [...(this.leases.get(worker)?.placed.values() ?? [])]
 	}
@@ -93,10 +95,10 @@
 	}
 
 	/**
-	 * Takes back an order that no reply has confirmed: a stop goes out instead, after which the worker
-	 * refuses the order however late it comes.
+	 * Withdraws a start order that no reply has confirmed. A stop order is sent instead, after which the
+	 * worker refuses the start order however late it arrives.
 	 *
-	 * @returns false when the task has been seen to run.
+	 * @returns false if the task has been confirmed as running.
 	 */
 	withdrawStart(record: TaskRecord): boolean {
 		const lease = this.leaseOf(record.worker)
@@ -123,7 +125,7 @@
 		lease.hasUnsentOrders = true
 	}
 
-	/** @returns the processors that a task was told to go on with, once its worker has answered. */
+	/** Removes a task's throttle order once its worker has replied. @returns the reduced processors. */
 	takeThrottle(record: TaskRecord): number | undefined {
 		const lease = this.leases.get(record.worker)
 		const order = lease?.throttle.get(record.task.id)
@@ -132,7 +134,7 @@
 		return order.cpu
 	}
 
-	/** Takes the stamp of a reply. */
+	/** Handles a reply: records its stamp and the start orders that it confirms. */
 	onReply(worker: string, reply: ExchangeReply, now: number): void {
 		this.now = now
 		const lease = this.leaseOf(worker)
@@ -154,7 +156,7 @@
 		if (lease.start.size > 0 && !lease.leaving) lease.hasUnsentOrders = true
 	}
 
-	/** @returns tasks that the worker ran and no longer knows. */
+	/** @returns tasks that the worker confirmed as running earlier but no longer reports. */
 	missing(worker: string, reply: ExchangeReply): TaskRecord[] {
 		const lease = this.leaseOf(worker)
 		const named = new Set([
@@ -168,7 +170,7 @@
 		})
 	}
 
-	/** An exchange got no answer. */
+	/** Handles an exchange without a reply. */
 	onExchangeFailed(worker: string): void {
 		const lease = this.leases.get(worker)
 		if (!lease) return
@@ -177,7 +179,7 @@
 		lease.hasUnsentOrders = lease.start.size + lease.stop.size + lease.checkpoint.size > 0
 	}
 
-	/** @returns tasks on workers whose leases are certainly over. */
+	/** @returns the tasks whose leases have certainly expired. */
 	expired(now: number): TaskRecord[] {
 		const expired: TaskRecord[] = []
 		for (const lease of this.leases.values()) {
@@ -188,7 +190,7 @@
 		return expired
 	}
 
-	/** Sends what is due: orders at once, renewals every third of a lease. */
+	/** Sends due exchanges: orders immediately, renewals every third of a lease. */
 	tick(moment: Moment): void {
 		this.now = moment.now
 		for (const [worker, lease] of this.leases) {
@@ -232,7 +234,7 @@
 		})
 	}
 
-	/** Forgets tasks that the log has moved elsewhere. */
+	/** Removes tasks that are no longer placed on this worker. */
 	private dropMoved(lease: Lease): void {
 		for (const [id, record] of lease.placed) {
 			const isHere = record.phase === TaskPhase.Placed && this.leaseOf(record.worker) === lease
--- a/packages/cell/src/lib/leader/operatorCalls.ts
+++ b/packages/cell/src/lib/leader/operatorCalls.ts
@@ -1,11 +1,11 @@
-/** What operators ask a data centre or the whole system, as JSON. */
+/** The calls of operators to a data centre or to the system group, encoded as JSON. */
 import { z } from 'zod'
 
-/** What every call carries. */
+/** Fields of every call. */
 const caller = {
-	/** From the certificate or token, filled in by the instance that was asked. */
+	/** Name from the certificate or token, filled in by the instance that received the call. */
 	operator: z.string(),
-	/** Chosen by the operator's client, so that a resend gets the first answer. */
+	/** Idempotency key chosen by the operator's client: a resend gets the first answer. */
 	request: z.string(),
 }
 
@@ -35,7 +35,7 @@
 	}),
 	z.object({ kind: z.literal('declare-down'), ...caller, dataCentre: z.string() }),
 	z.object({ kind: z.literal('declare-up'), ...caller, dataCentre: z.string() }),
-	/** Asked by the leader of another data centre, which the configuration names as the home. */
+	/** Sent by the leader of the data centre that the configuration names as the customer's home. */
 	z.object({
 		kind: z.literal('take-home'),
 		...caller,
@@ -48,11 +48,11 @@
 /** A call of an operator. @public */
 export type OperatorCall = z.infer<typeof operatorCallSchema>
 
-/** How a call ended; `code` is the HTTP status that says so. @public */
+/** The reply to a call; `code` is an HTTP status. @public */
 export interface OperatorReply {
 	readonly code: number
-	/** What was done or why not, for people. */
+	/** Human-readable result or reason. */
 	readonly message: string
-	/** What was asked for. */
+	/** The requested data, or details of the result. */
 	readonly content?: unknown
 }
--- a/packages/cell/src/lib/leader/restartDelay.ts
+++ b/packages/cell/src/lib/leader/restartDelay.ts
@@ -1,20 +1,21 @@
 /**
- * How long a task waits before it begins again after its worker was lost: a crash loop backoff. A task may crash each worker
- * that runs it, and takes the neighbours with it each time. Several tasks share a worker and most are innocent, so the
- * first loss costs no wait; an intent has no end by failure, so the task is not given up but begins ever more seldom.
+ * Crash-loop backoff of a task whose worker was lost. A task may crash every worker that runs it, along
+ * with the other tasks there. Several tasks share a worker and most of them are not the cause, so the
+ * first loss causes no delay. An intent can't fail, so the task is never abandoned, only restarted at
+ * growing intervals.
  *
- * In ten minutes such a task crashed 30 workers without the wait, one for each lease of 18 s, and 7 with it.
+ * In ten minutes such a task crashed 30 workers without the backoff, one per lease of 18 s, and 7 with it.
  */
 import type { TaskRecord } from '../state/TaskTable'
 
-/** Milliseconds after the second loss in a row; each further one doubles it. */
+/** Delay after the second consecutive loss; each further loss doubles it. */
 const INITIAL_DELAY_MS = 10_000
-/** Milliseconds at most: a task that is sound again is back after as long. */
+/** Maximum delay; a task that no longer crashes its worker restarts after at most this long. */
 const MAX_DELAY_MS = 300_000
 
 /**
- * @param record - a task that waits.
- * @returns from when on it may be placed, milliseconds since the epoch.
+ * @param record - a waiting task.
+ * @returns the earliest time at which it may be placed, in milliseconds since the epoch.
  * @internal
  */
 export function earliestRestartOf({ losses, lostAt }: TaskRecord): number {
--- a/packages/cell/src/lib/leader/timing.ts
+++ b/packages/cell/src/lib/leader/timing.ts
@@ -1,29 +1,30 @@
 /**
- * The spans that starts rest on, in milliseconds. Each is counted on two clocks that may run apart by
- * `DRIFT`: whoever promises counts it as written, whoever relies on the promise counts it `outlast`.
+ * Durations on which the safety of starts depends, in milliseconds. Each is measured on two clocks that
+ * may drift apart by `MAX_CLOCK_DRIFT`: the process bound by a duration uses it as defined, a process
+ * that waits for it to pass elsewhere uses `addDriftMargin`.
  */
 
-/** How far two clocks may run apart, as a share. @public */
+/** Maximum drift between two clocks, as a fraction. @public */
 export const MAX_CLOCK_DRIFT = 0.1
 
-/** An entry instance starts nothing on a heartbeat older than this. @public */
+/** An entry instance starts no attempt whose `go` refers to a heartbeat older than this. @public */
 export const START_WINDOW_MS = 2000
 
-/** Lent slots may be used this long after the heartbeat that the loan answers. @public */
+/** Lent slots may be used for this long after the heartbeat that the loan answers. @public */
 export const LOAN_DURATION_MS = 3000
 
-/** A worker keeps a task this long after the stamp that the leader last sent back to it. @public */
+/** A worker keeps a task for this long after the newest stamp that the leader has sent back. @public */
 export const TASK_LEASE_MS = 15_000
 
-/** How long a worker is asked for the end of an attempt that nobody answered for. @public */
+/** How long a worker is polled for the outcome of an attempt without a known result. @public */
 export const SETTLE_TIMEOUT_MS = 5000
 
-/** Between two heartbeats of an entry instance. @public */
+/** Interval between two heartbeats of an entry instance. @public */
 export const HEARTBEAT_INTERVAL_MS = 200
 
 /**
- * @param durationMs - a span that another process counts.
- * @returns how long to wait until it is certainly over there.
+ * @param durationMs - a duration that another process measures.
+ * @returns how long to wait until it has certainly passed on that process's clock.
  * @public
  */
 export function addDriftMargin(durationMs: number): number {
--- a/packages/cell/src/lib/leader/workerProtocol.ts
+++ b/packages/cell/src/lib/leader/workerProtocol.ts
@@ -1,16 +1,17 @@
 /**
- * What is said to a worker about its tasks, as JSON over HTTP: one exchange renews the leases of all its
- * tasks, gives orders and takes reports.
+ * The protocol between the leader and a worker about its tasks, as JSON over HTTP. One exchange renews
+ * the leases of all tasks on the worker, sends orders and returns reports.
  *
- * A worker puts a stamp of its own clock into every reply. The next call sends that stamp back, and the
- * leases of the worker's tasks end `leaseMs` after it; so a call that was long under way renews nothing.
+ * A worker puts a timestamp of its own clock into every reply. The next call returns that stamp, and the
+ * leases of the worker's tasks expire `leaseMs` after it, so a call that was delayed in transit does not
+ * extend them.
  */
 import { z } from 'zod'
 
 /** An order to start a task. @public */
 export interface StartOrder {
 	readonly task: string
-	/** A worker takes no order for a task with a fence below one that it has seen. */
+	/** A worker refuses orders for a task with a lower fence than the highest it has seen. */
 	readonly fence: number
 	readonly cpu: number
 	readonly memory: number
@@ -18,23 +19,23 @@
 	readonly command: readonly string[]
 }
 
-/** An order for a task that runs. @public */
+/** An order for a running task. @public */
 export interface TaskOrder {
 	readonly task: string
 	readonly fence: number
 }
 
-/** An order to go on with fewer processors. @public */
+/** An order to continue a task with fewer processors. @public */
 export interface ThrottleOrder extends TaskOrder {
 	/** Thousandths of a processor. */
 	readonly cpu: number
 }
 
-/** What a worker is told. @public */
+/** The body of a call to a worker. @public */
 export interface ExchangeCall {
-	/** Term of the leader; a worker takes no call of a lower one. */
+	/** Term of the leader; a worker refuses calls with a lower term than the highest it has seen. */
 	readonly term: number
-	/** The stamp of the worker's newest reply; -1 before the first. */
+	/** The stamp of the worker's newest reply; -1 before the first reply. */
 	readonly stamp: number
 	readonly leaseMs: number
 	readonly start: readonly StartOrder[]
@@ -56,10 +57,10 @@
 	refused: z.array(z.object({ ...taskName, reason: z.string() })),
 })
 
-/** What a worker replies. @public */
+/** A worker's reply to an exchange. @public */
 export type ExchangeReply = z.infer<typeof exchangeReplySchema>
 
-/** The schema of a worker's word on an attempt. @public */
+/** The schema of a worker's reply about an attempt. @public */
 export const settleReplySchema = z.discriminatedUnion('state', [
 	z.object({
 		state: z.literal('ran'),
@@ -68,11 +69,11 @@
 		/** Base64. */
 		body: z.string(),
 	}),
-	/** It is still at work. */
+	/** The attempt is still running. */
 	z.object({ state: z.literal('running') }),
-	/** It has not seen it, and will refuse it from now on. */
+	/** The worker has not seen the attempt, and refuses it from now on. */
 	z.object({ state: z.literal('never') }),
 ])
 
-/** A worker's word on an attempt. @public */
+/** A worker's reply about an attempt. @public */
 export type SettleReply = z.infer<typeof settleReplySchema>
