--- a/packages/cell/src/index.ts
+++ b/packages/cell/src/index.ts
@@ -1,4 +1,4 @@
-/** The records of a data centre and of the whole system, and the controller that decides on them. */
+/** The replicated state of a data centre and of the whole system, and the controllers that act on it. */
 export {
 	DATA_CENTRE_COMMAND_VERSION,
 	decodeDataCentreCommand,
--- a/packages/cell/src/lib/commands/DataCentreCommand.ts
+++ b/packages/cell/src/lib/commands/DataCentreCommand.ts
@@ -1,6 +1,6 @@
 /**
- * The commands of a data centre's log. Each is a record with a version; an older one is brought up to
- * date when it is read, so that a log outlives the program that wrote it.
+ * The commands of a data centre's log. Each is a versioned record; older versions are migrated when they
+ * are read, so that newer programs can read existing logs.
  */
 import { Buffer } from 'node:buffer'
 import { readIntentSchema } from '@rillrudder/settings'
@@ -10,16 +10,16 @@
 import { readRecord, writeRecord, type Migration } from './versioned'
 
 const count = z.number().int().min(0)
-/** Calendar time in milliseconds since the epoch, as the leader read it. */
+/** Wall-clock time of the leader, in milliseconds since the epoch. */
 const moment = z.number()
 const requestName = { customer: z.string(), key: z.string() }
 const resources = z.object({ cpu: z.number(), memory: z.number(), accelerators: z.number() })
 
-/** What an operator's command carries besides its content. */
+/** Common fields of operators' commands. */
 const operatorPart = {
-	/** Who: from the certificate or token. */
+	/** Name from the certificate or token. */
 	operator: z.string(),
-	/** Chosen by the operator's client; the same again gets the same answer. */
+	/** Idempotency key chosen by the operator's client: a resend gets the first answer. */
 	request: z.string(),
 	at: moment,
 }
@@ -28,7 +28,7 @@
 	kind: z.literal('admit'),
 	...requestName,
 	digest: z.string(),
-	/** Life of the entry instance that holds the body. */
+	/** Incarnation of the entry instance that holds the body. */
 	holder: z.string(),
 	/** How long an attempt may run, in milliseconds. */
 	timeout: count,
@@ -43,16 +43,16 @@
 	holder: z.string(),
 })
 
-/** An attempt certainly did not start; the request waits again. */
+/** Reverts a start: the attempt certainly did not start, and the request waits again. */
 const unstart = z.object({ kind: z.literal('unstart'), ...requestName, attempt: count })
 
-/** Nobody waits for an admitted request any more, and nobody was told anything: it leaves the queue. */
+/** Removes an admitted request from the queue because nobody waits for it. No verdict was sent. */
 const park = z.object({ kind: z.literal('park'), ...requestName, at: moment })
 
 const finish = z.object({
 	kind: z.literal('finish'),
 	...requestName,
-	/** Set where the request was never admitted. */
+	/** Set if the request was never admitted. */
 	digest: z.string().optional(),
 	outcome: z.enum(Outcome),
 	problem: z.enum(Problem).optional(),
@@ -60,16 +60,16 @@
 	at: moment,
 })
 
-/** Forgets answers and keys that are past their time. */
+/** Drops answers and keys that have passed their retention time. */
 const forget = z.object({
 	kind: z.literal('forget'),
 	answersBefore: moment,
 	keysBefore: moment,
-	/** MiB of answers that may be kept. */
+	/** Maximum size of stored answers in MiB. */
 	answerMemory: z.number(),
 })
 
-/** All slots that an entry instance is lent from now on. */
+/** Replaces the loan of an entry instance. */
 const lend = z.object({
 	kind: z.literal('lend'),
 	holder: z.string(),
@@ -93,7 +93,7 @@
 	...operatorPart,
 	id: z.string(),
 	intent: readIntentSchema,
-	/** The ground that the plan was made from. */
+	/** Version of the state (`DataCentreState.ground`) from which the plan was made. */
 	ground: count,
 	steps: z.array(
 		z.object({ action: z.string(), task: z.string(), where: z.string(), why: z.string() })
@@ -105,7 +105,7 @@
 	kind: z.literal('confirm'),
 	...operatorPart,
 	plan: z.string(),
-	/** The ground on which the leader found that the plan still comes out the same. */
+	/** The ground for which the leader found that a new draft still results in the same steps. */
 	verified: count,
 })
 const reject = z.object({ kind: z.literal('reject'), ...operatorPart, plan: z.string() })
@@ -121,20 +121,20 @@
 	at: moment,
 })
 
-/** A task no longer runs where it ran, and its lease there is over. */
+/** Removes a task from its worker: it no longer runs there, or its lease there has expired. */
 const unplace = z.object({
 	kind: z.literal('unplace'),
 	task: z.string(),
 	worker: z.string(),
-	/** Whether it is done, or waits to be placed again. */
+	/** Whether it is done; otherwise it waits to be placed again. */
 	done: z.boolean(),
-	/** Whether its worker was lost, or began anew without it; absent for no. */
+	/** Whether its worker was lost or restarted without it; absent means false. */
 	lost: z.boolean().optional(),
 	reason: z.string(),
 	at: moment,
 })
 
-/** A task goes on with fewer processors. */
+/** Reduces the processors of a running task. */
 const throttle = z.object({
 	kind: z.literal('throttle'),
 	task: z.string(),
@@ -142,7 +142,7 @@
 	at: moment,
 })
 
-/** A customer's home is closed here: nothing of it starts any more. */
+/** Closes a customer's home here: none of its requests is admitted any more. */
 const closeHome = z.object({
 	kind: z.literal('close-home'),
 	...operatorPart,
@@ -152,12 +152,12 @@
 	revision: count,
 })
 
-/** A customer's home opens here, with the keys it has used elsewhere. */
+/** Opens a customer's home here, with the records of its previous homes. */
 const openHome = z.object({
 	kind: z.literal('open-home'),
 	customer: z.string(),
 	revision: count,
-	/** Data centres that were declared down, and could not hand their keys over. */
+	/** Data centres that were declared down and could not transfer their records. */
 	without: z.array(z.string()),
 	records: z.array(z.unknown()),
 	at: moment,
@@ -193,10 +193,10 @@
 	{ kind: Kind }
 >
 
-/** Version of the commands that are written now. @public */
+/** Version of the commands that are written. @public */
 export const DATA_CENTRE_COMMAND_VERSION = 2
 
-/** Version 1 did not say why a worker changed. */
+/** Version 1 had no reason for a worker's change. */
 const MIGRATIONS: Migration[] = [
 	{
 		from: 1,
@@ -207,7 +207,7 @@
 /**
  * @param command - a command.
  * @returns its bytes for the log.
- * @throws VError named `RecordInvalid`, so that nothing gets into a log that no replica can read.
+ * @throws VError named `RecordInvalid` for an invalid command, since no replica could read it.
  * @public
  */
 export function encodeDataCentreCommand(command: DataCentreCommand): Buffer {
@@ -216,8 +216,8 @@
 
 /**
  * @param bytes - a command's bytes.
- * @returns the command, brought up to date.
- * @throws VError named `RecordInvalid` for bytes that are no command, or of a later version.
+ * @returns the command, migrated to the current version.
+ * @throws VError named `RecordInvalid` for an invalid command, or one of a later version.
  * @public
  */
 export function decodeDataCentreCommand(bytes: Uint8Array): DataCentreCommand {
--- a/packages/cell/src/lib/commands/SystemCommand.ts
+++ b/packages/cell/src/lib/commands/SystemCommand.ts
@@ -1,4 +1,4 @@
-/** The commands of the system's log: configuration and what belongs to all data centres. */
+/** The commands of the system's log: configuration and declarations about data centres. */
 import type { Buffer } from 'node:buffer'
 import { z } from 'zod'
 import { readRecord, writeRecord } from './versioned'
@@ -8,13 +8,13 @@
 	operator: z.string(),
 	request: z.string(),
 	at: z.number(),
-	/** The revision that this one is to replace. */
+	/** The revision that this one replaces. */
 	replaces: z.number().int().min(0),
 	/** YAML, as the operator wrote it. */
 	document: z.string(),
 })
 
-/** A data centre is declared down for good, so that its customers may be served elsewhere. */
+/** Declares a data centre permanently down, so that its customers may be served elsewhere. */
 const declareDown = z.object({
 	kind: z.literal('declare-down'),
 	operator: z.string(),
@@ -23,7 +23,7 @@
 	dataCentre: z.string(),
 })
 
-/** A data centre that was declared down may take part again. */
+/** Allows a data centre that was declared down to take part again. */
 const declareUp = declareDown.extend({ kind: z.literal('declare-up') })
 
 /** The schema of a command. @public */
@@ -32,7 +32,7 @@
 /** A command of the system's log. @public */
 export type SystemCommand = z.infer<typeof systemCommandSchema>
 
-/** Version of the commands that are written now. @public */
+/** Version of the commands that are written. @public */
 export const SYSTEM_COMMAND_VERSION = 1
 
 /**
@@ -47,7 +47,7 @@
 /**
  * @param bytes - a command's bytes.
  * @returns the command.
- * @throws VError named `RecordInvalid` for bytes that are no command, or of a later version.
+ * @throws VError named `RecordInvalid` for an invalid command, or one of a later version.
  * @public
  */
 export function decodeSystemCommand(bytes: Uint8Array): SystemCommand {
--- a/packages/cell/src/lib/commands/versioned.ts
+++ b/packages/cell/src/lib/commands/versioned.ts
@@ -1,12 +1,12 @@
-/** Records with a version: JSON on one line, checked and brought up to date when read. */
+/** Versioned records: one line of JSON, validated and migrated to the current version when read. */
 import { Buffer } from 'node:buffer'
 import { VError } from 'verror'
 import type { z } from 'zod'
 
-/** A record of any version, before it is checked. @public */
+/** A record of any version, before validation. @public */
 export type RawRecord = { [field: string]: unknown }
 
-/** Brings records of one version to the next. @public */
+/** Migrates records of one version to the next. @public */
 export interface Migration {
 	readonly from: number
 	readonly migrate: (record: RawRecord) => RawRecord
@@ -15,9 +15,9 @@
 /**
  * @param version - the version that is written.
  * @param record - the record.
- * @param schema - what the record must look like.
+ * @param schema - schema of the record.
  * @returns its bytes.
- * @throws VError named `RecordInvalid`.
+ * @throws VError named `RecordInvalid` if the record does not match the schema.
  * @internal
  */
 export function writeRecord(version: number, record: object, schema: z.ZodType): Buffer {
@@ -27,11 +27,11 @@
 
 /**
  * @param bytes - a record's bytes.
- * @param version - the version that is known.
- * @param migrations - from each earlier version to the next.
- * @param schema - what the record must look like.
- * @returns the record.
- * @throws VError named `RecordInvalid`.
+ * @param version - the current version.
+ * @param migrations - migrations from each earlier version to the next.
+ * @param schema - schema of the record in the current version.
+ * @returns the record, migrated to the current version.
+ * @throws VError named `RecordInvalid` for a later version, or a record that does not match the schema.
  * @internal
  */
 export function readRecord<Schema extends z.ZodType>(
@@ -44,7 +44,7 @@
 	const written = Number(record.version)
 	if (!(written <= version)) {
 		const info = { written, version }
-		throw new VError({ name: 'RecordInvalid', info }, 'record of version %d', written)
+		throw new VError({ name: 'RecordInvalid', info }, 'record has unknown version %d', written)
 	}
 	for (let at = written; at < version; at++) {
 		record = migrations.find((one) => one.from === at)?.migrate(record) ?? record
@@ -55,5 +55,8 @@
 function check<Schema extends z.ZodType>(record: object, schema: Schema): z.infer<Schema> {
 	const parsed = schema.safeParse(record)
 	if (parsed.success) return parsed.data
-	throw new VError({ name: 'RecordInvalid', cause: parsed.error }, 'record is not as it should be')
+	throw new VError(
+		{ name: 'RecordInvalid', cause: parsed.error },
+		'record does not match its schema'
+	)
 }
--- a/packages/cell/src/lib/configuration/ConfigurationHolder.ts
+++ b/packages/cell/src/lib/configuration/ConfigurationHolder.ts
@@ -1,4 +1,4 @@
-/** The configuration in force in this process; its revision never goes down, also after a restart. */
+/** The configuration in force in this process. Its revision never decreases, even across restarts. */
 import {
 	NO_REVISION,
 	NOTHING_IN_FORCE,
@@ -8,19 +8,19 @@
 } from '@rillrudder/settings'
 import { invariant } from '@rillrudder/utils'
 
-/** Keeps the newest revision on a disk. @public */
+/** Stores the newest revision on disk. @public */
 export abstract class RevisionStore {
 	/**
-	 * Makes a revision lasting.
+	 * Stores a revision durably.
 	 *
 	 * @param revision - the revision.
-	 * @param done - told once it lasts; not told when it can't be kept, and the process must end.
+	 * @param done - called once it is durable; not called if it can't be stored, and the process must end.
 	 */
 	abstract save(revision: KeptRevision, done: () => void): void
 }
 
 /**
- * The configuration in force here.
+ * Holds the configuration in force in this process.
  *
  * @public
  */
@@ -31,8 +31,8 @@
 	private isSaving = false
 
 	/**
-	 * @param store - absent on an instance without a disk.
-	 * @param onChanged - told after a new revision is in force.
+	 * @param store - undefined on an instance without a disk.
+	 * @param onChanged - called after a new revision is in force.
 	 */
 	constructor(
 		private readonly store: RevisionStore | undefined,
@@ -44,18 +44,18 @@
 		return this.installed
 	}
 
-	/** The same, as decisions see it. */
+	/** The revision in force with its parsed configuration. */
 	get inForce(): InForce {
 		return this.parsedInForce
 	}
 
-	/** Takes up what was shown before a restart. */
+	/** Restores the revision that was stored before a restart. */
 	restore(kept: KeptRevision): void {
 		this.newest = kept
 		if (kept.revision > 0) this.show(kept)
 	}
 
-	/** Puts a revision in force, unless a newer one is; on a disk it lasts before it is shown. */
+	/** Puts a revision in force unless it is outdated; with a store, only once it is durable. */
 	install(offered: KeptRevision): void {
 		if (offered.revision <= this.newest.revision) return
 		this.newest = offered
--- a/packages/cell/src/lib/configuration/ConfigurationRelay.ts
+++ b/packages/cell/src/lib/configuration/ConfigurationRelay.ts
@@ -1,31 +1,31 @@
 /**
- * Carries the configuration to every process. An instance with a disk keeps a revision before it hands
- * it on inside its data centre, so that an instance without one is never shown a lower one after it has
- * restarted.
+ * Distributes the configuration to every process. An instance with a disk stores a revision before it
+ * offers it inside its data centre, so that an instance without a disk never receives a lower revision
+ * after a restart.
  */
 import type { Event } from '@rillrudder/protocol'
 import type { KeptRevision } from '@rillrudder/settings'
 import type { Clock, Timer } from '@rillrudder/utils'
 
 const OFFER_INTERVAL_MS = 500
-/** How long a voter that hears no leader keeps quiet after its start: it may be behind. */
+/** How long a voter that knows no leader offers nothing after its start, since it may be outdated. */
 const STARTUP_QUIET_MS = 5000
 
-/** What a relay works with. @public */
+/** The dependencies of a relay. @public */
 export interface ConfigurationRelayParts {
 	readonly clock: Clock
 	readonly send: (to: string, event: Event) => boolean
-	/** Processes that are connected now. */
+	/** Connected processes. */
 	readonly peers: () => Iterable<string>
-	/** Whether this instance hands revisions on to a peer. */
+	/** Whether this instance offers revisions to a peer. */
 	readonly shouldServe: (peer: string) => boolean
-	/** Whether this instance knows that it is not behind. */
+	/** Whether this instance knows that its revision is up to date. */
 	readonly isCurrent: () => boolean
 	readonly current: () => KeptRevision
 }
 
 /**
- * Hands the configuration on, and knows who has which revision.
+ * Offers the configuration to peers and tracks which revision each of them has in force.
  *
  * @public
  */
@@ -39,29 +39,29 @@
 		this.timer = parts.clock.every(OFFER_INTERVAL_MS, () => this.offerToAll())
 	}
 
-	/** Which revision each process has said to have in force. */
+	/** The revision that each process has acknowledged. */
 	get revisions(): ReadonlyMap<string, number> {
 		return this.acknowledged
 	}
 
-	/** Offers a new revision at once, and tells everybody that it is in force here. */
+	/** Offers a new revision immediately, and acknowledges to all peers that it is in force here. */
 	onRevisionChanged(): void {
 		this.offerToAll()
 		for (const peer of this.parts.peers()) this.sendAcknowledgement(peer)
 	}
 
-	/** A peer has come. */
+	/** Handles a new connection to a peer. */
 	onPeerConnected(peer: string): void {
 		this.sendAcknowledgement(peer)
 		this.offer(peer)
 	}
 
-	/** A peer has gone; what it had is no longer known. */
+	/** Handles the loss of a peer; its revision is no longer known. */
 	onPeerLost(peer: string): void {
 		this.acknowledged.delete(peer)
 	}
 
-	/** A peer says what it has in force. */
+	/** Handles a peer's acknowledgement of the revision that it has in force. */
 	onAcknowledgement(peer: string, revision: number): void {
 		this.acknowledged.set(peer, revision)
 	}
--- a/packages/cell/src/lib/configuration/shouldServePeer.ts
+++ b/packages/cell/src/lib/configuration/shouldServePeer.ts
@@ -1,15 +1,15 @@
-/** Who hands the configuration on to whom. */
+/** Which instances offer the configuration to which processes. */
 import { groupsOf, SYSTEM_GROUP, type Instance } from '@rillrudder/settings'
 
 /**
- * A voter of the system's group serves the processes of its own data centre, and those of data centres
- * that have no voter at all. A data centre whose voter is away waits for it: if others served it, an
- * instance without a disk could be shown a lower revision after a restart.
+ * A voter of the system group serves the processes of its own data centre and of data centres without a
+ * voter. A data centre whose voter is down waits for it: if other voters served it, an instance without
+ * a disk could receive a lower revision after a restart.
  *
- * @param self - the instance that might hand the configuration on.
+ * @param self - the instance that may offer the configuration.
  * @param instances - all instances.
- * @param peer - a process, named by its instance or by `instance/entry`.
- * @returns whether it does.
+ * @param peer - a process, identified by its instance id or by `instance/entry`.
+ * @returns whether `self` offers the configuration to `peer`.
  * @public
  */
 export function shouldServePeer(
--- a/packages/cell/src/lib/leader/OperatorController.ts
+++ b/packages/cell/src/lib/leader/OperatorController.ts
@@ -1,4 +1,4 @@
-/** Handles the calls of operators to a data centre: plans, confirmations, cancellations, drains, queries. */
+/** Handles operators' calls to a data centre: plans, confirmations, cancellations, drains, queries. */
 import { formatFinding } from '@rillrudder/utils'
 import { parseIntent, type Intent } from '@rillrudder/settings'
 import type { CommandOf, DataCentreCommand } from '../commands/DataCentreCommand'
--- a/packages/cell/src/lib/leader/TaskController.ts
+++ b/packages/cell/src/lib/leader/TaskController.ts
@@ -1,4 +1,7 @@
-/** Places tasks, starts them under leases, and restarts them elsewhere only after their lease has certainly expired. */
+/**
+ * Places tasks, starts them under leases, and restarts them elsewhere only after their lease has
+ * certainly expired.
+ */
 import { IntentKind, type Configuration } from '@rillrudder/settings'
 import {
 	Ledger,
--- a/packages/cell/src/lib/leader/WorkerController.ts
+++ b/packages/cell/src/lib/leader/WorkerController.ts
@@ -1,4 +1,4 @@
-/** Maintains the set of workers from the platform's list, which may lag, and from workers' own reports. */
+/** Maintains the set of workers from the platform's list, which may lag, and workers' own reports. */
 import type { Resources } from '@rillrudder/scheduler'
 import type { Configuration } from '@rillrudder/settings'
 import type { DataCentreState } from '../state/DataCentreState'
--- a/packages/cell/src/lib/records/Outcome.ts
+++ b/packages/cell/src/lib/records/Outcome.ts
@@ -1,32 +1,32 @@
-/** What every answer to a caller says of its request. */
+/** The outcome of a request, as reported to its caller. */
 
 /** How a request ended. @public */
 export const Outcome = {
-	/** A worker ran it and its whole answer is known. */
+	/** A worker ran it and its complete answer is known. */
 	Ran: 'ran',
-	/** It did not run, and nothing of it will. */
+	/** It did not run, and never will. */
 	NotRun: 'not-run',
-	/** A worker was given it and no whole answer came. */
+	/** It was sent to a worker, but no complete answer was received. */
 	Unknown: 'unknown',
 } as const
 /** One of the outcomes. @public */
 export type Outcome = (typeof Outcome)[keyof typeof Outcome]
 
-/** Why a request has no answer of a worker; the last part of the problem's `type`. @public */
+/** Why a request has no answer from a worker; the last segment of the problem's `type`. @public */
 export const Problem = {
-	/** The wait would be longer than the caller's time. */
+	/** The estimated wait exceeds the caller's timeout. */
 	Overloaded: 'overloaded',
-	/** Its time ran out before it was started. */
+	/** The caller's deadline passed before it was started. */
 	TimedOut: 'timed-out',
 	/** The key was used before with another body. */
 	KeyReused: 'key-reused',
-	/** A worker was given it and did not answer. */
+	/** It was sent to a worker that did not answer. */
 	WorkerSilent: 'worker-silent',
-	/** The home of its customer can't be reached. */
+	/** The home of its customer is unreachable. */
 	HomeUnreachable: 'home-unreachable',
 	/** No worker could take it in time. */
 	NoWorker: 'no-worker',
-	/** The answer is no longer kept. */
+	/** The answer is no longer stored. */
 	AnswerForgotten: 'answer-forgotten',
 } as const
 /** One of the problems. @public */
--- a/packages/cell/src/lib/records/StoredAnswer.ts
+++ b/packages/cell/src/lib/records/StoredAnswer.ts
@@ -1,21 +1,21 @@
-/** A worker's answer as it is kept in the log. */
+/** A worker's answer as it is stored in the log. */
 import { Buffer } from 'node:buffer'
 import { z } from 'zod'
 import type { Answer } from '@rillrudder/protocol'
 
-/** The schema of a kept answer; the body is base64. @public */
+/** The schema of a stored answer; the body is base64. @public */
 export const storedAnswerSchema = z.object({
 	status: z.number().int(),
 	headers: z.array(z.object({ name: z.string(), value: z.string() })),
 	body: z.string(),
 })
 
-/** A kept answer. @public */
+/** A stored answer. @public */
 export type StoredAnswer = z.infer<typeof storedAnswerSchema>
 
 /**
  * @param answer - an answer from a message.
- * @returns the same for the log.
+ * @returns the answer as stored in the log.
  * @public
  */
 export function toStoredAnswer(answer: Answer): StoredAnswer {
@@ -25,7 +25,7 @@
 
 /**
  * @param stored - an answer from the log.
- * @returns the same for a message.
+ * @returns the answer as sent in a message.
  * @public
  */
 export function toAnswer(stored: StoredAnswer): Answer {
