--- a/apps/control/src/lib/ControlProcess.ts
+++ b/apps/control/src/lib/ControlProcess.ts
@@ -15,10 +15,10 @@
 	ConfigurationHolder,
 	ConfigurationRelay,
 	OperatorRouter,
-	servesPeer,
+	shouldServePeer,
 	type OperatorCall,
 	type OperatorReply,
-	type ReplyTo,
+	type ReplyCallback,
 } from '@rillrudder/cell'
 import { randomInt, randomUUID } from 'node:crypto'
 import { VError } from 'verror'
@@ -180,7 +180,7 @@
 			clock: this.clock,
 			send: (to, event) => this.send(to, event),
 			peers: () => this.connected,
-			serves: (peer) => servesPeer(this.settings.self, this.settings.instances, peer),
+			shouldServe: (peer) => shouldServePeer(this.settings.self, this.settings.instances, peer),
 			isCurrent: () => this.system?.isCurrent ?? false,
 			current: () => this.holder.current,
 		})
@@ -232,7 +232,7 @@
 			self: this.settings.self.id,
 			clock: this.clock,
 			groups: this.groups,
-			name: () => randomUUID(),
+			newCallId: () => randomUUID(),
 			send: (to, event) => this.send(to, event),
 			callHere: (group, call, reply) => this.callHere(group, call, reply),
 		})
@@ -294,7 +294,7 @@
 				return this.holder.install({ revision, document: document.toString(), fences })
 			}
 			case 'configurationAck':
-				return this.relay.acknowledge(from, body.value.revision)
+				return this.relay.onAcknowledgement(from, body.value.revision)
 			case 'operatorCall':
 				return this.router.receiveCall(from, body.value)
 			case 'operatorReply':
@@ -318,7 +318,7 @@
 		return new Promise((resolve) => this.router.call(group, call, resolve))
 	}
 
-	private callHere(group: string, call: OperatorCall, reply: ReplyTo): boolean {
+	private callHere(group: string, call: OperatorCall, reply: ReplyCallback): boolean {
 		if (group === SYSTEM_GROUP) {
 			this.system?.call(call, reply)
 			return this.system !== undefined
@@ -331,10 +331,10 @@
 	private peerChanged(peer: string, connected: boolean): void {
 		if (connected) {
 			this.connected.add(peer)
-			this.relay.joined(peer)
+			this.relay.onPeerConnected(peer)
 		} else {
 			this.connected.delete(peer)
-			this.relay.left(peer)
+			this.relay.onPeerLost(peer)
 		}
 		this.log.debug(connected ? 'peer-connected' : 'peer-lost', { peer })
 	}
@@ -343,7 +343,7 @@
 		this.metrics.gauge(Metric.ConfigurationRevision, revision.revision)
 		this.log.info('configuration-in-force', { revision: revision.revision })
 		for (const host of this.hosts.values()) host.configured()
-		this.relay?.changed()
+		this.relay?.onRevisionChanged()
 	}
 
 	private status(): unknown {
--- a/apps/control/src/lib/groups/SystemHost.ts
+++ b/apps/control/src/lib/groups/SystemHost.ts
@@ -1,5 +1,5 @@
 /** The system's group at work in this process. */
-import { SystemDriver, type OperatorCall, type ReplyTo } from '@rillrudder/cell'
+import { SystemDriver, type OperatorCall, type ReplyCallback } from '@rillrudder/cell'
 import type { Group } from '@rillrudder/group'
 import type { Event } from '@rillrudder/protocol'
 import { SYSTEM_GROUP, type KeptRevision } from '@rillrudder/settings'
@@ -26,8 +26,8 @@
 		this.driver = new SystemDriver({
 			self,
 			at: () => clock.date().getTime(),
-			accepted,
-			leadership: (gained) =>
+			onConfiguration: accepted,
+			onLeadershipChanged: (gained) =>
 				log.info(gained ? 'leadership-gained' : 'leadership-lost', { group: SYSTEM_GROUP }),
 		})
 	}
@@ -53,8 +53,8 @@
 	}
 
 	/** Takes an operator's call, or says who leads. */
-	call(call: OperatorCall, reply: ReplyTo): void {
-		this.driver.call(call, reply)
+	call(call: OperatorCall, reply: ReplyCallback): void {
+		this.driver.onOperatorCall(call, reply)
 	}
 
 	/** Lets time pass. */
--- a/packages/cell/src/index.ts
+++ b/packages/cell/src/index.ts
@@ -1,4 +1,4 @@
-/** The records of a data centre and of the whole system, and the controller that decides on them. */
+/** The replicated state of a data centre and of the whole system, and the controllers that act on it. */
 export {
 	DATA_CENTRE_COMMAND_VERSION,
 	decodeDataCentreCommand,
@@ -11,12 +11,12 @@
 	encodeSystemCommand,
 	type SystemCommand,
 } from './lib/commands/SystemCommand'
-export { ConfigurationHolder, RevisionKeeper } from './lib/configuration/ConfigurationHolder'
+export { ConfigurationHolder, RevisionStore } from './lib/configuration/ConfigurationHolder'
 export {
 	ConfigurationRelay,
 	type ConfigurationRelayParts,
 } from './lib/configuration/ConfigurationRelay'
-export { servesPeer } from './lib/configuration/servesPeer'
+export { shouldServePeer } from './lib/configuration/shouldServePeer'
 export { DataCentreController, type ControllerParts } from './lib/leader/DataCentreController'
 export {
 	LeaderDriver,
@@ -28,27 +28,27 @@
 	Effects,
 	type GroupCall,
 	type Moment,
-	type Sending,
+	type OutgoingEvent,
 	type SettleCall,
 	type WorkerExchange,
 } from './lib/leader/Effects'
-export { lifeOf, type Holder } from './lib/leader/Holders'
+export { incarnationIdOf, type EntryIncarnation } from './lib/leader/EntryIncarnations'
 export {
 	operatorCallSchema,
 	type OperatorCall,
 	type OperatorReply,
 } from './lib/leader/operatorCalls'
-export type { ReplyTo } from './lib/leader/OperatorController'
+export type { ReplyCallback } from './lib/leader/OperatorController'
 export { OperatorRouter, type OperatorRouterParts } from './lib/leader/OperatorRouter'
 export { SystemDriver, type SystemDriverParts } from './lib/leader/SystemDriver'
 export {
-	BEAT,
-	DRIFT,
-	LOAN_SPAN,
-	outlast,
-	SETTLE_SPAN,
-	START_WINDOW,
-	TASK_LEASE,
+	HEARTBEAT_INTERVAL_MS,
+	MAX_CLOCK_DRIFT,
+	LOAN_DURATION_MS,
+	addDriftMargin,
+	SETTLE_TIMEOUT_MS,
+	START_WINDOW_MS,
+	TASK_LEASE_MS,
 } from './lib/leader/timing'
 export type { ListedWorker } from './lib/leader/WorkerController'
 export {
@@ -61,12 +61,12 @@
 	type TaskOrder,
 	type ThrottleOrder,
 } from './lib/leader/workerProtocol'
-export { keepAnswer, restoreAnswer, type KeptAnswer } from './lib/records/Answer'
+export { toStoredAnswer, toAnswer, type StoredAnswer } from './lib/records/StoredAnswer'
 export { Outcome, Problem } from './lib/records/Outcome'
 export { type AuditFilter, type AuditRecord } from './lib/state/AuditTrail'
-export { DataCentreState, type Applied } from './lib/state/DataCentreState'
+export { DataCentreState, type AppliedCommand } from './lib/state/DataCentreState'
 export { type OperatorAnswer } from './lib/state/OperatorAnswers'
-export { Phase, type RequestRecord } from './lib/state/RequestTable'
+export { RequestPhase, type RequestRecord } from './lib/state/RequestTable'
 export { SystemState } from './lib/state/SystemState'
 export { PlanPhase, TaskPhase, type PlanRecord, type TaskRecord } from './lib/state/TaskTable'
 export { type Loan, type WorkerRecord } from './lib/state/WorkerTable'
--- a/packages/cell/src/lib/configuration/ConfigurationHolder.ts
+++ b/packages/cell/src/lib/configuration/ConfigurationHolder.ts
@@ -1,4 +1,4 @@
-/** The configuration in force in this process; its revision never goes down, also after a restart. */
+/** The configuration in force in this process. Its revision never decreases, even across restarts. */
 import {
 	NO_REVISION,
 	NOTHING_IN_FORCE,
@@ -8,81 +8,81 @@
 } from '@rillrudder/settings'
 import { invariant } from '@rillrudder/utils'
 
-/** Keeps the newest revision on a disk. @public */
-export abstract class RevisionKeeper {
+/** Stores the newest revision on disk. @public */
+export abstract class RevisionStore {
 	/**
-	 * Makes a revision lasting.
+	 * Stores a revision durably.
 	 *
 	 * @param revision - the revision.
-	 * @param done - told once it lasts; not told when it can't be kept, and the process must end.
+	 * @param done - called once it is durable; not called if it can't be stored, and the process must end.
 	 */
 	abstract save(revision: KeptRevision, done: () => void): void
 }
 
 /**
- * The configuration in force here.
+ * Holds the configuration in force in this process.
  *
  * @public
  */
 export class ConfigurationHolder {
-	private shown: KeptRevision = NO_REVISION
-	private decided: InForce = NOTHING_IN_FORCE
-	private wanted: KeptRevision = NO_REVISION
-	private saving = false
+	private installed: KeptRevision = NO_REVISION
+	private parsedInForce: InForce = NOTHING_IN_FORCE
+	private newest: KeptRevision = NO_REVISION
+	private isSaving = false
 
 	/**
-	 * @param keeper - absent on an instance without a disk.
-	 * @param changed - told after a new revision is in force.
+	 * @param store - undefined on an instance without a disk.
+	 * @param onChanged - called after a new revision is in force.
 	 */
 	constructor(
-		private readonly keeper: RevisionKeeper | undefined,
-		private readonly changed: (revision: KeptRevision) => void
+		private readonly store: RevisionStore | undefined,
+		private readonly onChanged: (revision: KeptRevision) => void
 	) {}
 
 	/** The revision in force. */
 	get current(): KeptRevision {
-		return this.shown
+		return this.installed
 	}
 
-	/** The same, as decisions see it. */
+	/** The revision in force with its parsed configuration. */
 	get inForce(): InForce {
-		return this.decided
+		return this.parsedInForce
 	}
 
-	/** Takes up what was shown before a restart. */
+	/** Restores the revision that was stored before a restart. */
 	restore(kept: KeptRevision): void {
-		this.wanted = kept
+		this.newest = kept
 		if (kept.revision > 0) this.show(kept)
 	}
 
-	/** Puts a revision in force, unless a newer one is; on a disk it lasts before it is shown. */
+	/** Puts a revision in force unless it is outdated; with a store, only once it is durable. */
 	install(offered: KeptRevision): void {
-		if (offered.revision <= this.wanted.revision) return
-		this.wanted = offered
-		if (!this.keeper) this.show(offered)
-		else if (!this.saving) this.save(this.keeper)
+		if (offered.revision <= this.newest.revision) return
+		this.newest = offered
+		if (!this.store) this.show(offered)
+		else if (!this.isSaving) this.save(this.store)
 	}
 
-	private save(keeper: RevisionKeeper): void {
-		this.saving = true
-		const next = this.wanted
-		keeper.save(next, () => {
-			this.saving = false
+	private save(store: RevisionStore): void {
+		this.isSaving = true
+		const next = this.newest
+		store.save(next, () => {
+			this.isSaving = false
 			this.show(next)
-			if (this.wanted.revision > next.revision) this.save(keeper)
+			if (this.newest.revision > next.revision) this.save(store)
 		})
 	}
 
 	private show(next: KeptRevision): void {
-		invariant(next.revision > this.shown.revision, 'a revision is never lower', {
-			from: this.shown.revision,
+		invariant(next.revision > this.installed.revision, 'a revision is never lower', {
+			from: this.installed.revision,
 			to: next.revision,
 		})
-		const read = parseConfiguration('configuration', next.document)
-		invariant(read.ok, 'only a good configuration is accepted', { revision: next.revision })
-		this.shown = next
+		const parsed = parseConfiguration('configuration', next.document)
+		invariant(parsed.ok, 'only a good configuration is accepted', { revision: next.revision })
+		this.installed = next
 		const { revision, fences } = next
-		this.decided = { revision, fences, configuration: read.value }
-		this.changed(next)
+		this.parsedInForce = { revision, fences, configuration: parsed.value }
+		this.onChanged(next)
 	}
 }
--- a/packages/cell/src/lib/leader/DataCentreController.ts
+++ b/packages/cell/src/lib/leader/DataCentreController.ts
@@ -1,28 +1,28 @@
 /**
- * The leader's decisions for one data centre: events and moments go in, effects come out. It does
- * nothing while its replica does not lead, and forgets what only a leader needs when it stops leading.
+ * The leader's decisions for one data centre: it handles events and ticks, and collects effects. It is
+ * inactive while its replica does not lead, and discards leader-only state when it stops leading.
  */
 import type { Beat, Report, Submit, Withdraw } from '@rillrudder/protocol'
 import { WorkerHealth } from '@rillrudder/scheduler'
 import type { InForce } from '@rillrudder/settings'
 import type { Random } from '@rillrudder/utils'
-import type { Applied, DataCentreState } from '../state/DataCentreState'
+import type { AppliedCommand, DataCentreState } from '../state/DataCentreState'
 import { Effects, type GroupCall, type Moment } from './Effects'
-import { Holders } from './Holders'
+import { EntryIncarnations } from './EntryIncarnations'
 import { HomeController } from './HomeController'
 import { LoanController } from './LoanController'
 import type { OperatorCall, OperatorReply } from './operatorCalls'
-import { OperatorController, type ReplyTo } from './OperatorController'
+import { OperatorController, type ReplyCallback } from './OperatorController'
 import { PlanController } from './PlanController'
 import { RequestController } from './RequestController'
-import { SlotChoice } from './SlotChoice'
+import { SlotSelector } from './SlotSelector'
 import { TaskController } from './TaskController'
 import { WorkerController, type ListedWorker } from './WorkerController'
 import type { ExchangeReply, SettleReply } from './workerProtocol'
 
-const FORGET_EVERY = 10_000
+const FORGET_INTERVAL_MS = 10_000
 
-/** What a controller decides with. @public */
+/** The dependencies of a controller. @public */
 export interface ControllerParts {
 	/** Name of the data centre. */
 	readonly name: string
@@ -30,7 +30,7 @@
 	readonly random: Random
 	/** All data centres. */
 	readonly dataCentres: readonly string[]
-	/** @returns what is in force. */
+	/** @returns the configuration and the fences in force. */
 	readonly inForce: () => InForce
 }
 
@@ -42,8 +42,8 @@
 export class DataCentreController {
 	readonly effects = new Effects()
 	readonly health = new WorkerHealth()
-	private readonly holders = new Holders()
-	private readonly slots: SlotChoice
+	private readonly holders = new EntryIncarnations()
+	private readonly slots: SlotSelector
 	private readonly requests: RequestController
 	private readonly loans: LoanController
 	private readonly tasks: TaskController
@@ -51,14 +51,14 @@
 	private readonly operators: OperatorController
 	private readonly homes: HomeController
 	private leading = false
-	private forgetDue = 0
+	private nextForgetAt = 0
 
-	/** @param parts - the state and what else decisions need. */
+	/** @param parts - the replicated state and other dependencies. */
 	constructor(private readonly parts: ControllerParts) {
 		const { name, dataCentres, state, random, inForce } = parts
 		const configuration = () => inForce().configuration
 		const { effects, holders } = this
-		this.slots = new SlotChoice(state.workers, this.health, random)
+		this.slots = new SlotSelector(state.workers, this.health, random)
 		this.homes = new HomeController(name, dataCentres, state, effects, inForce)
 		this.requests = new RequestController(state, holders, this.slots, effects, this.homes, () =>
 			this.limits()
@@ -72,13 +72,13 @@
 		this.operators = new OperatorController(state, plans, effects, whyWaiting)
 	}
 
-	/** Whether this controller decides. */
-	get active(): boolean {
+	/** Whether this controller is active, that is, its replica leads. */
+	get isActive(): boolean {
 		return this.leading
 	}
 
-	/** Numbers for metrics. */
-	get figures() {
+	/** Values for metrics. */
+	get stats() {
 		const { requests } = this.parts.state
 		const { waitingCount, runningCount: tasksRunning } = this.tasks.placement
 		return {
@@ -90,7 +90,7 @@
 		}
 	}
 
-	/** Its replica has begun to lead, and has applied everything that was committed before. */
+	/** Handles the start of leadership. The replica must have applied all entries committed before. */
 	takeOver(moment: Moment): void {
 		this.leading = true
 		this.holders.clear()
@@ -102,8 +102,8 @@
 		this.tasks.takeOver(moment)
 	}
 
-	/** Its replica no longer leads. */
-	resign(): void {
+	/** Handles the end of leadership: drops pending effects and all leader-only state. */
+	stepDown(): void {
 		this.leading = false
 		this.effects.take()
 		this.holders.clear()
@@ -116,49 +116,55 @@
 		this.operators.clear()
 	}
 
-	/** The configuration has changed. */
-	configured(): void {
-		if (this.leading) this.tasks.configured()
+	/** Handles a change of the configuration. */
+	onConfigurationChanged(): void {
+		if (this.leading) this.tasks.onConfigurationChanged()
 	}
 
-	/** Takes a heartbeat of an entry instance. */
-	beat(from: string, beat: Beat, moment: Moment): void {
-		const { holder, replaced } = this.holders.hear(from, beat, moment.now)
-		if (replaced) this.requests.holderGone(replaced.life, moment)
+	/** Handles a heartbeat of an entry instance. */
+	onHeartbeat(from: string, beat: Beat, moment: Moment): void {
+		const { holder, replaced } = this.holders.onHeartbeat(from, beat, moment.now)
+		if (replaced) this.requests.onHolderReplaced(replaced.incarnationId, moment)
 		for (const sign of beat.signs) {
-			if (sign.leaving) this.workers.leaving(sign.worker, 'it refused work', moment)
+			if (sign.leaving) this.workers.onLeaving(sign.worker, 'the worker refused work', moment)
 			for (const customer of sign.failedFor)
 				this.health.onFailure(sign.worker, customer, moment.now)
 			for (let count = sign.succeeded; count > 0; count--) this.health.onSuccess(sign.worker)
 		}
-		this.loans.beat(holder, beat, moment)
+		this.loans.onHeartbeat(holder, beat, moment)
 	}
 
-	/** Takes a request. */
-	submit(from: string, submit: Submit, moment: Moment): void {
-		this.requests.submit(from, submit, moment)
+	/** Handles a submitted request. */
+	onSubmit(from: string, submit: Submit, moment: Moment): void {
+		this.requests.onSubmit(from, submit, moment)
 	}
 
-	/** Takes the end of an attempt. */
-	report(from: string, report: Report, moment: Moment): void {
-		if (report.refusal === 'leaving') this.refusedLeaving(report, moment)
-		this.requests.report(from, report, moment)
+	/** Handles an entry instance's report on the end of an attempt. */
+	onReport(from: string, report: Report, moment: Moment): void {
+		if (report.refusal === 'leaving') this.onLeavingRefusal(report, moment)
+		this.requests.onReport(from, report, moment)
 	}
 
-	/** The caller no longer waits. */
-	withdraw(from: string, withdraw: Withdraw, moment: Moment): void {
-		this.requests.withdraw(from, withdraw, moment)
+	/** Handles a caller that no longer waits for its request. */
+	onWithdraw(from: string, withdraw: Withdraw, moment: Moment): void {
+		this.requests.onWithdraw(from, withdraw, moment)
 	}
 
-	/** Takes a worker's word on an attempt in doubt. */
-	settled(customer: string, key: string, fence: number, reply: SettleReply, moment: Moment): void {
-		this.requests.settled(customer, key, fence, reply, moment)
+	/** Handles a worker's reply about an attempt whose outcome is unknown. */
+	onSettleReply(
+		customer: string,
+		key: string,
+		fence: number,
+		reply: SettleReply,
+		moment: Moment
+	): void {
+		this.requests.onSettleReply(customer, key, fence, reply, moment)
 	}
 
-	/** Takes a worker's report on its tasks. */
-	reply(worker: string, reply: ExchangeReply, moment: Moment): void {
-		if (reply.leaving) this.workers.leaving(worker, 'it says so', moment)
-		this.tasks.reply(worker, reply, moment)
+	/** Handles a worker's report on its tasks. */
+	onExchangeReply(worker: string, reply: ExchangeReply, moment: Moment): void {
+		if (reply.leaving) this.workers.onLeaving(worker, 'reported by the worker', moment)
+		this.tasks.onExchangeReply(worker, reply, moment)
 		for (const one of reply.ended) {
 			const intent = this.parts.state.tasks.find(one.task)?.task.intent ?? one.task
 			if (one.result === 'failed') this.health.onFailure(worker, intent, moment.now)
@@ -166,28 +172,28 @@
 		}
 	}
 
-	/** A worker did not answer an exchange. */
-	silent(worker: string): void {
-		this.tasks.silent(worker)
+	/** Handles an exchange that a worker did not answer. */
+	onExchangeFailed(worker: string): void {
+		this.tasks.onExchangeFailed(worker)
 	}
 
-	/** Takes the platform's list of workers. */
-	list(workers: readonly ListedWorker[], moment: Moment): void {
-		this.workers.list(workers, moment)
+	/** Handles a list of workers from the platform. */
+	onWorkerList(workers: readonly ListedWorker[], moment: Moment): void {
+		this.workers.onWorkerList(workers, moment)
 	}
 
-	/** Takes an operator's call. */
-	call(call: OperatorCall, moment: Moment, reply: ReplyTo): void {
-		if (call.kind === 'take-home') this.homes.claimed(call, moment, reply)
-		else this.operators.call(call, moment, reply)
+	/** Handles an operator's call. */
+	onOperatorCall(call: OperatorCall, moment: Moment, reply: ReplyCallback): void {
+		if (call.kind === 'take-home') this.homes.onClaim(call, moment, reply)
+		else this.operators.onCall(call, moment, reply)
 	}
 
-	/** Takes another data centre's answer to a claim of a customer's home. */
-	claimAnswered(call: GroupCall, reply: OperatorReply): void {
-		this.homes.answered(call.call, call.group, reply)
+	/** Handles another data centre's reply to a claim of a customer's home. */
+	onClaimReply(call: GroupCall, reply: OperatorReply): void {
+		this.homes.onClaimReply(call.call, call.group, reply)
 	}
 
-	/** Lets time pass. */
+	/** Runs the periodic work of all controllers. */
 	tick(moment: Moment): void {
 		this.homes.tick(moment)
 		this.requests.tick(moment)
@@ -196,63 +202,63 @@
 			this.tasks.setHealthy(worker.id, this.health.isOpen(worker.id, moment.now))
 		}
 		this.tasks.tick(moment)
-		this.forget(moment)
+		this.proposeForget(moment)
 	}
 
-	/** A command was committed and applied. */
-	applied(applied: Applied, moment: Moment): void {
-		const { command, counted } = applied
+	/** Handles a command that was committed and applied. */
+	onCommandApplied(applied: AppliedCommand, moment: Moment): void {
+		const { command, hasEffect } = applied
 		switch (command.kind) {
 			case 'admit':
-				return this.requests.admitted(command, counted, moment)
+				return this.requests.onAdmitted(command, hasEffect, moment)
 			case 'start':
-				return this.requests.started(command, counted, moment)
+				return this.requests.onStarted(command, hasEffect, moment)
 			case 'unstart':
-				return this.requests.unstarted(command, moment)
+				return this.requests.onUnstarted(command, moment)
 			case 'park':
-				return this.requests.parked(command, counted, moment)
+				return this.requests.onParked(command, hasEffect, moment)
 			case 'finish':
-				return this.requests.finished(command, moment)
+				return this.requests.onFinished(command, moment)
 			case 'lend':
-				return this.loans.changed(command, moment)
+				return this.loans.onLoanChanged(command, moment)
 			case 'worker':
-				this.workers.changed(command.id)
-				return this.workerChanged(command.id, moment)
+				this.workers.onWorkerChanged(command.id)
+				return this.onWorkerChanged(command.id, moment)
 			case 'drain':
-				this.workerChanged(command.worker, moment)
-				return this.operators.committed(command)
+				this.onWorkerChanged(command.worker, moment)
+				return this.operators.onCommitted(command)
 			case 'confirm':
-				if (counted) this.tasks.confirmed(this.waitingTasksOf(command.plan))
-				return this.operators.committed(command)
+				if (hasEffect) this.tasks.onConfirmed(this.waitingTasksOf(command.plan))
+				return this.operators.onCommitted(command)
 			case 'cancel':
-				if (counted) this.tasks.cancelled(this.parts.state.tasks.ofIntent(command.intent))
-				return this.operators.committed(command)
+				if (hasEffect) this.tasks.onCancelled(this.parts.state.tasks.ofIntent(command.intent))
+				return this.operators.onCommitted(command)
 			case 'place':
-				return this.tasks.placed(command, counted)
+				return this.tasks.onPlaced(command, hasEffect)
 			case 'unplace':
-				return this.tasks.unplaced(command)
+				return this.tasks.onUnplaced(command)
 			case 'throttle':
-				return this.tasks.throttled(command)
+				return this.tasks.onThrottled(command)
 			case 'plan':
 			case 'reject':
 			case 'close-home':
-				return this.operators.committed(command)
+				return this.operators.onCommitted(command)
 			case 'open-home':
-				return this.homes.opened(command.customer)
+				return this.homes.onHomeOpened(command.customer)
 			case 'forget':
 				return
 		}
 	}
 
-	private refusedLeaving(report: Report, moment: Moment): void {
+	private onLeavingRefusal(report: Report, moment: Moment): void {
 		const record = this.parts.state.requests.find(report.customer, report.key)
 		const same = record?.attempt === report.attempt
-		if (record && same) this.workers.leaving(record.worker, 'it refused work', moment)
+		if (record && same) this.workers.onLeaving(record.worker, 'the worker refused work', moment)
 	}
 
-	private workerChanged(id: string, moment: Moment): void {
+	private onWorkerChanged(id: string, moment: Moment): void {
 		this.slots.refresh(moment.now)
-		this.tasks.workerChanged(id)
+		this.tasks.onWorkerChanged(id)
 		if (!this.parts.state.workers.find(id)) this.health.forget(id)
 	}
 
@@ -264,13 +270,13 @@
 			.filter((record) => record.task.id.startsWith(prefix) && record.phase === 'waiting')
 	}
 
-	private forget(moment: Moment): void {
-		if (moment.now < this.forgetDue) return
-		this.forgetDue = moment.now + FORGET_EVERY
+	private proposeForget(moment: Moment): void {
+		if (moment.now < this.nextForgetAt) return
+		this.nextForgetAt = moment.now + FORGET_INTERVAL_MS
 		const { keepAnswers, keepKeys, answerMemory } = this.parts.inForce().configuration.limits
 		const answersBefore = moment.at - keepAnswers
 		const keysBefore = moment.at - keepKeys
-		if (!this.parts.state.requests.isDue(answersBefore, answerMemory)) return
+		if (!this.parts.state.requests.hasExpired(answersBefore, answerMemory)) return
 		this.effects.commands.push({ kind: 'forget', answersBefore, keysBefore, answerMemory })
 	}
 
--- a/packages/cell/src/lib/leader/OperatorController.ts
+++ b/packages/cell/src/lib/leader/OperatorController.ts
@@ -1,4 +1,4 @@
-/** Answers operators of a data centre: plans, confirmations, cancellations, drains, questions. */
+/** Handles operators' calls to a data centre: plans, confirmations, cancellations, drains, queries. */
 import { formatFinding } from '@rillrudder/utils'
 import { parseIntent, type Intent } from '@rillrudder/settings'
 import type { CommandOf, DataCentreCommand } from '../commands/DataCentreCommand'
@@ -14,10 +14,10 @@
 import type { OperatorCall, OperatorReply } from './operatorCalls'
 import type { PlanController } from './PlanController'
 
-const MOST_LISTED = 5000
+const MAX_LISTED_TASKS = 5000
 
-/** Where a reply goes. @public */
-export type ReplyTo = (reply: OperatorReply) => void
+/** Receives the reply to a call. @public */
+export type ReplyCallback = (reply: OperatorReply) => void
 
 type OperatorCommand = Extract<DataCentreCommand, { request: string }>
 
@@ -27,8 +27,8 @@
  * @internal
  */
 export class OperatorController {
-	/** Replies that wait for a commitment, by the request's id. */
-	private readonly replies = new Map<string, ReplyTo[]>()
+	/** Callbacks that wait for a command to be committed, by request id. */
+	private readonly replies = new Map<string, ReplyCallback[]>()
 
 	constructor(
 		private readonly state: DataCentreState,
@@ -37,19 +37,20 @@
 		private readonly whyWaiting: (task: string) => string | undefined
 	) {}
 
-	/** Forgets who waits; they ask again and get the answer that was kept. */
+	/** Rejects waiting calls. Operators call again and get the stored answer. */
 	clear(): void {
 		for (const waiting of this.replies.values()) {
-			for (const reply of waiting) reply({ code: 503, message: 'leadership has moved; ask again' })
+			for (const reply of waiting)
+				reply({ code: 503, message: 'leadership has changed; repeat the call' })
 		}
 		this.replies.clear()
 	}
 
-	/** Takes a call. */
-	call(call: OperatorCall, moment: Moment, reply: ReplyTo): void {
+	/** Handles a call. */
+	onCall(call: OperatorCall, moment: Moment, reply: ReplyCallback): void {
 		const known = this.state.answers.find(call.request)
 		if (known) {
-			this.sayKnown(call.request, reply)
+			this.sendStoredAnswer(call.request, reply)
 			return
 		}
 		const { operator, request } = call
@@ -77,25 +78,29 @@
 			case 'declare-down':
 			case 'declare-up':
 			case 'take-home':
-				return reply({ code: 400, message: 'this is for the system group' })
+				return reply({ code: 400, message: 'this call is for the system group' })
 		}
 	}
 
-	/** An operator's command was committed. */
-	committed(command: OperatorCommand): void {
+	/** Handles the commit of an operator's command. */
+	onCommitted(command: OperatorCommand): void {
 		const waiting = this.replies.get(command.request) ?? []
 		this.replies.delete(command.request)
-		for (const reply of waiting) this.sayKnown(command.request, reply)
+		for (const reply of waiting) this.sendStoredAnswer(command.request, reply)
 	}
 
-	private plan(call: Extract<OperatorCall, { kind: 'plan' }>, moment: Moment, reply: ReplyTo) {
-		const read = parseIntent('intent', call.document)
-		if (!read.ok) {
-			const content = { findings: read.error }
-			reply({ code: 422, message: read.error.map(formatFinding).join('\n'), content })
+	private plan(
+		call: Extract<OperatorCall, { kind: 'plan' }>,
+		moment: Moment,
+		reply: ReplyCallback
+	) {
+		const parsed = parseIntent('intent', call.document)
+		if (!parsed.ok) {
+			const content = { findings: parsed.error }
+			reply({ code: 422, message: parsed.error.map(formatFinding).join('\n'), content })
 			return
 		}
-		this.commit(this.planCommand(read.value, call, moment), reply)
+		this.commit(this.planCommand(parsed.value, call, moment), reply)
 	}
 
 	private planCommand(
@@ -110,19 +115,19 @@
 		return { kind: 'plan', operator, request, at: moment.at, id, intent, ground, ...draft }
 	}
 
-	/** A plan whose ground has changed is confirmed only if it still comes out the same. */
+	/** Confirms a plan. If its ground has changed, a new draft must result in the same steps. */
 	private confirm(
 		call: Extract<OperatorCall, { kind: 'confirm' }>,
 		moment: Moment,
-		reply: ReplyTo
+		reply: ReplyCallback
 	): void {
 		const plan = this.state.tasks.plan(call.plan)
 		const { operator, request } = call
 		const { ground } = this.state
 		if (plan?.phase === PlanPhase.Proposed && plan.ground !== ground) {
 			const fresh = this.plans.draft(plan.intent, plan.id)
-			if (summary(fresh) !== summary(plan)) {
-				this.refuseStale(plan, call, moment, reply)
+			if (summarizeSteps(fresh) !== summarizeSteps(plan)) {
+				this.replanStale(plan, call, moment, reply)
 				return
 			}
 		}
@@ -131,24 +136,24 @@
 		this.commit({ kind: 'confirm', operator, request, at, plan: call.plan, verified }, reply)
 	}
 
-	private refuseStale(
+	private replanStale(
 		plan: PlanRecord,
 		call: { operator: string; request: string },
 		moment: Moment,
-		reply: ReplyTo
+		reply: ReplyCallback
 	): void {
 		const request = `${call.request}-fresh`
 		const command = this.planCommand(plan.intent, { operator: call.operator, request }, moment)
 		this.commit({ ...command, id: `${command.id}-${this.state.ground}` }, (fresh) =>
 			reply({
 				code: 409,
-				message: 'the plan is stale; here is a fresh one',
+				message: 'the plan is stale; a new one is attached',
 				content: fresh.content,
 			})
 		)
 	}
 
-	private commit(command: OperatorCommand, reply: ReplyTo): void {
+	private commit(command: OperatorCommand, reply: ReplyCallback): void {
 		const waiting = this.replies.get(command.request)
 		if (waiting) {
 			waiting.push(reply)
@@ -158,10 +163,10 @@
 		this.effects.commands.push(command)
 	}
 
-	private sayKnown(request: string, reply: ReplyTo): void {
+	private sendStoredAnswer(request: string, reply: ReplyCallback): void {
 		const answer = this.state.answers.find(request)
 		if (!answer) {
-			reply({ code: 503, message: 'the answer is not known; ask again' })
+			reply({ code: 503, message: 'the answer is not known; repeat the call' })
 			return
 		}
 		const plan = this.state.tasks.plan(answer.subject)
@@ -171,7 +176,7 @@
 
 	private explain(id: string): OperatorReply {
 		const record = this.state.tasks.find(id)
-		if (!record) return { code: 404, message: `no task ${id} is known`, content: undefined }
+		if (!record) return { code: 404, message: `task ${id} does not exist`, content: undefined }
 		const waiting = record.phase === TaskPhase.Waiting ? this.whyWaiting(id) : undefined
 		const content = { ...describe(record), waiting, history: record.history }
 		return { code: 200, message: '', content }
@@ -179,7 +184,7 @@
 
 	private tasks(intent: string | undefined): OperatorReply {
 		const records = intent ? this.state.tasks.ofIntent(intent) : [...this.state.tasks.all()]
-		const content = records.slice(0, MOST_LISTED).map(describe)
+		const content = records.slice(0, MAX_LISTED_TASKS).map(describe)
 		return { code: 200, message: '', content }
 	}
 }
@@ -190,8 +195,8 @@
 	return { id, intent, team, kind, phase, worker, reserved }
 }
 
-/** What a plan moves, without the very workers, which may differ while the plan is the same. */
-function summary(plan: { readonly steps: readonly PlanStep[] }): string {
+/** Counts tasks by action. Workers are left out, since they may differ between equivalent plans. */
+function summarizeSteps(plan: { readonly steps: readonly PlanStep[] }): string {
 	const counts = new Map<string, number>()
 	for (const step of plan.steps) {
 		const [, first, last] = /(\d+)(?:-(\d+))?$/.exec(step.task) ?? []
--- a/packages/cell/src/lib/leader/RequestController.ts
+++ b/packages/cell/src/lib/leader/RequestController.ts
@@ -1,32 +1,32 @@
 /**
- * Serves requests that are not repeatable: each customer's one after another, each started at most
- * once. Nothing is started before its start is committed, and nothing is answered before its end is.
+ * Serves requests that are not repeatable: sequentially for each customer, each started at most once.
+ * No attempt starts before its start is committed, and no verdict is sent before the end is committed.
  */
 import { AttemptEnd, type Report, type Submit, type Withdraw } from '@rillrudder/protocol'
 import type { CommandOf } from '../commands/DataCentreCommand'
-import { keepAnswer } from '../records/Answer'
+import { toStoredAnswer } from '../records/StoredAnswer'
 import { Outcome, Problem } from '../records/Outcome'
 import type { DataCentreState } from '../state/DataCentreState'
-import { Phase, type RequestRecord } from '../state/RequestTable'
-import { SuspectWorkers } from './SuspectWorkers'
+import { RequestPhase, type RequestRecord } from '../state/RequestTable'
+import { UnresolvedAttempts } from './UnresolvedAttempts'
 import type { Effects, Moment } from './Effects'
-import type { Holder, Holders } from './Holders'
+import type { EntryIncarnation, EntryIncarnations } from './EntryIncarnations'
 import type { HomeController } from './HomeController'
-import type { SlotChoice } from './SlotChoice'
-import { outlast, START_WINDOW } from './timing'
-import { Verdicts } from './Verdicts'
-import { requestName, Waiters } from './Waiters'
+import type { SlotSelector } from './SlotSelector'
+import { addDriftMargin, START_WINDOW_MS } from './timing'
+import { VerdictSender } from './VerdictSender'
+import { formatRequestId, RequestWaiters } from './RequestWaiters'
 import type { SettleReply } from './workerProtocol'
 
-const SAY_AGAIN_EVERY = 1000
-const FIRST_PAUSE = 10
-const MOST_DOUBLINGS = 7
+const GO_RESEND_INTERVAL_MS = 1000
+const INITIAL_BACKOFF_MS = 10
+const MAX_BACKOFF_DOUBLINGS = 7
 
-/** Bounds on what may wait. @public */
+/** Limits on waiting requests. @public */
 export interface RequestLimits {
-	/** Requests that wait in the data centre. */
+	/** Maximum number of open requests in the data centre. */
 	readonly queue: number
-	/** @returns requests of one customer that may wait. */
+	/** @returns the maximum number of open requests of a customer. */
 	readonly customerQueue: (customer: string) => number
 }
 
@@ -36,91 +36,101 @@
  * @internal
  */
 export class RequestController {
-	private readonly waiters = new Waiters()
-	private readonly verdicts: Verdicts
-	/** Requests for which a command is under way. */
-	private readonly busy = new Set<string>()
-	/** Requests whose start follows their admission in one batch. */
+	private readonly waiters = new RequestWaiters()
+	private readonly verdicts: VerdictSender
+	/** Requests with a proposed command that is not yet applied. */
+	private readonly inFlight = new Set<string>()
+	/** Requests whose start was proposed in the same batch as their admission. */
 	private readonly chained = new Set<string>()
-	/** Customers whose oldest request waits for a slot, the longest wait first. */
+	/** Customers whose oldest request waits for a slot or a backoff, the longest wait first. */
 	private readonly starved = new Set<string>()
-	private readonly doubts: SuspectWorkers
-	/** When this leader last said that a request may go; such an attempt is never taken back unasked. */
-	private readonly goSaidAt = new Map<string, number>()
-	/** An attempt that was taken back is followed by the next one only after a pause that grows. */
-	private readonly notBefore = new Map<string, number>()
-	private takenOverAt = 0
+	private readonly unresolved: UnresolvedAttempts
+	/**
+	 * When this leader last sent `go` for a request. Such an attempt is reverted only when its holder or
+	 * its worker reports that it did not start.
+	 */
+	private readonly goSentAt = new Map<string, number>()
+	/** Earliest time of the next attempt after a reverted one, with exponential backoff. */
+	private readonly earliestStartAt = new Map<string, number>()
+	private leaderSince = 0
 
 	constructor(
 		private readonly state: DataCentreState,
-		private readonly holders: Holders,
-		private readonly slots: SlotChoice,
+		private readonly holders: EntryIncarnations,
+		private readonly slots: SlotSelector,
 		private readonly effects: Effects,
 		private readonly homes: HomeController,
 		private readonly limits: () => RequestLimits
 	) {
-		this.doubts = new SuspectWorkers(state, effects)
-		this.verdicts = new Verdicts(state.requests, effects)
+		this.unresolved = new UnresolvedAttempts(state, effects)
+		this.verdicts = new VerdictSender(state.requests, effects)
 	}
 
-	/** Starts to serve what leaders before this one have admitted. */
+	/** Handles the start of leadership: serves what earlier leaders have admitted. */
 	takeOver(moment: Moment): void {
 		this.clear()
-		this.takenOverAt = moment.now
+		this.leaderSince = moment.now
 	}
 
-	/** Forgets what only a leader needs. */
+	/** Discards leader-only state. */
 	clear(): void {
 		this.waiters.clear()
 		this.verdicts.clear()
-		this.busy.clear()
+		this.inFlight.clear()
 		this.chained.clear()
 		this.starved.clear()
-		this.doubts.clear()
-		this.goSaidAt.clear()
-		this.notBefore.clear()
+		this.unresolved.clear()
+		this.goSentAt.clear()
+		this.earliestStartAt.clear()
 	}
 
-	/** Takes a request, new or sent again. */
-	submit(from: string, submit: Submit, moment: Moment): void {
+	/** Handles a submitted request, new or sent again. */
+	onSubmit(from: string, submit: Submit, moment: Moment): void {
 		const { customer, key } = submit
 		const record = this.state.requests.find(customer, key)
-		if (record && record.phase !== Phase.Parked) this.resubmit(from, submit, record, moment)
+		if (record && record.phase !== RequestPhase.Parked) this.resubmit(from, submit, record, moment)
 		else if (record && record.digest !== submit.digest) this.refuseReuse(from, submit)
-		else if (!this.homes.owns(customer)) this.sendHome(from, submit)
-		else if (this.busy.has(requestName(submit))) this.waiters.add(from, submit, moment.now)
-		else this.take(from, submit, moment)
+		else if (!this.homes.owns(customer)) this.redirectHome(from, submit)
+		else if (this.inFlight.has(formatRequestId(submit))) this.waiters.add(from, submit, moment.now)
+		else this.admit(from, submit, moment)
 	}
 
-	/** Takes an entry instance's word on how an attempt ended. */
-	report(from: string, report: Report, moment: Moment): void {
+	/** Handles an entry instance's report on how an attempt ended. */
+	onReport(from: string, report: Report, moment: Moment): void {
 		const record = this.state.requests.find(report.customer, report.key)
-		if (!record || record.phase !== Phase.Started || record.attempt !== report.attempt) return
+		if (!record || record.phase !== RequestPhase.Started || record.attempt !== report.attempt)
+			return
 		if (report.end === AttemptEnd.ATTEMPT_END_ANSWERED && report.answer) {
-			const answer = keepAnswer(report.answer)
+			const answer = toStoredAnswer(report.answer)
 			this.finish(record, { outcome: Outcome.Ran, answer }, moment)
 		} else if (report.end === AttemptEnd.ATTEMPT_END_NOT_STARTED) {
 			this.unstart(record)
 		} else if (report.end === AttemptEnd.ATTEMPT_END_ABSENT) {
-			this.waiters.leave(from, record)
+			this.waiters.removeProcess(from, record)
 			this.unstart(record)
 		} else {
-			this.doubts.lost(record, moment.now)
+			this.unresolved.addAfterMissingAnswer(record, moment.now)
 		}
 	}
 
-	/** The caller no longer waits; what has started runs on. */
-	withdraw(from: string, withdraw: Withdraw, moment: Moment): void {
-		this.waiters.leave(from, withdraw)
-		if (this.waiters.anyFor(withdraw)) return
+	/** Handles a caller that no longer waits. An attempt that has started runs on. */
+	onWithdraw(from: string, withdraw: Withdraw, moment: Moment): void {
+		this.waiters.removeProcess(from, withdraw)
+		if (this.waiters.has(withdraw)) return
 		const record = this.state.requests.find(withdraw.customer, withdraw.key)
-		if (record?.phase === Phase.Admitted) this.park(record, moment)
+		if (record?.phase === RequestPhase.Admitted) this.park(record, moment)
 	}
 
-	/** Takes a worker's word on an attempt that was in doubt. */
-	settled(customer: string, key: string, fence: number, reply: SettleReply, moment: Moment): void {
+	/** Handles a worker's reply about an attempt whose outcome is unknown. */
+	onSettleReply(
+		customer: string,
+		key: string,
+		fence: number,
+		reply: SettleReply,
+		moment: Moment
+	): void {
 		const record = this.state.requests.find(customer, key)
-		if (!record || record.phase !== Phase.Started || record.fence !== fence) return
+		if (!record || record.phase !== RequestPhase.Started || record.fence !== fence) return
 		switch (reply.state) {
 			case 'ran': {
 				const { status, headers, body } = reply
@@ -130,106 +140,106 @@
 			case 'never':
 				return this.unstart(record)
 			case 'running':
-				return this.doubts.extend(record, moment.now)
+				return this.unresolved.extend(record, moment.now)
 		}
 	}
 
-	/** A life is over for certain: what it may have started is in doubt. */
-	holderGone(life: string, moment: Moment): void {
+	/** Handles an incarnation that has certainly ended: the outcome of its attempts is unknown. */
+	onHolderReplaced(incarnationId: string, moment: Moment): void {
 		for (const record of this.state.requests.allOpen()) {
-			if (record.holder === life && record.phase === Phase.Started) {
-				this.doubts.abandoned(record, moment.now)
+			if (record.holder === incarnationId && record.phase === RequestPhase.Started) {
+				this.unresolved.addAfterHolderLoss(record, moment.now)
 			}
 		}
 	}
 
-	/** Deadlines, silent holders, and what can start now. */
+	/** Handles passed deadlines and holders without heartbeat, and starts requests that can start. */
 	tick(moment: Moment): void {
 		this.expire(moment)
-		for (const record of this.state.requests.allOpen()) this.watch(record, moment)
-		for (const record of this.doubts.tick(moment.now)) {
+		for (const record of this.state.requests.allOpen()) this.checkHolder(record, moment)
+		for (const record of this.unresolved.tick(moment.now)) {
 			const problem = Problem.WorkerSilent
 			this.finish(record, { outcome: Outcome.Unknown, problem }, moment)
 		}
-		this.feedStarved(moment)
+		this.startStarved(moment)
 	}
 
-	/** A request was admitted. */
-	admitted(command: CommandOf<'admit'>, counted: boolean, moment: Moment): void {
-		if (this.chained.has(requestName(command))) return
-		this.busy.delete(requestName(command))
-		if (counted) this.advance(command.customer, moment)
+	/** Handles the commit of an admission. */
+	onAdmitted(command: CommandOf<'admit'>, hasEffect: boolean, moment: Moment): void {
+		if (this.chained.has(formatRequestId(command))) return
+		this.inFlight.delete(formatRequestId(command))
+		if (hasEffect) this.advance(command.customer, moment)
 	}
 
-	/** A start was committed: the holder may go, and nobody else ever for this attempt. */
-	started(command: CommandOf<'start'>, counted: boolean, moment: Moment): void {
-		this.busy.delete(requestName(command))
-		this.chained.delete(requestName(command))
-		this.slots.unhold(command.worker)
+	/** Handles the commit of a start: only its holder may ever make this attempt. */
+	onStarted(command: CommandOf<'start'>, hasEffect: boolean, moment: Moment): void {
+		this.inFlight.delete(formatRequestId(command))
+		this.chained.delete(formatRequestId(command))
+		this.slots.release(command.worker)
 		const record = this.state.requests.find(command.customer, command.key)
-		if (!counted || !record) return this.advance(command.customer, moment)
-		this.verdicts.began(command, moment.now)
+		if (!hasEffect || !record) return this.advance(command.customer, moment)
+		this.verdicts.onStarted(command, moment.now)
 		const holder = this.holders.find(command.holder)
-		if (holder) this.sayGo(record, holder, moment)
+		if (holder) this.sendGo(record, holder, moment)
 	}
 
-	/** An attempt was taken back. */
-	unstarted(command: CommandOf<'unstart'>, moment: Moment): void {
-		const name = requestName(command)
-		this.busy.delete(name)
-		this.goSaidAt.delete(name)
-		this.verdicts.takenBack(command)
-		const doubled = FIRST_PAUSE * 2 ** Math.min(command.attempt - 1, MOST_DOUBLINGS)
-		this.notBefore.set(name, moment.now + doubled)
+	/** Handles the commit of a reverted attempt. */
+	onUnstarted(command: CommandOf<'unstart'>, moment: Moment): void {
+		const name = formatRequestId(command)
+		this.inFlight.delete(name)
+		this.goSentAt.delete(name)
+		this.verdicts.onUnstarted(command)
+		const backoffMs = INITIAL_BACKOFF_MS * 2 ** Math.min(command.attempt - 1, MAX_BACKOFF_DOUBLINGS)
+		this.earliestStartAt.set(name, moment.now + backoffMs)
 		this.advance(command.customer, moment)
-		this.feedStarved(moment)
+		this.startStarved(moment)
 	}
 
-	/** A request has ended, and its end is lasting. */
-	finished(command: CommandOf<'finish'>, moment: Moment): void {
-		const name = requestName(command)
-		this.busy.delete(name)
-		this.goSaidAt.delete(name)
-		this.notBefore.delete(name)
-		this.verdicts.ended(command, moment.now)
+	/** Handles the commit of the end of a request. */
+	onFinished(command: CommandOf<'finish'>, moment: Moment): void {
+		const name = formatRequestId(command)
+		this.inFlight.delete(name)
+		this.goSentAt.delete(name)
+		this.earliestStartAt.delete(name)
+		this.verdicts.onFinished(command, moment.now)
 		const record = this.state.requests.find(command.customer, command.key)
 		const processes = this.waiters.processesFor(command)
 		this.waiters.remove(command)
-		if (record) for (const process of processes) this.verdicts.tell(process, record)
+		if (record) for (const process of processes) this.verdicts.sendOutcome(process, record)
 		this.advance(command.customer, moment)
-		this.feedStarved(moment)
+		this.startStarved(moment)
 	}
 
-	/** A request that nobody waits for has left the queue; it is taken up again if it is sent again. */
-	parked(command: CommandOf<'park'>, counted: boolean, moment: Moment): void {
-		this.busy.delete(requestName(command))
-		if (counted && !this.waiters.anyFor(command)) this.waiters.remove(command)
+	/** Handles a request that left the queue because nobody waits; it is admitted again if resent. */
+	onParked(command: CommandOf<'park'>, hasEffect: boolean, moment: Moment): void {
+		this.inFlight.delete(formatRequestId(command))
+		if (hasEffect && !this.waiters.has(command)) this.waiters.remove(command)
 		this.advance(command.customer, moment)
 	}
 
-	private take(from: string, submit: Submit, moment: Moment): void {
+	private admit(from: string, submit: Submit, moment: Moment): void {
 		if (this.isOverloaded(submit)) {
 			this.shed(from, submit, moment)
 			return
 		}
-		const holder = this.holders.ofProcess(from)
+		const holder = this.holders.currentOf(from)
 		if (!holder) return
 		this.waiters.add(from, submit, moment.now)
-		this.busy.add(requestName(submit))
+		this.inFlight.add(formatRequestId(submit))
 		const { customer, key, digest, timeoutMs } = submit
 		this.effects.commands.push({
 			kind: 'admit',
 			customer,
 			key,
 			digest,
-			holder: holder.life,
+			holder: holder.incarnationId,
 			timeout: timeoutMs,
 			at: moment.at,
 		})
 		if (this.state.requests.openOf(customer) > 0) return
 		const attempt = this.state.requests.find(customer, key)?.attempt ?? 0
 		if (this.proposeStart({ customer, key, attempt, worker: '' }, holder, moment)) {
-			this.chained.add(requestName(submit))
+			this.chained.add(formatRequestId(submit))
 		}
 	}
 
@@ -238,43 +248,43 @@
 			this.refuseReuse(from, submit)
 			return
 		}
-		if (record.phase === Phase.Finished) {
-			this.verdicts.tell(from, record)
+		if (record.phase === RequestPhase.Finished) {
+			this.verdicts.sendOutcome(from, record)
 			return
 		}
 		this.waiters.add(from, submit, moment.now)
-		if (record.phase === Phase.Started) this.reconcile(from, submit, record, moment)
+		if (record.phase === RequestPhase.Started) this.reconcile(from, submit, record, moment)
 		else this.advance(submit.customer, moment)
 	}
 
 	/**
-	 * The holder has not begun the attempt. It honours no word of an earlier leader any more only once it
-	 * says so by naming this leader's term; a word of the one before may still be on its way to it.
+	 * Reverts an attempt that its holder has not started. This is safe only once the holder names this
+	 * leader's term, since it then ignores an earlier leader's `go` that may still be in transit.
 	 */
 	private reconcile(from: string, submit: Submit, record: RequestRecord, moment: Moment): void {
 		if (submit.term !== moment.term) return
-		const same = this.holders.ofProcess(from)?.life === record.holder
-		const told = this.goSaidAt.has(requestName(submit))
-		if (same && !told && submit.runningAttempt !== record.attempt) this.unstart(record)
+		const isSameHolder = this.holders.currentOf(from)?.incarnationId === record.holder
+		const isGoSent = this.goSentAt.has(formatRequestId(submit))
+		if (isSameHolder && !isGoSent && submit.runningAttempt !== record.attempt) this.unstart(record)
 	}
 
 	private isOverloaded(submit: Submit): boolean {
 		const { queue, customerQueue } = this.limits()
 		if (this.state.requests.open >= queue) return true
 		if (this.state.requests.openOf(submit.customer) >= customerQueue(submit.customer)) return true
-		return this.verdicts.expectedWait(submit.customer) > submit.timeoutMs
+		return this.verdicts.estimateWait(submit.customer) > submit.timeoutMs
 	}
 
-	/** What is shed is not run; a key that somebody may send again is kept as not run. */
+	/** Refuses a request because of overload. A key chosen by the caller is recorded as not run. */
 	private shed(from: string, submit: Submit, moment: Moment): void {
 		const { customer, key, digest } = submit
 		const problem = Problem.Overloaded
 		if (!submit.callersKey) {
-			this.verdicts.refuse(from, submit, problem)
+			this.verdicts.sendRefusal(from, submit, problem)
 			return
 		}
 		this.waiters.add(from, submit, moment.now)
-		this.busy.add(requestName(submit))
+		this.inFlight.add(formatRequestId(submit))
 		const outcome = Outcome.NotRun
 		const at = moment.at
 		this.effects.commands.push({ kind: 'finish', customer, key, digest, outcome, problem, at })
@@ -284,67 +294,74 @@
 	private advance(customer: string, moment: Moment): void {
 		const record = this.state.requests.head(customer)
 		this.starved.delete(customer)
-		if (record?.phase !== Phase.Admitted || this.busy.has(requestName(record))) return
-		if (this.isTooLate(record, moment)) return
+		if (record?.phase !== RequestPhase.Admitted || this.inFlight.has(formatRequestId(record)))
+			return
+		if (this.finishIfTimedOut(record, moment)) return
 		const holder = this.holderFor(record, moment.now)
 		if (!holder) return
-		if (moment.now < (this.notBefore.get(requestName(record)) ?? 0)) {
+		if (moment.now < (this.earliestStartAt.get(formatRequestId(record)) ?? 0)) {
 			this.starved.add(customer)
 			return
 		}
 		if (!this.proposeStart(record, holder, moment)) this.starved.add(customer)
 	}
 
-	/** The caller's time is over, so it is not started any more. */
-	private isTooLate(record: RequestRecord, moment: Moment): boolean {
-		if (!this.waiters.isOver(record, moment.now)) return false
+	/** Finishes a request as not run if its caller's deadline has passed. @returns whether it has. */
+	private finishIfTimedOut(record: RequestRecord, moment: Moment): boolean {
+		if (!this.waiters.hasTimedOut(record, moment.now)) return false
 		const problem = this.starved.has(record.customer) ? Problem.NoWorker : Problem.TimedOut
 		this.finish(record, { outcome: Outcome.NotRun, problem }, moment)
 		return true
 	}
 
-	/** @returns false when no worker has a slot. */
+	/** @returns false if no worker has a free slot. */
 	private proposeStart(
 		record: Pick<RequestRecord, 'customer' | 'key' | 'attempt' | 'worker'>,
-		holder: Holder,
+		holder: EntryIncarnation,
 		moment: Moment
 	): boolean {
 		const worker = this.slots.choose(moment.now, record.worker)
 		if (!worker) return false
-		this.slots.hold(worker.id)
-		this.busy.add(requestName(record))
+		this.slots.reserve(worker.id)
+		this.inFlight.add(formatRequestId(record))
 		const { customer, key, attempt } = record
-		const start = { customer, key, attempt: attempt + 1, worker: worker.id, holder: holder.life }
+		const start = {
+			customer,
+			key,
+			attempt: attempt + 1,
+			worker: worker.id,
+			holder: holder.incarnationId,
+		}
 		this.effects.commands.push({ kind: 'start', ...start })
 		return true
 	}
 
-	/** The customer's next request starts in the same batch in which its oldest ends. */
+	/** Proposes the start of the customer's next request in the batch that finishes its oldest. */
 	private chainNext(customer: string, moment: Moment): void {
 		const next = this.state.requests.next(customer)
-		if (next?.phase !== Phase.Admitted || this.busy.has(requestName(next))) return
+		if (next?.phase !== RequestPhase.Admitted || this.inFlight.has(formatRequestId(next))) return
 		const holder = this.holderFor(next, moment.now)
 		if (holder) this.proposeStart(next, holder, moment)
 	}
 
-	private feedStarved(moment: Moment): void {
+	private startStarved(moment: Moment): void {
 		for (const customer of [...this.starved]) {
 			if (!this.slots.choose(moment.now)) return
 			this.advance(customer, moment)
 		}
 	}
 
-	/** A process that has the body and was heard recently enough to start it in time. */
-	private holderFor(record: RequestRecord, now: number): Holder | undefined {
+	/** @returns a process that holds the body and sent a heartbeat recently enough to start in time. */
+	private holderFor(record: RequestRecord, now: number): EntryIncarnation | undefined {
 		for (const process of this.waiters.processesFor(record)) {
-			const holder = this.holders.ofProcess(process)
-			if (holder && now - holder.heardAt < START_WINDOW / 2) return holder
+			const holder = this.holders.currentOf(process)
+			if (holder && now - holder.lastHeartbeatAt < START_WINDOW_MS / 2) return holder
 		}
 		return undefined
 	}
 
-	private sayGo(record: RequestRecord, holder: Holder, moment: Moment): void {
-		this.goSaidAt.set(requestName(record), moment.now)
+	private sendGo(record: RequestRecord, holder: EntryIncarnation, moment: Moment): void {
+		this.goSentAt.set(formatRequestId(record), moment.now)
 		const address = this.state.workers.find(record.worker)?.address ?? ''
 		const { customer, key, attempt, worker, fence } = record
 		const value = {
@@ -354,30 +371,30 @@
 			worker,
 			address,
 			fence,
-			beat: holder.beat,
+			beat: holder.heartbeatSequence,
 			term: moment.term,
 			group: this.homes.name,
 			incarnation: holder.incarnation,
 		}
-		this.effects.sendings.push({ to: holder.id, event: { body: { $case: 'go', value } } })
+		this.effects.outgoingEvents.push({ to: holder.id, event: { body: { $case: 'go', value } } })
 	}
 
 	/**
-	 * The word may have been lost; the holder honours it once, or says how the attempt stands. It is not
-	 * said while the attempt is being taken back or ended.
+	 * Sends `go` again, since it may have been lost. The holder acts on it once, or reports the state of
+	 * the attempt. It is not sent while the attempt is being reverted or finished.
 	 */
-	private sayGoAgain(record: RequestRecord, moment: Moment): void {
-		const name = requestName(record)
-		if (this.busy.has(name)) return
-		const due = (this.goSaidAt.get(name) ?? this.takenOverAt) + SAY_AGAIN_EVERY
+	private resendGo(record: RequestRecord, moment: Moment): void {
+		const name = formatRequestId(record)
+		if (this.inFlight.has(name)) return
+		const dueAt = (this.goSentAt.get(name) ?? this.leaderSince) + GO_RESEND_INTERVAL_MS
 		const holder = this.holders.find(record.holder)
-		if (moment.now >= due && holder) this.sayGo(record, holder, moment)
+		if (moment.now >= dueAt && holder) this.sendGo(record, holder, moment)
 	}
 
 	private unstart(record: RequestRecord): void {
-		if (this.busy.has(requestName(record))) return
-		this.doubts.remove(record)
-		this.busy.add(requestName(record))
+		if (this.inFlight.has(formatRequestId(record))) return
+		this.unresolved.remove(record)
+		this.inFlight.add(formatRequestId(record))
 		const { customer, key, attempt } = record
 		this.effects.commands.push({ kind: 'unstart', customer, key, attempt })
 	}
@@ -387,60 +404,67 @@
 		end: Pick<CommandOf<'finish'>, 'outcome' | 'problem' | 'answer'>,
 		moment: Moment
 	): void {
-		if (this.busy.has(requestName(record))) return
-		this.doubts.remove(record)
-		this.busy.add(requestName(record))
+		if (this.inFlight.has(formatRequestId(record))) return
+		this.unresolved.remove(record)
+		this.inFlight.add(formatRequestId(record))
 		const { customer, key } = record
 		this.effects.commands.push({ kind: 'finish', customer, key, ...end, at: moment.at })
 		if (this.state.requests.head(customer) === record) this.chainNext(customer, moment)
 	}
 
-	/** A start that is taken back, or an admission that does not count, leaves the caller's time over. */
+	/**
+	 * Finishes admitted requests whose caller's deadline has passed. All others that have not finished
+	 * are checked again later, since their command may have no effect or their start may be reverted.
+	 */
 	private expire(moment: Moment): void {
 		for (const waiter of this.waiters.takeDue(moment.now)) {
 			const record = this.state.requests.find(waiter.customer, waiter.key)
-			if (record?.phase === Phase.Finished) continue
-			const waits = record?.phase === Phase.Admitted && !this.busy.has(requestName(record))
-			if (waits) this.isTooLate(record, moment)
-			else this.waiters.lookAgain(waiter, moment.now)
+			if (record?.phase === RequestPhase.Finished) continue
+			const isWaiting =
+				record?.phase === RequestPhase.Admitted && !this.inFlight.has(formatRequestId(record))
+			if (isWaiting) this.finishIfTimedOut(record, moment)
+			else this.waiters.recheckLater(waiter, moment.now)
 		}
 	}
 
 	private park(record: RequestRecord, moment: Moment): void {
-		if (this.busy.has(requestName(record))) return
-		this.busy.add(requestName(record))
+		if (this.inFlight.has(formatRequestId(record))) return
+		this.inFlight.add(formatRequestId(record))
 		const { customer, key } = record
 		this.effects.commands.push({ kind: 'park', customer, key, at: moment.at })
 	}
 
-	/** WorkerPolls after a request whose holder has gone silent, or has not heard that it may go. */
-	private watch(record: RequestRecord, moment: Moment): void {
+	/**
+	 * Parks an admitted request that nobody waits for. For a started one, checks whether its holder has
+	 * stopped sending heartbeats, and otherwise sends `go` again when due.
+	 */
+	private checkHolder(record: RequestRecord, moment: Moment): void {
 		const { now } = moment
-		if (record.phase === Phase.Admitted) {
-			const patience = outlast(START_WINDOW)
-			const fresh = now - this.takenOverAt < patience
-			if (!fresh && !this.waiters.anyFor(record)) this.park(record, moment)
+		if (record.phase === RequestPhase.Admitted) {
+			const graceMs = addDriftMargin(START_WINDOW_MS)
+			const isNewLeader = now - this.leaderSince < graceMs
+			if (!isNewLeader && !this.waiters.has(record)) this.park(record, moment)
 			return
 		}
-		if (this.doubts.has(record)) return
-		const silent = now - this.holders.silentSince(record.holder, now)
-		if (silent > outlast(START_WINDOW)) this.doubts.abandoned(record, now)
-		else this.sayGoAgain(record, moment)
+		if (this.unresolved.has(record)) return
+		const silentMs = now - this.holders.lastHeartbeatOf(record.holder, now)
+		if (silentMs > addDriftMargin(START_WINDOW_MS)) this.unresolved.addAfterHolderLoss(record, now)
+		else this.resendGo(record, moment)
 	}
 
-	/** The home is elsewhere, or is on its way here; then the entry instance asks again. */
-	private sendHome(from: string, submit: Submit): void {
+	/** Redirects a request to its customer's home; if the home is moving here, starts to claim it. */
+	private redirectHome(from: string, submit: Submit): void {
 		const { customer, key } = submit
 		const group = this.homes.homeOf(customer)
 		if (group === submit.group) {
-			this.homes.claim(customer)
+			this.homes.startClaim(customer)
 			return
 		}
 		const value = { group, leader: '', customer, key }
-		this.effects.sendings.push({ to: from, event: { body: { $case: 'redirect', value } } })
+		this.effects.outgoingEvents.push({ to: from, event: { body: { $case: 'redirect', value } } })
 	}
 
 	private refuseReuse(from: string, submit: Submit): void {
-		this.verdicts.refuse(from, submit, Problem.KeyReused)
+		this.verdicts.sendRefusal(from, submit, Problem.KeyReused)
 	}
 }
--- a/packages/cell/src/lib/leader/SystemDriver.ts
+++ b/packages/cell/src/lib/leader/SystemDriver.ts
@@ -1,23 +1,23 @@
-/** Joins the system's state to its group: configuration proposals, and what belongs to all data centres. */
+/** Connects the system's state to its group: configuration proposals and system-wide declarations. */
 import { parseConfiguration, type KeptRevision } from '@rillrudder/settings'
 import { formatFinding } from '@rillrudder/utils'
 import { encodeSystemCommand, type SystemCommand } from '../commands/SystemCommand'
 import { SystemState } from '../state/SystemState'
 import type { GroupAccess } from './LeaderDriver'
 import type { OperatorCall } from './operatorCalls'
-import type { ReplyTo } from './OperatorController'
+import type { ReplyCallback } from './OperatorController'
 
 const NOT_THE_LEADER = 421
 
-/** What a driver is made with. @public */
+/** The dependencies of a driver. @public */
 export interface SystemDriverParts {
 	readonly self: string
 	/** Milliseconds since the epoch. */
 	readonly at: () => number
-	/** Told of the configuration in force whenever the group has taken a step. */
-	readonly accepted: (revision: KeptRevision) => void
-	/** Leadership was gained or lost. */
-	readonly leadership: (gained: boolean) => void
+	/** Called with the configuration in force after each step of the group. */
+	readonly onConfiguration: (revision: KeptRevision) => void
+	/** Called when leadership is gained or lost. */
+	readonly onLeadershipChanged: (gained: boolean) => void
 }
 
 /**
@@ -27,35 +27,35 @@
  */
 export class SystemDriver {
 	readonly state: SystemState
-	private readonly replies = new Map<string, ReplyTo[]>()
+	private readonly replies = new Map<string, ReplyCallback[]>()
 	private group: GroupAccess | undefined
-	private led = false
+	private wasLeader = false
 
-	/** @param parts - identity and surroundings. */
+	/** @param parts - identity and dependencies. */
 	constructor(private readonly parts: SystemDriverParts) {
-		this.state = new SystemState((command) => this.answer(command.request))
+		this.state = new SystemState((command) => this.answerWaiting(command.request))
 	}
 
-	/** Joins the group, once it is open. */
+	/** Sets the group, once it is open. */
 	join(group: GroupAccess): void {
 		this.group = group
 	}
 
-	/** Whether a leader has been heard since the start, so that what is committed is known. */
+	/** Whether a leader is known, so that this instance's state is up to date. */
 	get isCurrent(): boolean {
 		if (!this.group) return false
 		return this.group.leads ? this.group.mayAct : this.group.leader !== ''
 	}
 
-	/** Takes an operator's call, or says who leads. */
-	call(call: OperatorCall, reply: ReplyTo): void {
+	/** Handles an operator's call, or refuses it with the leader's id as the message. */
+	onOperatorCall(call: OperatorCall, reply: ReplyCallback): void {
 		if (!this.group?.mayAct) {
 			const leader = this.group?.leader ?? ''
 			reply({ code: NOT_THE_LEADER, message: leader === this.parts.self ? '' : leader })
 			return
 		}
 		if (this.state.answers.find(call.request)) {
-			this.say(call.request, reply)
+			this.sendAnswer(call.request, reply)
 			return
 		}
 		const { operator, request } = call
@@ -71,38 +71,38 @@
 			case 'audit':
 				return reply({ code: 200, message: '', content: this.state.audit.select(call) })
 			default:
-				return reply({ code: 400, message: 'this is for a data centre' })
+				return reply({ code: 400, message: 'this call is for a data centre' })
 		}
 	}
 
-	/** The group has taken a step: leadership may have moved, and commands may have been applied. */
+	/** Called after each step of the group: follows leadership and reports the configuration. */
 	followGroup(): void {
 		if (!this.group) return
 		const { leads } = this.group
-		if (leads !== this.led) {
-			this.led = leads
-			this.parts.leadership(leads)
-			if (!leads) this.turnAway()
+		if (leads !== this.wasLeader) {
+			this.wasLeader = leads
+			this.parts.onLeadershipChanged(leads)
+			if (!leads) this.rejectWaiting()
 		}
-		this.parts.accepted(this.state.current)
+		this.parts.onConfiguration(this.state.current)
 	}
 
 	private propose(
 		call: Extract<OperatorCall, { kind: 'propose' }>,
 		at: number,
-		reply: ReplyTo
+		reply: ReplyCallback
 	): void {
-		const read = parseConfiguration('configuration', call.document)
-		if (!read.ok) {
-			const content = { findings: read.error }
-			reply({ code: 422, message: read.error.map(formatFinding).join('\n'), content })
+		const parsed = parseConfiguration('configuration', call.document)
+		if (!parsed.ok) {
+			const content = { findings: parsed.error }
+			reply({ code: 422, message: parsed.error.map(formatFinding).join('\n'), content })
 			return
 		}
 		const { operator, request, replaces, document } = call
 		this.commit({ kind: 'propose', operator, request, at, replaces, document }, reply)
 	}
 
-	private commit(command: SystemCommand, reply: ReplyTo): void {
+	private commit(command: SystemCommand, reply: ReplyCallback): void {
 		const waiting = this.replies.get(command.request)
 		if (waiting) {
 			waiting.push(reply)
@@ -112,24 +112,25 @@
 		this.group?.propose([encodeSystemCommand(command)])
 	}
 
-	private answer(request: string): void {
+	private answerWaiting(request: string): void {
 		const waiting = this.replies.get(request) ?? []
 		this.replies.delete(request)
-		for (const reply of waiting) this.say(request, reply)
+		for (const reply of waiting) this.sendAnswer(request, reply)
 	}
 
-	/** A refused proposal is answered with what is in force instead. */
-	private say(request: string, reply: ReplyTo): void {
+	/** Sends the stored answer; a refusal carries the configuration in force. */
+	private sendAnswer(request: string, reply: ReplyCallback): void {
 		const answer = this.state.answers.find(request)
 		if (!answer) return
 		const content = answer.accepted ? answer : { ...answer, current: this.state.current }
 		reply({ code: answer.accepted ? 200 : 409, message: answer.message, content })
 	}
 
-	/** Those who wait ask again, and get the answer that was kept if there is one. */
-	private turnAway(): void {
+	/** Rejects waiting calls. Operators call again and get the stored answer if there is one. */
+	private rejectWaiting(): void {
 		for (const waiting of this.replies.values()) {
-			for (const reply of waiting) reply({ code: 503, message: 'leadership has moved; ask again' })
+			for (const reply of waiting)
+				reply({ code: 503, message: 'leadership has changed; repeat the call' })
 		}
 		this.replies.clear()
 	}
--- a/packages/runs/src/lib/cell/RunControl.ts
+++ b/packages/runs/src/lib/cell/RunControl.ts
@@ -4,11 +4,11 @@
 	ConfigurationRelay,
 	LeaderDriver,
 	OperatorRouter,
-	servesPeer,
+	shouldServePeer,
 	SystemDriver,
 	type ListedWorker,
 	type OperatorCall,
-	type ReplyTo,
+	type ReplyCallback,
 } from '@rillrudder/cell'
 import type { StateMachine } from '@rillrudder/group'
 import { EntryKind, type Event } from '@rillrudder/protocol'
@@ -135,7 +135,7 @@
 				return
 			}
 			case 'configurationAck':
-				return this.relay.acknowledge(from, body.value.revision)
+				return this.relay.onAcknowledgement(from, body.value.revision)
 			case 'operatorCall':
 				return this.router.receiveCall(from, body.value)
 			case 'operatorReply':
@@ -148,10 +148,10 @@
 	peerChanged(peer: string, connected: boolean): void {
 		if (connected) {
 			this.connected.add(peer)
-			this.relay.joined(peer)
+			this.relay.onPeerConnected(peer)
 		} else {
 			this.connected.delete(peer)
-			this.relay.left(peer)
+			this.relay.onPeerLost(peer)
 		}
 	}
 
@@ -160,14 +160,14 @@
 	}
 
 	/** Makes a call to the leader of a group. */
-	call(group: string, call: OperatorCall, reply: ReplyTo): void {
+	call(group: string, call: OperatorCall, reply: ReplyCallback): void {
 		this.router.call(group, call, reply)
 	}
 
 	/** Takes the platform's list. */
 	list(workers: readonly ListedWorker[]): void {
 		for (const driver of this.drivers.values()) {
-			driver.list(workers)
+			driver.onWorkerList(workers)
 			driver.carryOut()
 		}
 	}
@@ -221,8 +221,8 @@
 		const system = new SystemDriver({
 			self: this.parts.self.id,
 			at: () => this.clock.date().getTime(),
-			accepted: (revision) => this.holder.install(revision),
-			leadership: () => undefined,
+			onConfiguration: (revision) => this.holder.install(revision),
+			onLeadershipChanged: () => undefined,
 		})
 		this.system = system
 		const running = this.addMember(layout, system.state, () => system.followGroup())
@@ -243,7 +243,7 @@
 			random: this.seeded(),
 			dataCentres: dataCentresOf(instances),
 			inForce: () => this.holder.inForce,
-			surroundings,
+			environment: surroundings,
 		})
 		surroundings.driver = driver
 		this.drivers.set(layout.name, driver)
@@ -315,8 +315,8 @@
 		const keeper = disk ? new RunKeeper(disk, after, () => this.saveTime()) : undefined
 		const holder = new ConfigurationHolder(keeper, ({ revision }) => {
 			shown(revision)
-			this.relay?.changed()
-			for (const driver of this.drivers.values()) driver.configured()
+			this.relay?.onRevisionChanged()
+			for (const driver of this.drivers.values()) driver.onConfigurationChanged()
 		})
 		if (disk) holder.restore(disk.revision)
 		return holder
@@ -327,7 +327,7 @@
 			clock: this.clock,
 			send: (to, event) => this.send(to, event),
 			peers: () => this.connected,
-			serves: (peer) => servesPeer(this.parts.self, this.parts.instances, peer),
+			shouldServe: (peer) => shouldServePeer(this.parts.self, this.parts.instances, peer),
 			isCurrent: () => this.system?.isCurrent ?? false,
 			current: () => this.holder.current,
 		})
@@ -339,19 +339,19 @@
 			self: self.id,
 			clock: this.clock,
 			groups: this.groups,
-			name: () => `${self.id}.${process.life}.${++this.names}`,
+			newCallId: () => `${self.id}.${process.life}.${++this.names}`,
 			send: (to, event) => this.send(to, event),
 			callHere: (group, call, reply) => this.callHere(group, call, reply),
 		})
 	}
 
-	private callHere(group: string, call: OperatorCall, reply: ReplyTo): boolean {
+	private callHere(group: string, call: OperatorCall, reply: ReplyCallback): boolean {
 		if (group === SYSTEM_GROUP) {
-			this.system?.call(call, reply)
+			this.system?.onOperatorCall(call, reply)
 			return this.system !== undefined
 		}
 		const driver = this.drivers.get(group)
-		driver?.call(call, reply)
+		driver?.onOperatorCall(call, reply)
 		driver?.carryOut()
 		return driver !== undefined
 	}
--- a/packages/runs/src/lib/cell/RunEnvironment.ts
+++ b/packages/runs/src/lib/cell/RunEnvironment.ts
@@ -1,7 +1,7 @@
 /** What is around the drivers of a run's control process: its replicas, its disk, its workers and links. */
 import {
 	GroupAccess,
-	RevisionKeeper,
+	RevisionStore,
 	Environment,
 	type LeaderDriver,
 	type GroupCall,
@@ -44,7 +44,7 @@
 }
 
 /** Keeps revisions on the simulated disk. @internal */
-export class RunKeeper extends RevisionKeeper {
+export class RunKeeper extends RevisionStore {
 	constructor(
 		private readonly disk: ControlDisk,
 		private readonly after: (span: number, call: () => void) => void,
@@ -84,7 +84,7 @@
 	override exchange(exchange: WorkerExchange): void {
 		const { workers, process } = this.control.parts
 		workers.exchange(process, exchange, (reply) => {
-			this.driver.replied(exchange.worker, reply)
+			this.driver.onExchangeReply(exchange.worker, reply)
 			this.driver.carryOut()
 		})
 	}
@@ -92,19 +92,19 @@
 	override settle(call: SettleCall): void {
 		const { workers, process } = this.control.parts
 		workers.settle(process, call, (reply) => {
-			this.driver.settled(call, reply)
+			this.driver.onSettleReply(call, reply)
 			this.driver.carryOut()
 		})
 	}
 
 	override callGroup(call: GroupCall): void {
 		this.control.call(call.group, call.call, (reply) => {
-			this.driver.claimAnswered(call, reply)
+			this.driver.onClaimReply(call, reply)
 			this.driver.carryOut()
 		})
 	}
 
-	override leadership(): void {
+	override onLeadershipChanged(): void {
 		// Nothing to log in a run.
 	}
 }
