--- a/packages/member/src/lib/CoreInstance.ts
+++ b/packages/member/src/lib/CoreInstance.ts
@@ -22,7 +22,7 @@
 import { OrderCarrier } from './carriers/OrderCarrier'
 import { CallFaults } from './CallFaults'
 import { CellMachine } from './CellMachine'
-import type { Finality, LocalLeader } from './LeaderCalls'
+import type { RetryLimits, LocalLeader } from './LeaderCalls'
 import { CoreNews } from './CoreNews'
 import { decodeCall } from './linkBodies'
 import { CellLoads } from './load/CellLoads'
@@ -47,7 +47,7 @@
 const RELAY_LIMIT = 1200
 
 /** How long the leader is told of heartbeats that others heard; the next ones say it again. */
-const HEARD_FINALITY = { patience: 300, limit: 600 }
+const HEARD_FINALITY = { leaderWait: 300, limit: 600 }
 /** What a worker is told whose heartbeat can't be brought to the leader for now. */
 const LEADER_SILENT: CellReply = {
 	kind: 'not-run',
@@ -183,7 +183,7 @@
 	}
 
 	/** Brings a call to the leader, here or elsewhere. */
-	call(call: CellCall, finality: Finality): Promise<CellReply> {
+	call(call: CellCall, finality: RetryLimits): Promise<CellReply> {
 		if (call.kind !== 'heartbeat' || this.leading)
 			return this.links.leaderCalls.call(call, finality)
 		const fate = this.heartbeats.take(call.heartbeat)
--- a/packages/member/src/lib/EntryInstance.ts
+++ b/packages/member/src/lib/EntryInstance.ts
@@ -5,7 +5,7 @@
 import type { Clock, Timer } from '@rillrudder/utils'
 import type { Adviser } from './Adviser'
 import { answerQuestion } from './AskingPeers'
-import type { Finality } from './LeaderCalls'
+import type { RetryLimits } from './LeaderCalls'
 import { decodeCall } from './linkBodies'
 import { ENTRY_NEWS_KEPT } from './LeaderView'
 import { EntryLoad } from './load/EntryLoad'
@@ -74,7 +74,7 @@
 	}
 
 	/** Brings a call to the leader. */
-	call(call: CellCall, finality: Finality): Promise<CellReply> {
+	call(call: CellCall, finality: RetryLimits): Promise<CellReply> {
 		return this.load.pass(() => this.links.leaderCalls.call(call, finality))
 	}
 
--- a/packages/member/src/lib/LeaderCalls.test.ts
+++ b/packages/member/src/lib/LeaderCalls.test.ts
@@ -5,7 +5,7 @@
 import type { Event } from '@rillrudder/protocol'
 import { Meter } from '@rillrudder/telemetry'
 import { ManualClock } from '@rillrudder/utils'
-import { LeaderCalls, type Finality, type LocalLeader } from './LeaderCalls'
+import { LeaderCalls, type RetryLimits, type LocalLeader } from './LeaderCalls'
 import { decodeCall } from './linkBodies'
 import type { KnownLeader } from './LeaderView'
 import { PeerCalls } from './PeerCalls'
@@ -16,9 +16,9 @@
 	to: { queue: 'checks', id: '00000000000000aa' },
 	job: { spec: '', steps: [] },
 }
-const FINALITY: Finality = { patience: 800, limit: 1500 }
+const FINALITY: RetryLimits = { leaderWait: 800, limit: 1500 }
 /** Of a caller who waits longer than it takes to find a leader. */
-const PATIENT: Finality = { ...FINALITY, limitOnceSent: 2400 }
+const PATIENT: RetryLimits = { ...FINALITY, limitOnceSent: 2400 }
 
 class Subject {
 	readonly clock = new ManualClock()
--- a/packages/member/src/lib/LeaderCalls.ts
+++ b/packages/member/src/lib/LeaderCalls.ts
@@ -18,12 +18,12 @@
 const RETRY_AFTER = 1000
 
 /** How long a call is tried. @public */
-export interface Finality {
+export interface RetryLimits {
 	/**
 	 * Milliseconds without a leader after which it is given up, counted from when the instance last
 	 * knew one: a change of leader takes less, so an instance without one for longer is cut off.
 	 */
-	readonly patience: number
+	readonly leaderWait: number
 	/** Milliseconds for which it is tried at all. */
 	readonly limit: number
 	/**
@@ -62,7 +62,7 @@
 	/** The highest term that it was brought to. */
 	term: number
 	readonly startedAt: number
-	readonly finality: Finality
+	readonly limits: RetryLimits
 	readonly done: (reply: CellReply) => void
 	/** Whether some instance may have done it. */
 	sent: boolean
@@ -89,7 +89,7 @@
 	}
 
 	/** Makes a call; it is replied to exactly once. */
-	call(call: CellCall, finality: Finality): Promise<CellReply> {
+	call(call: CellCall, limits: RetryLimits): Promise<CellReply> {
 		const { clock } = this.parts
 		return new Promise((resolve) => {
 			const startedAt = clock.now()
@@ -98,7 +98,7 @@
 				resolve(reply)
 			}
 			const named = this.named(call)
-			const attempt = { call: named, startedAt, finality, done, term: 0, sent: false, tries: 0 }
+			const attempt = { call: named, startedAt, limits, done, term: 0, sent: false, tries: 0 }
 			this.attempt(attempt)
 		})
 	}
@@ -194,9 +194,9 @@
 	private again(attempt: Attempt): void {
 		const { clock } = this.parts
 		const now = clock.now()
-		const leaderless = !attempt.sent && now - this.ledAt + RETRY_PAUSE > attempt.finality.patience
+		const leaderless = !attempt.sent && now - this.ledAt + RETRY_PAUSE > attempt.limits.leaderWait
 		const spent = now - attempt.startedAt + RETRY_PAUSE > limitOf(attempt)
-		const late = spent || (attempt.finality.isAbandoned?.() ?? false)
+		const late = spent || (attempt.limits.isAbandoned?.() ?? false)
 		if (!leaderless && !late) clock.after(RETRY_PAUSE, () => this.attempt(attempt))
 		else if (attempt.sent) attempt.done({ kind: 'unknown', reason: 'no answer from a leader' })
 		else attempt.done({ kind: 'not-run', reason: 'no leader', retryAfter: RETRY_AFTER })
@@ -208,6 +208,6 @@
 	}
 }
 
-function limitOf({ finality: { limit, limitOnceSent = limit }, sent }: Attempt): number {
+function limitOf({ limits: { limit, limitOnceSent = limit }, sent }: Attempt): number {
 	return sent ? limitOnceSent : limit
 }
--- a/packages/member/src/lib/ProductServer.ts
+++ b/packages/member/src/lib/ProductServer.ts
@@ -11,10 +11,10 @@
 import type { Meter } from '@rillrudder/telemetry'
 import { formatFinding } from '@rillrudder/utils'
 import { HttpServer, type Address, type HttpAnswer, type HttpCall } from '@rillrudder/web'
-import type { Finality } from './LeaderCalls'
+import type { RetryLimits } from './LeaderCalls'
 
 /** Operators wait longer than callers do. */
-const FINALITY: Finality = { patience: 2000, limit: 5000 }
+const FINALITY: RetryLimits = { leaderWait: 2000, limit: 5000 }
 /** Jobs in a list, where the call names no other number. */
 const DEFAULT_LIST = 100
 const MOST_LIST = 1000
@@ -25,7 +25,7 @@
 
 /** What the interface works with. @public */
 export interface ProductServerParts {
-	readonly call: (call: CellCall, finality: Finality) => Promise<CellReply>
+	readonly call: (call: CellCall, finality: RetryLimits) => Promise<CellReply>
 	readonly meter: Meter
 	/** Sets gauges that nobody keeps up to date between two readings. */
 	readonly refresh: () => void
