--- a/packages/member/src/index.ts
+++ b/packages/member/src/index.ts
@@ -8,4 +8,4 @@
 export { EntryInstance, type EntryParts } from './lib/EntryInstance'
 export type { RetryLimits } from './lib/LeaderCalls'
 export { MemberEvent } from './lib/MemberEvent'
-export { ProductServer, type ProductServerParts } from './lib/ProductServer'
+export { ApiServer, type ApiServerParts } from './lib/ApiServer'
--- a/packages/member/src/lib/ProductServer.ts
+++ b/packages/member/src/lib/ApiServer.ts
@@ -24,7 +24,7 @@
 const QUEUE_JOB = /^\/v1\/queues\/([^/]+)\/jobs\/([0-9a-f]{16})$/
 
 /** What the interface works with. @public */
-export interface ProductServerParts {
+export interface ApiServerParts {
 	readonly call: (call: CellCall, finality: RetryLimits) => Promise<CellReply>
 	readonly meter: Meter
 	/** Sets gauges that nobody keeps up to date between two readings. */
@@ -38,10 +38,10 @@
  *
  * @public
  */
-export class ProductServer {
+export class ApiServer {
 	private readonly server = new HttpServer((call) => this.answer(call))
 
-	constructor(private readonly parts: ProductServerParts) {}
+	constructor(private readonly parts: ApiServerParts) {}
 
 	/** Listens. */
 	listen(address: Address): Promise<void> {
