--- a/packages/member/src/lib/carriers/MessageAges.ts
+++ b/packages/member/src/lib/carriers/MessageDelays.ts
@@ -5,13 +5,13 @@
 import type { SendTime } from '@rillrudder/protocol'
 
 /** Share by which one steady clock may run faster than the other. */
-const MOST_DRIFT = 0.01
+const MAX_CLOCK_DRIFT = 0.01
 /** Lives of one peer that are remembered: a message of an earlier one may come after it has started again. */
-const LIVES_KEPT = 4
+const MAX_INCARNATIONS = 4
 
-interface Quickest {
+interface SmallestOffset {
 	/** Milliseconds between the sender's clock and this one's. */
-	readonly difference: number
+	readonly offset: number
 	/** When that was seen, on this clock. */
 	readonly seenAt: number
 }
@@ -21,8 +21,8 @@
  *
  * @internal
  */
-export class MessageAges {
-	private readonly peers = new Map<string, Map<string, Quickest>>()
+export class MessageDelays {
+	private readonly peers = new Map<string, Map<string, SmallestOffset>>()
 
 	/**
 	 * A message has come.
@@ -32,20 +32,21 @@
 	 * @param now - the moment, on this instance's clock.
 	 * @returns milliseconds for which it was held up; 0 for the first message of a sender's life.
 	 */
-	took(from: string, sent: SendTime | undefined, now: number): number {
+	observe(from: string, sent: SendTime | undefined, now: number): number {
 		if (!sent) return 0
-		const lives = this.livesOf(from)
-		const known = lives.get(sent.life)
-		const difference = now - sent.at
-		const least = known ? known.difference + (now - known.seenAt) * MOST_DRIFT : difference
-		if (!known || difference <= least) lives.set(sent.life, { difference, seenAt: now })
-		if (lives.size > LIVES_KEPT) lives.delete([...lives.keys()][0])
-		return Math.max(0, difference - least)
+		const incarnations = this.incarnationsOf(from)
+		const smallest = incarnations.get(sent.life)
+		const offset = now - sent.at
+		const expected = smallest ? smallest.offset + (now - smallest.seenAt) * MAX_CLOCK_DRIFT : offset
+		if (!smallest || offset <= expected)
+			incarnations.set(sent.life, { offset: offset, seenAt: now })
+		if (incarnations.size > MAX_INCARNATIONS) incarnations.delete([...incarnations.keys()][0])
+		return Math.max(0, offset - expected)
 	}
 
-	private livesOf(peer: string): Map<string, Quickest> {
-		const lives = this.peers.get(peer) ?? new Map<string, Quickest>()
-		this.peers.set(peer, lives)
-		return lives
+	private incarnationsOf(peer: string): Map<string, SmallestOffset> {
+		const incarnations = this.peers.get(peer) ?? new Map<string, SmallestOffset>()
+		this.peers.set(peer, incarnations)
+		return incarnations
 	}
 }
--- a/packages/member/src/lib/carriers/OrderCarrier.ts
+++ b/packages/member/src/lib/carriers/OrderCarrier.ts
@@ -7,7 +7,7 @@
 import type { OrderResult, PollResult, WorkerOrders } from '@rillrudder/jobs'
 import type { OrderBatch, OrderResults, SendTime } from '@rillrudder/protocol'
 import type { Clock } from '@rillrudder/utils'
-import { MessageAges } from './MessageAges'
+import { MessageDelays } from './MessageDelays'
 import { decodeOrders, encodeCarried, type CarriedOrder, type CarriedResult } from './CarriedOrder'
 
 /** Milliseconds for which results gather, since a message costs thirty times as much as a result in it. */
@@ -33,7 +33,7 @@
  */
 export class OrderCarrier {
 	private readonly gathered = new Map<string, Gathered>()
-	private readonly ages = new MessageAges()
+	private readonly delays = new MessageDelays()
 
 	/**
 	 * @param orders - reaches the workers from here.
@@ -51,12 +51,12 @@
 
 	/** Another instance has said something, which tells how its clock stands to this one's. */
 	heard(from: string, sent: SendTime | undefined): void {
-		this.ages.took(from, sent, this.clock.now())
+		this.delays.observe(from, sent, this.clock.now())
 	}
 
 	/** Carries a batch of orders of a leader, unless it was held up. */
 	take(leader: string, { term, body, sent }: OrderBatch): void {
-		const heldUp = this.ages.took(leader, sent, this.clock.now())
+		const heldUp = this.delays.observe(leader, sent, this.clock.now())
 		const orders = decodeOrders(body)
 		if (heldUp > ORDER_LIMIT) return this.dropped(leader, orders.length, heldUp)
 		for (const order of orders) {
--- a/packages/runs/src/lib/jobs/jobRun.test.ts
+++ b/packages/runs/src/lib/jobs/jobRun.test.ts
@@ -155,8 +155,8 @@
 
 test('without dropping orders that were held up, such runs fail', () => {
 	const undropped: Breakage = [
-		innerClass('@rillrudder/member/dist/lib/carriers/MessageAges', 'MessageAges'),
-		'took',
+		innerClass('@rillrudder/member/dist/lib/carriers/MessageDelays', 'MessageDelays'),
+		'observe',
 		() => () => 0,
 	]
 	const rule = /does not begin again|runs once at a time/
