--- a/packages/member/src/lib/CoreInstance.ts
+++ b/packages/member/src/lib/CoreInstance.ts
@@ -66,7 +66,7 @@
 	/** Link addresses of instances to ask for admission; they may change. */
 	readonly seeds: () => readonly string[]
 	/** Whether the whole cell starts for the first time, and the seeds found it. */
-	readonly founding: boolean
+	readonly isFounding: boolean
 	readonly clock: Clock
 	/** When the process started, on that clock. */
 	readonly startedAt: number
@@ -79,7 +79,7 @@
 	readonly log: Log
 	readonly meter: Meter
 	/** Told of a fault after which the process must end. */
-	readonly fail: (fault: Error) => void
+	readonly onFatalError: (fault: Error) => void
 }
 
 /**
@@ -214,7 +214,17 @@
 	}
 
 	private async openGroup(): Promise<Group> {
-		const { address, dataCentre, data, clock, random, timing, log, fail, startedAt } = this.parts
+		const {
+			address,
+			dataCentre,
+			data,
+			clock,
+			random,
+			timing,
+			log,
+			onFatalError: fail,
+			startedAt,
+		} = this.parts
 		const opened = await GroupStore.open({
 			disk: new SystemDisk(),
 			folder: join(data, GROUP),
@@ -247,7 +257,7 @@
 	}
 
 	private founders(): Founder[] {
-		if (!this.parts.founding) return []
+		if (!this.parts.isFounding) return []
 		return this.parts.seeds().map((id) => ({ id, durable: true, local: true }))
 	}
 
--- a/packages/member/src/lib/EntryInstance.ts
+++ b/packages/member/src/lib/EntryInstance.ts
@@ -59,7 +59,7 @@
 	}
 
 	/** Whether new connections may come here: calls can be brought to a leader, and this instance isn't overloaded. */
-	get ready(): boolean {
+	get isReady(): boolean {
 		return this.knowsLeader && this.load.takesConnections
 	}
 
