--- a/packages/member/src/lib/CoreInstance.ts
+++ b/packages/member/src/lib/CoreInstance.ts
@@ -323,13 +323,13 @@
 		return new CarriedOrders({
 			direct,
 			term,
-			life: this.life,
+			incarnation: this.life,
 			clock,
 			log,
-			linked: () => this.linkedMembers(),
-			spread: new CarrierSpread(this.loads.core, log, meter),
-			heardAt: (id) => this.heardAt.get(id) ?? Number.NEGATIVE_INFINITY,
-			workers: () => this.state.workers.size,
+			linkedCarriers: () => this.linkedMembers(),
+			weights: new CarrierSpread(this.loads.core, log, meter),
+			lastHeardAt: (id) => this.heardAt.get(id) ?? Number.NEGATIVE_INFINITY,
+			workerCount: () => this.state.workers.size,
 			send: (to, value) => this.links.hub.send(to, { body: { $case: 'orderBatch', value } }),
 		})
 	}
@@ -367,9 +367,9 @@
 		else if (body.$case === 'peerCall') this.peerCalled(from, body.value)
 		else if (body.$case === 'cellNews') {
 			this.links.view.take(from, body.value, now)
-			this.carrier.heard(from, body.value.sent)
+			this.carrier.onMessage(from, body.value.sent)
 			this.loads.core.take(from, body.value.load, now)
-		} else if (body.$case === 'orderBatch') this.carrier.take(from, body.value)
+		} else if (body.$case === 'orderBatch') this.carrier.onOrders(from, body.value)
 		else if (body.$case === 'orderResults') this.leading?.carried(body.value)
 		else if (body.$case === 'peerReply') {
 			this.loads.entry.take(from, body.value.load, now)
--- a/packages/member/src/lib/Leading.ts
+++ b/packages/member/src/lib/Leading.ts
@@ -98,12 +98,12 @@
 
 	/** Another instance tells what came of orders that it carried. */
 	carried(results: OrderResults): void {
-		this.parts.orders.taken(results)
+		this.parts.orders.onResults(results)
 	}
 
 	/** A link is lost. */
 	lost(peer: string): void {
-		this.parts.orders.lost(peer)
+		this.parts.orders.onLinkLost(peer)
 	}
 
 	/** Lets time pass. */
--- a/packages/member/src/lib/carriers/CarriedOrders.test.ts
+++ b/packages/member/src/lib/carriers/CarriedOrders.test.ts
@@ -55,7 +55,7 @@
 			const remote = new HeldOrders()
 			this.remote.set(id, remote)
 			const back = (_to: string, results: OrderResults): void => {
-				if (!this.frozen.has(id)) this.orders.taken(results)
+				if (!this.frozen.has(id)) this.orders.onResults(results)
 			}
 			this.carriers.set(id, new OrderCarrier(remote, this.clock, back))
 			this.heard.set(id, 0)
@@ -63,12 +63,12 @@
 		this.orders = new CarriedOrders({
 			direct: this.direct,
 			term: TERM,
-			life: 'life',
+			incarnation: 'life',
 			clock: this.clock,
 			log: new Log('test', this.clock, 'silent', () => undefined),
-			linked: () => this.linked,
-			heardAt: (id) => this.heard.get(id) ?? Number.NEGATIVE_INFINITY,
-			workers: () => this.workers,
+			linkedCarriers: () => this.linked,
+			lastHeardAt: (id) => this.heard.get(id) ?? Number.NEGATIVE_INFINITY,
+			workerCount: () => this.workers,
 			send: (to, batch) => this.send(to, batch),
 		})
 	}
@@ -87,7 +87,7 @@
 
 	private send(to: string, batch: OrderBatch): boolean {
 		if (!this.linked.some(({ id }) => id === to)) return false
-		this.carriers.get(to)?.take('leader', batch)
+		this.carriers.get(to)?.onOrders('leader', batch)
 		return true
 	}
 }
@@ -135,12 +135,12 @@
 	const orders = new CarriedOrders({
 		direct: small.direct,
 		term: TERM,
-		life: 'life',
+		incarnation: 'life',
 		clock: small.clock,
 		log: new Log('test', small.clock, 'silent', () => undefined),
-		linked: () => small.linked,
-		heardAt: () => 0,
-		workers: () => small.workers,
+		linkedCarriers: () => small.linked,
+		lastHeardAt: () => 0,
+		workerCount: () => small.workers,
 		send: () => assert.fail('nothing is carried'),
 	})
 	orders.stop(workerIn('south'), STOP, () => undefined)
@@ -171,7 +171,7 @@
 	const kinds: string[] = []
 	subject.orders.stop(workerIn('south'), STOP, ({ kind }) => kinds.push(kind))
 	subject.advance(TICK)
-	subject.orders.lost('south-1')
+	subject.orders.onLinkLost('south-1')
 	assert.deepEqual(kinds, ['not-carried'])
 	subject.advance(900)
 	subject.orders.stop(workerIn('south'), STOP, () => undefined)
@@ -198,8 +198,8 @@
 	const kinds: string[] = []
 	subject.orders.stop(workerIn('south'), STOP, ({ kind }) => kinds.push(kind))
 	const body = Buffer.from(JSON.stringify([{ id: 1, result: { kind: 'done' } }]))
-	subject.orders.taken({ term: TERM - 1, body })
+	subject.orders.onResults({ term: TERM - 1, body })
 	assert.deepEqual(kinds, [])
-	subject.orders.taken({ term: TERM, body })
+	subject.orders.onResults({ term: TERM, body })
 	assert.deepEqual(kinds, ['done'])
 })
--- a/packages/member/src/lib/carriers/CarriedOrders.ts
+++ b/packages/member/src/lib/carriers/CarriedOrders.ts
@@ -49,17 +49,17 @@
 	/** Term of the leadership. */
 	readonly term: number
 	/** This life of the instance, unlike any other. */
-	readonly life: string
+	readonly incarnation: string
 	readonly clock: Clock
 	readonly log: Log
 	/** Instances of the core that are linked now, without this one. */
-	readonly linked: () => readonly Carrier[]
+	readonly linkedCarriers: () => readonly Carrier[]
 	/** How much each of them is given; all alike if absent. */
-	readonly spread?: CarrierSpread
+	readonly weights?: CarrierSpread
 	/** @returns when an instance last said something, on this one's clock. */
-	readonly heardAt: (id: string) => number
+	readonly lastHeardAt: (id: string) => number
 	/** How many workers there are. */
-	readonly workers: () => number
+	readonly workerCount: () => number
 	/** Sends orders to an instance. @returns false when they were dropped for certain. */
 	readonly send: (to: string, batch: OrderBatch) => boolean
 }
@@ -128,7 +128,7 @@
 	}
 
 	/** Takes results from an instance. */
-	taken({ term, body }: OrderResults): void {
+	onResults({ term, body }: OrderResults): void {
 		if (term !== this.parts.term) return
 		for (const { id, result } of decodeResults(body)) this.settle(id, result)
 	}
@@ -153,7 +153,7 @@
 	}
 
 	/** A link is lost: what was sent over it brings no result any more. */
-	lost(carrier: string): void {
+	onLinkLost(carrier: string): void {
 		this.fail(carrier, 'the link is lost')
 	}
 
@@ -192,7 +192,7 @@
 	private sendTo(carrier: string, orders: readonly CarriedOrder[], now: number): void {
 		if (!this.outgoing.delete(carrier)) return
 		this.sentAt.set(carrier, now)
-		const { term, life } = this.parts
+		const { term, incarnation: life } = this.parts
 		const batch = { term, body: encodeCarried(orders), sent: { life, at: now } }
 		if (!this.parts.send(carrier, batch)) this.fail(carrier, 'there is no link')
 	}
@@ -221,7 +221,7 @@
 	}
 
 	private isSilent(carrier: string, now: number): boolean {
-		return now - this.parts.heardAt(carrier) > SILENCE
+		return now - this.parts.lastHeardAt(carrier) > SILENCE
 	}
 
 	/** Nothing is known of what became of an instance's orders. */
@@ -237,13 +237,13 @@
 	}
 
 	private refresh(now: number): void {
-		const { linked, workers } = this.parts
+		const { linkedCarriers: linked, workerCount: workers } = this.parts
 		this.carries ||= workers() >= LEAST_WORKERS
 		if (!this.carries) return
 		const usable = linked().filter(
 			({ id }) => !this.isSilent(id, now) && (this.resting.get(id) ?? 0) <= now
 		)
-		const { spread } = this.parts
+		const { weights: spread } = this.parts
 		this.choice.set(spread ? spread.of(usable, now) : usable.map(alike))
 	}
 }
--- a/packages/member/src/lib/carriers/OrderCarrier.ts
+++ b/packages/member/src/lib/carriers/OrderCarrier.ts
@@ -39,26 +39,26 @@
 	 * @param orders - reaches the workers from here.
 	 * @param clock - for the time that results gather.
 	 * @param send - sends results to a leader; it misses those that can't be sent.
-	 * @param dropped - told of orders that were held up for so many milliseconds and are not carried.
+	 * @param onDropped - told of orders that were held up for so many milliseconds and are not carried.
 	 */
 	constructor(
 		private readonly orders: WorkerOrders,
 		private readonly clock: Clock,
 		private readonly send: (to: string, results: OrderResults) => void,
-		private readonly dropped: (leader: string, orders: number, heldUp: number) => void = () =>
+		private readonly onDropped: (leader: string, orders: number, heldUp: number) => void = () =>
 			undefined
 	) {}
 
 	/** Another instance has said something, which tells how its clock stands to this one's. */
-	heard(from: string, sent: SendTime | undefined): void {
+	onMessage(from: string, sent: SendTime | undefined): void {
 		this.delays.observe(from, sent, this.clock.now())
 	}
 
 	/** Carries a batch of orders of a leader, unless it was held up. */
-	take(leader: string, { term, body, sent }: OrderBatch): void {
+	onOrders(leader: string, { term, body, sent }: OrderBatch): void {
 		const heldUp = this.delays.observe(leader, sent, this.clock.now())
 		const orders = decodeOrders(body)
-		if (heldUp > ORDER_LIMIT) return this.dropped(leader, orders.length, heldUp)
+		if (heldUp > ORDER_LIMIT) return this.onDropped(leader, orders.length, heldUp)
 		for (const order of orders) {
 			this.carry(order, (result) => this.gather(leader, term, { id: order.id, result }))
 		}
--- a/packages/runs/src/lib/jobs/FleetCarrier.ts
+++ b/packages/runs/src/lib/jobs/FleetCarrier.ts
@@ -54,7 +54,7 @@
 	/** Takes orders. @returns false when they were dropped for certain. */
 	take(batch: OrderBatch): boolean {
 		if (!this.linked) return false
-		if (!this.silent) this.after(() => this.act(() => this.carrier.take(LEADER, batch)))
+		if (!this.silent) this.after(() => this.act(() => this.carrier.onOrders(LEADER, batch)))
 		return true
 	}
 
@@ -63,7 +63,7 @@
 		if (!this.linked || this.silent || this.frozen) return
 		const now = this.parts.clock.now()
 		this.heardAt = now
-		this.carrier.heard(LEADER, { life: LEADER_LIFE, at: now })
+		this.carrier.onMessage(LEADER, { life: LEADER_LIFE, at: now })
 	}
 
 	/** It stands still for a while, and then goes on with what it held. */
--- a/packages/runs/src/lib/jobs/JobRun.ts
+++ b/packages/runs/src/lib/jobs/JobRun.ts
@@ -364,7 +364,7 @@
 			clock,
 			random,
 			orders: this.ordersFrom(() => carrier.cut),
-			results: (results) => this.loop.arrived(() => this.orders?.taken(results)),
+			results: (results) => this.loop.arrived(() => this.orders?.onResults(results)),
 		})
 		return carrier
 	}
@@ -375,12 +375,12 @@
 		return new CarriedOrders({
 			direct,
 			term,
-			life: LEADER_LIFE,
+			incarnation: LEADER_LIFE,
 			clock,
 			log: new Log('run', clock, 'silent', () => undefined),
-			linked: () => carriers.filter((carrier) => carrier.linked),
-			heardAt: (id) => named(id)?.heardAt ?? Number.NEGATIVE_INFINITY,
-			workers: () => AS_MANY_AS_CARRIED,
+			linkedCarriers: () => carriers.filter((carrier) => carrier.linked),
+			lastHeardAt: (id) => named(id)?.heardAt ?? Number.NEGATIVE_INFINITY,
+			workerCount: () => AS_MANY_AS_CARRIED,
 			send: (to, batch) => named(to)?.take(batch) ?? false,
 		})
 	}
@@ -388,7 +388,7 @@
 	/** A carrying instance loses its link to the leader. */
 	unlink(carrier: FleetCarrier): void {
 		carrier.linked = false
-		this.orders?.lost(carrier.id)
+		this.orders?.onLinkLost(carrier.id)
 	}
 
 	/** Only a leader that has been followed by another is refused by a worker. */
