--- a/packages/member/src/lib/CoreInstance.ts
+++ b/packages/member/src/lib/CoreInstance.ts
@@ -29,7 +29,7 @@
 import { CarrierSpread } from './load/CarrierSpread'
 import type { InstanceCapacity } from './load/InstanceCapacity'
 import { InstanceLoad } from './load/InstanceLoad'
-import { GatheredHeartbeats, HeartbeatFate } from './GatheredHeartbeats'
+import { HeartbeatBatcher, HeartbeatHandling } from './HeartbeatBatcher'
 import { CORE_NEWS_KEPT, NEWS_PERIOD } from './LeaderView'
 import { Leading } from './Leading'
 import { TICK_PERIOD } from './linkTiming'
@@ -101,7 +101,7 @@
 	private readonly links: PeerLinks
 	private readonly advisers: AskingPeers
 	private readonly carrier: OrderCarrier
-	private readonly heartbeats: GatheredHeartbeats
+	private readonly heartbeats: HeartbeatBatcher
 	private readonly news: CoreNews
 	private readonly faults: CallFaults
 	private readonly load: InstanceLoad
@@ -138,12 +138,12 @@
 			peers,
 			standing: (id) => this.loads.standingOf(id, clock.now()),
 		})
-		this.heartbeats = new GatheredHeartbeats({
+		this.heartbeats = new HeartbeatBatcher({
 			workers: this.state.workers,
 			clock,
-			tell: (heard) => this.links.leaderCalls.call({ kind: 'heartbeats', heard }, HEARD_FINALITY),
-			mayTell: () => this.links.view.leader(clock.now()) !== undefined,
-			refusing: (active) => parts.log.warn(MemberEvent.HeartbeatsRefused, { active }),
+			report: (heard) => this.links.leaderCalls.call({ kind: 'heartbeats', heard }, HEARD_FINALITY),
+			canReport: () => this.links.view.leader(clock.now()) !== undefined,
+			onRefusingChanged: (active) => parts.log.warn(MemberEvent.HeartbeatsRefused, { active }),
 		})
 		this.news = new CoreNews({
 			self,
@@ -186,16 +186,16 @@
 	call(call: CellCall, finality: RetryLimits): Promise<CellReply> {
 		if (call.kind !== 'heartbeat' || this.leading)
 			return this.links.leaderCalls.call(call, finality)
-		const fate = this.heartbeats.take(call.heartbeat)
-		switch (fate) {
-			case HeartbeatFate.Gathered:
+		const handling = this.heartbeats.handle(call.heartbeat)
+		switch (handling) {
+			case HeartbeatHandling.Batched:
 				return Promise.resolve({ kind: 'noted' })
-			case HeartbeatFate.Refused:
+			case HeartbeatHandling.Refused:
 				return Promise.resolve(LEADER_SILENT)
-			case HeartbeatFate.Passed:
+			case HeartbeatHandling.Forwarded:
 				return this.links.leaderCalls.call(call, finality)
 			default:
-				return exhaustive(fate)
+				return exhaustive(handling)
 		}
 	}
 
--- a/packages/member/src/lib/GatheredHeartbeats.test.ts
+++ b/packages/member/src/lib/HeartbeatBatcher.test.ts
@@ -9,7 +9,7 @@
 	type Worker,
 } from '@rillrudder/jobs'
 import { ManualClock } from '@rillrudder/utils'
-import { GatheredHeartbeats, HeartbeatFate } from './GatheredHeartbeats'
+import { HeartbeatBatcher, HeartbeatHandling } from './HeartbeatBatcher'
 
 const WORKER: Worker = {
 	id: 'w1',
@@ -24,30 +24,30 @@
 
 class Subject {
 	readonly clock = new ManualClock()
-	readonly told: (readonly HeardWorker[])[] = []
+	readonly reports: (readonly HeardWorker[])[] = []
 	readonly state = new CellState()
 	answer: CellReply = { kind: 'noted' }
-	led = true
-	readonly heartbeats = new GatheredHeartbeats({
+	hasLeader = true
+	readonly heartbeats = new HeartbeatBatcher({
 		workers: this.state.workers,
 		clock: this.clock,
-		tell: (heard) => {
-			this.told.push(heard)
+		report: (heard) => {
+			this.reports.push(heard)
 			return Promise.resolve(this.answer)
 		},
-		mayTell: () => this.led,
+		canReport: () => this.hasLeader,
 	})
 
 	constructor() {
 		this.state.apply(encodeCommands([{ kind: 'worker', worker: WORKER }]))
 	}
 
-	beat(sequence: number, changes: Partial<Worker> = {}, draining = false): boolean {
-		return this.fateOf(sequence, changes, draining) === HeartbeatFate.Gathered
+	isBatched(sequence: number, changes: Partial<Worker> = {}, draining = false): boolean {
+		return this.handle(sequence, changes, draining) === HeartbeatHandling.Batched
 	}
 
-	fateOf(sequence: number, changes: Partial<Worker> = {}, draining = false): HeartbeatFate {
-		return this.heartbeats.take({ worker: { ...WORKER, ...changes }, sequence, draining })
+	handle(sequence: number, changes: Partial<Worker> = {}, draining = false): HeartbeatHandling {
+		return this.heartbeats.handle({ worker: { ...WORKER, ...changes }, sequence, draining })
 	}
 
 	/** Lets time pass, and answers come. */
@@ -62,62 +62,62 @@
 
 test('heartbeats of a while are told at once, each worker once, with how long ago it was heard', () => {
 	const subject = new Subject()
-	assert.ok(subject.beat(4))
+	assert.ok(subject.isBatched(4))
 	subject.clock.advance(100)
-	assert.ok(subject.beat(5))
+	assert.ok(subject.isBatched(5))
 	subject.clock.advance(300)
-	assert.deepEqual(subject.told, [[{ worker: 'w1', sequence: 5, clock: undefined, age: 200 }]])
+	assert.deepEqual(subject.reports, [[{ worker: 'w1', sequence: 5, clock: undefined, age: 200 }]])
 })
 
 test('what the replica does not know, what changes and what leaves is not gathered', () => {
 	const subject = new Subject()
-	assert.equal(subject.beat(1, { id: 'w2', address: 'h:2' }), false)
-	assert.equal(subject.beat(1, { id: 'w2' }), false)
-	assert.equal(subject.beat(1, { capacity: { cpu: 1, memory: 1, accelerators: 0 } }), false)
-	assert.equal(subject.beat(1, {}, true), false)
+	assert.equal(subject.isBatched(1, { id: 'w2', address: 'h:2' }), false)
+	assert.equal(subject.isBatched(1, { id: 'w2' }), false)
+	assert.equal(subject.isBatched(1, { capacity: { cpu: 1, memory: 1, accelerators: 0 } }), false)
+	assert.equal(subject.isBatched(1, {}, true), false)
 	subject.state.apply(encodeCommands([{ kind: 'gone', worker: 'w1', at: 0 }]))
-	assert.equal(subject.beat(2), false)
+	assert.equal(subject.isBatched(2), false)
 })
 
 test('without a leader that can be told, workers are not told that they were heard', async () => {
 	const subject = new Subject()
-	subject.led = false
-	assert.equal(subject.beat(1), false)
-	subject.led = true
+	subject.hasLeader = false
+	assert.equal(subject.isBatched(1), false)
+	subject.hasLeader = true
 	subject.answer = { kind: 'not-run', reason: 'no leader', retryAfter: 1000 }
-	assert.ok(subject.beat(2))
+	assert.ok(subject.isBatched(2))
 	subject.clock.advance(300)
 	await Promise.resolve()
 	await Promise.resolve()
-	assert.equal(subject.beat(3), false)
+	assert.equal(subject.isBatched(3), false)
 	subject.clock.advance(1500)
-	assert.ok(subject.beat(4))
+	assert.ok(subject.isBatched(4))
 })
 
 // Guards against a busy leader that is kept busy: what it could not answer in time was sent again singly, thousands of calls a second.
 test('heartbeats that a busy leader has not answered are told again with later ones, and never each by itself', async () => {
 	const subject = new Subject()
 	subject.answer = { kind: 'unknown', reason: 'no answer from a leader' }
-	assert.equal(subject.fateOf(1), HeartbeatFate.Gathered)
+	assert.equal(subject.handle(1), HeartbeatHandling.Batched)
 	await subject.run(400)
-	assert.equal(subject.fateOf(2), HeartbeatFate.Gathered)
+	assert.equal(subject.handle(2), HeartbeatHandling.Batched)
 	subject.answer = { kind: 'noted' }
 	await subject.run(400)
-	assert.equal(subject.told.at(-1)?.[0].sequence, 2)
-	assert.ok(subject.told.length <= 3)
-	const before = subject.told.length
+	assert.equal(subject.reports.at(-1)?.[0].sequence, 2)
+	assert.ok(subject.reports.length <= 3)
+	const before = subject.reports.length
 	await subject.run(1000)
-	assert.equal(subject.told.length, before)
+	assert.equal(subject.reports.length, before)
 })
 
 test('where the leader goes on giving no answer, workers are sent to other instances at once, until it answers', async () => {
 	const subject = new Subject()
 	subject.answer = { kind: 'unknown', reason: 'no answer from a leader' }
-	assert.equal(subject.fateOf(1), HeartbeatFate.Gathered)
+	assert.equal(subject.handle(1), HeartbeatHandling.Batched)
 	await subject.run(2000)
-	assert.equal(subject.fateOf(2), HeartbeatFate.Refused)
+	assert.equal(subject.handle(2), HeartbeatHandling.Refused)
 	subject.answer = { kind: 'noted' }
 	await subject.run(400)
-	assert.equal(subject.told.at(-1)?.[0].sequence, 1)
-	assert.equal(subject.fateOf(3), HeartbeatFate.Gathered)
+	assert.equal(subject.reports.at(-1)?.[0].sequence, 1)
+	assert.equal(subject.handle(3), HeartbeatHandling.Batched)
 })
--- a/packages/member/src/lib/GatheredHeartbeats.ts
+++ b/packages/member/src/lib/HeartbeatBatcher.ts
@@ -12,38 +12,38 @@
 import type { Clock } from '@rillrudder/utils'
 
 /** Milliseconds for which heartbeats gather; a fifth of the time between two of them. */
-const GATHER = 300
+const BATCH_DELAY_MS = 300
 /** Milliseconds for which nothing is gathered after there was no leader to tell: the workers then call another instance. */
-const REST = 1500
+const NO_LEADER_BACKOFF_MS = 1500
 /**
  * Milliseconds for which heartbeats are gathered while a leader that is known gives no answer. It may only be busy, and is told again; it is not
  * told of each by itself, which would keep it busy. An instance that can't reach it for longer sends workers to others.
  */
-const MOST_UNANSWERED = 1500
+const MAX_UNANSWERED_MS = 1500
 
 /** What becomes of a heartbeat. @internal */
-export const HeartbeatFate = {
+export const HeartbeatHandling = {
 	/** The leader will be told of it with others. */
-	Gathered: 'gathered',
+	Batched: 'gathered',
 	/** It has to be brought to the leader by itself. */
-	Passed: 'passed',
+	Forwarded: 'passed',
 	/** The leader can't be told: the worker should call another instance. */
 	Refused: 'refused',
 } as const
 /** One of the answers. @internal */
-export type HeartbeatFate = (typeof HeartbeatFate)[keyof typeof HeartbeatFate]
+export type HeartbeatHandling = (typeof HeartbeatHandling)[keyof typeof HeartbeatHandling]
 
 /** What gathering needs of its instance. @internal */
-export interface GatheredHeartbeatsParts {
+export interface HeartbeatBatcherParts {
 	/** The workers as this replica knows them. */
 	readonly workers: KnownWorkers
 	readonly clock: Clock
 	/** Tells the leader. */
-	readonly tell: (heard: readonly HeardWorker[]) => Promise<CellReply>
+	readonly report: (heard: readonly HeardWorker[]) => Promise<CellReply>
 	/** Whether a leader is known that can be told. */
-	readonly mayTell: () => boolean
+	readonly canReport: () => boolean
 	/** Told when heartbeats begin to be refused, and when they are no longer. */
-	readonly refusing?: (active: boolean) => void
+	readonly onRefusingChanged?: (active: boolean) => void
 }
 
 /**
@@ -51,29 +51,29 @@
  *
  * @internal
  */
-export class GatheredHeartbeats {
+export class HeartbeatBatcher {
 	/** For each worker what it said last, and when. */
-	private gathered = new Map<string, { readonly heartbeat: Heartbeat; readonly at: number }>()
-	private restsUntil = Number.NEGATIVE_INFINITY
+	private pending = new Map<string, { readonly heartbeat: Heartbeat; readonly at: number }>()
+	private backoffUntil = Number.NEGATIVE_INFINITY
 	/** Since when the leader has not answered; undefined once it has. */
 	private unansweredSince: number | undefined
-	private isFlushDue = false
+	private isFlushScheduled = false
 	private isRefusing = false
 
-	constructor(private readonly parts: GatheredHeartbeatsParts) {}
+	constructor(private readonly parts: HeartbeatBatcherParts) {}
 
 	/** Takes a heartbeat. @returns what becomes of it. */
-	take(heartbeat: Heartbeat): HeartbeatFate {
-		const { clock, mayTell } = this.parts
+	handle(heartbeat: Heartbeat): HeartbeatHandling {
+		const { clock, canReport: mayTell } = this.parts
 		const now = clock.now()
-		if (now < this.restsUntil || !mayTell() || !this.isRoutine(heartbeat))
-			return HeartbeatFate.Passed
+		if (now < this.backoffUntil || !mayTell() || !this.isRoutine(heartbeat))
+			return HeartbeatHandling.Forwarded
 		const unanswered = this.unansweredSince === undefined ? 0 : now - this.unansweredSince
-		this.setRefusing(unanswered > MOST_UNANSWERED)
-		if (this.isRefusing) return HeartbeatFate.Refused
-		this.gathered.set(heartbeat.worker.id, { heartbeat, at: now })
-		this.flushSoon()
-		return HeartbeatFate.Gathered
+		this.setRefusing(unanswered > MAX_UNANSWERED_MS)
+		if (this.isRefusing) return HeartbeatHandling.Refused
+		this.pending.set(heartbeat.worker.id, { heartbeat, at: now })
+		this.scheduleFlush()
+		return HeartbeatHandling.Batched
 	}
 
 	/** Whether it only says that a worker is there as this replica knows it. */
@@ -87,39 +87,39 @@
 	private setRefusing(active: boolean): void {
 		if (active === this.isRefusing) return
 		this.isRefusing = active
-		this.parts.refusing?.(active)
+		this.parts.onRefusingChanged?.(active)
 	}
 
-	private flushSoon(): void {
-		if (this.isFlushDue) return
-		this.isFlushDue = true
-		this.parts.clock.after(GATHER, () => void this.flush())
+	private scheduleFlush(): void {
+		if (this.isFlushScheduled) return
+		this.isFlushScheduled = true
+		this.parts.clock.after(BATCH_DELAY_MS, () => void this.flush())
 	}
 
 	private async flush(): Promise<void> {
-		const { clock, tell } = this.parts
+		const { clock, report: tell } = this.parts
 		const now = clock.now()
-		const told = this.gathered
-		this.gathered = new Map()
-		this.isFlushDue = false
-		const heard = [...told.values()].map(({ heartbeat, at }) => ({
+		const batch = this.pending
+		this.pending = new Map()
+		this.isFlushScheduled = false
+		const heard = [...batch.values()].map(({ heartbeat, at }) => ({
 			worker: heartbeat.worker.id,
 			sequence: heartbeat.sequence,
 			clock: heartbeat.clock,
 			age: now - at,
 		}))
 		const { kind } = await tell(heard)
-		if (kind === 'unknown') this.tellAgain(told, now)
+		if (kind === 'unknown') this.requeue(batch, now)
 		else this.unansweredSince = undefined
-		if (kind === 'not-run') this.restsUntil = clock.now() + REST
+		if (kind === 'not-run') this.backoffUntil = clock.now() + NO_LEADER_BACKOFF_MS
 	}
 
 	/** Nothing is known of what became of heartbeats: they are told again with those that have come since. */
-	private tellAgain(told: GatheredHeartbeats['gathered'], since: number): void {
+	private requeue(batch: HeartbeatBatcher['pending'], since: number): void {
 		this.unansweredSince ??= since
-		for (const [worker, entry] of told) {
-			if (!this.gathered.has(worker)) this.gathered.set(worker, entry)
+		for (const [worker, entry] of batch) {
+			if (!this.pending.has(worker)) this.pending.set(worker, entry)
 		}
-		this.flushSoon()
+		this.scheduleFlush()
 	}
 }
