--- a/packages/member/src/lib/CellMachine.ts
+++ b/packages/member/src/lib/CellMachine.ts
@@ -9,7 +9,7 @@
  */
 export class CellMachine extends StateMachine {
 	/** Told after each entry while set. */
-	applied: (() => void) | undefined
+	onApplied: (() => void) | undefined
 
 	/** @param state - the state. */
 	constructor(private readonly state: CellState) {
@@ -18,7 +18,7 @@
 
 	override apply(command: Uint8Array): void {
 		this.state.apply(command)
-		this.applied?.()
+		this.onApplied?.()
 	}
 
 	override snapshot(): Uint8Array {
--- a/packages/member/src/lib/Batching.test.ts
+++ b/packages/member/src/lib/CommandBatcher.test.ts
@@ -3,7 +3,7 @@
 import { decodeCommands, type CellCommand } from '@rillrudder/jobs'
 import { Meter } from '@rillrudder/telemetry'
 import { ManualClock } from '@rillrudder/utils'
-import { Batching } from './Batching'
+import { CommandBatcher } from './CommandBatcher'
 
 /** Longer than commands wait for an entry that is under way. */
 const LONG = 20
@@ -24,7 +24,7 @@
 class Subject {
 	readonly clock = new ManualClock()
 	readonly group = new TestGroup()
-	readonly batching = new Batching(this.group, this.clock, new Meter())
+	readonly batching = new CommandBatcher(this.group, this.clock, new Meter())
 	readonly done: string[] = []
 
 	/** Proposes in a turn of its own. */
@@ -38,7 +38,7 @@
 test('a command goes out in its own turn when no entry is under way', () => {
 	const subject = new Subject()
 	subject.turn('a')
-	subject.batching.applied()
+	subject.batching.onEntryApplied()
 	subject.turn('b')
 	assert.deepEqual(subject.group.entries, [['a'], ['b']])
 	assert.deepEqual(subject.done, ['a'])
@@ -48,9 +48,9 @@
 	const subject = new Subject()
 	for (const id of ['a', 'b', 'c', 'd']) subject.turn(id)
 	assert.deepEqual(subject.group.entries, [['a']])
-	subject.batching.applied()
+	subject.batching.onEntryApplied()
 	subject.batching.flush()
-	subject.batching.applied()
+	subject.batching.onEntryApplied()
 	assert.deepEqual(subject.group.entries, [['a'], ['b', 'c', 'd']])
 	assert.deepEqual(subject.done, ['a', 'b', 'c', 'd'])
 	subject.clock.advance(LONG)
--- a/packages/member/src/lib/Batching.ts
+++ b/packages/member/src/lib/CommandBatcher.ts
@@ -11,11 +11,11 @@
  * Milliseconds for which commands wait at most for the entry before them: about one commit, so that of two decisions that
  * follow each other the second is hardly later than by itself.
  */
-const GATHER = 8
+const BATCH_DELAY_MS = 8
 
-interface Sent {
-	readonly calls: readonly (() => void)[]
-	readonly at: number
+interface PendingEntry {
+	readonly callbacks: readonly (() => void)[]
+	readonly proposedAt: number
 }
 
 /**
@@ -23,12 +23,12 @@
  *
  * @internal
  */
-export class Batching extends Proposals {
+export class CommandBatcher extends Proposals {
 	private commands: CellCommand[] = []
-	private calls: (() => void)[] = []
+	private callbacks: (() => void)[] = []
 	/** Entries that were proposed and not yet applied, in the order of the log. */
-	private readonly sent: Sent[] = []
-	private sentAt = Number.NEGATIVE_INFINITY
+	private readonly pendingEntries: PendingEntry[] = []
+	private proposedAt = Number.NEGATIVE_INFINITY
 	/** Set while commands wait for the entry before them. */
 	private timer: Timer | undefined
 
@@ -47,15 +47,15 @@
 
 	override propose(command: CellCommand, done?: () => void): void {
 		this.commands.push(command)
-		if (done) this.calls.push(done)
+		if (done) this.callbacks.push(done)
 	}
 
 	/** Proposes what has gathered, unless it may gather for longer. */
 	flush(): void {
 		if (this.commands.length === 0) return
-		const rest = this.sentAt + GATHER - this.clock.now()
-		if (this.sent.length > 0 && rest > 0) this.sendAfter(rest)
-		else this.send()
+		const delay = this.proposedAt + BATCH_DELAY_MS - this.clock.now()
+		if (this.pendingEntries.length > 0 && delay > 0) this.proposeAfter(delay)
+		else this.proposeBatch()
 	}
 
 	/** Proposes nothing more by itself. */
@@ -63,33 +63,33 @@
 		this.timer?.cancel()
 	}
 
-	private sendAfter(rest: number): void {
-		this.timer ??= this.clock.after(rest, () => {
+	private proposeAfter(delay: number): void {
+		this.timer ??= this.clock.after(delay, () => {
 			this.timer = undefined
-			if (this.commands.length > 0 && this.group.mayAct) this.send()
+			if (this.commands.length > 0 && this.group.mayAct) this.proposeBatch()
 		})
 	}
 
-	private send(): void {
-		const { commands, calls } = this
+	private proposeBatch(): void {
+		const { commands, callbacks: callbacks } = this
 		const at = this.clock.now()
 		this.commands = []
-		this.calls = []
+		this.callbacks = []
 		if (!this.group.propose([encodeCommands(commands)])) {
 			// While leadership is being handed over nothing is taken; what waits goes with the controller.
 			this.commands = [...commands, ...this.commands]
-			this.calls = [...calls, ...this.calls]
+			this.callbacks = [...callbacks, ...this.callbacks]
 			return
 		}
-		this.sent.push({ calls, at })
-		this.sentAt = at
+		this.pendingEntries.push({ callbacks: callbacks, proposedAt: at })
+		this.proposedAt = at
 	}
 
 	/** The next entry of this leadership has been applied. */
-	applied(): void {
-		const next = this.sent.shift()
+	onEntryApplied(): void {
+		const next = this.pendingEntries.shift()
 		if (!next) return
-		this.meter.observe(Measure.CommitTime, this.clock.now() - next.at)
-		for (const call of next.calls) call()
+		this.meter.observe(Measure.CommitTime, this.clock.now() - next.proposedAt)
+		for (const callback of next.callbacks) callback()
 	}
 }
--- a/packages/member/src/lib/CoreInstance.ts
+++ b/packages/member/src/lib/CoreInstance.ts
@@ -171,7 +171,7 @@
 	/** Opens the data folder and links up. */
 	async start(): Promise<void> {
 		this.group = await this.openGroup()
-		this.machine.applied = () => this.leading?.applied()
+		this.machine.onApplied = () => this.leading?.applied()
 		await this.links.hub.listen(this.parts.address)
 		this.dial()
 		const { clock } = this.parts
--- a/packages/member/src/lib/Leading.ts
+++ b/packages/member/src/lib/Leading.ts
@@ -14,7 +14,7 @@
 import { Ledger, WorkerHealth } from '@rillrudder/scheduler'
 import { Measure, type Log, type Meter } from '@rillrudder/telemetry'
 import type { Clock, Random } from '@rillrudder/utils'
-import { Batching } from './Batching'
+import { CommandBatcher } from './CommandBatcher'
 import type { CarriedOrders } from './carriers/CarriedOrders'
 import { WakingOrders } from './WakingOrders'
 
@@ -47,7 +47,7 @@
 export class Leading {
 	readonly term: number
 	private readonly controller: JobController
-	private readonly batching: Batching
+	private readonly batching: CommandBatcher
 	private readonly orders: WakingOrders
 	private readonly waiting = new Set<(reply: CellReply) => void>()
 	private flushing = false
@@ -58,7 +58,7 @@
 	constructor(private readonly parts: LeadingParts) {
 		const { group, state, clock, random, timing, policy, advisers, log, meter, term } = parts
 		this.term = term
-		this.batching = new Batching(group, clock, meter)
+		this.batching = new CommandBatcher(group, clock, meter)
 		this.orders = new WakingOrders(parts.orders, () => this.flushSoon())
 		this.controller = new JobController({
 			state,
@@ -92,7 +92,7 @@
 
 	/** An entry of this leadership has been applied. */
 	applied(): void {
-		this.batching.applied()
+		this.batching.onEntryApplied()
 		this.flushSoon()
 	}
 
