--- a/packages/member/src/lib/CoreInstance.ts
+++ b/packages/member/src/lib/CoreInstance.ts
@@ -31,7 +31,7 @@
 import { InstanceLoad } from './load/InstanceLoad'
 import { HeartbeatBatcher, HeartbeatHandling } from './HeartbeatBatcher'
 import { CORE_NEWS_KEPT, NEWS_PERIOD } from './LeaderView'
-import { Leading } from './Leading'
+import { LeaderSession } from './LeaderSession'
 import { TICK_PERIOD } from './linkTiming'
 import { MemberEvent } from './MemberEvent'
 import { PeerLinks } from './PeerLinks'
@@ -109,7 +109,7 @@
 	/** When each peer last said something, on the instance's clock. */
 	private readonly heardAt = new Map<string, number>()
 	private group!: Group
-	private leading: Leading | undefined
+	private session: LeaderSession | undefined
 	private timers: Timer[] = []
 	private toldLeader = ''
 	/** The members that were told last; the group replaces the list whenever it changes. */
@@ -171,7 +171,7 @@
 	/** Opens the data folder and links up. */
 	async start(): Promise<void> {
 		this.group = await this.openGroup()
-		this.machine.onApplied = () => this.leading?.applied()
+		this.machine.onApplied = () => this.session?.onEntryApplied()
 		await this.links.hub.listen(this.parts.address)
 		this.dial()
 		const { clock } = this.parts
@@ -184,7 +184,7 @@
 
 	/** Brings a call to the leader, here or elsewhere. */
 	call(call: CellCall, finality: RetryLimits): Promise<CellReply> {
-		if (call.kind !== 'heartbeat' || this.leading)
+		if (call.kind !== 'heartbeat' || this.session)
 			return this.links.leaderCalls.call(call, finality)
 		const handling = this.heartbeats.handle(call.heartbeat)
 		switch (handling) {
@@ -208,7 +208,7 @@
 		while (this.group.replica.leads && clock.now() < until) await wait(TICK_PERIOD)
 		await wait(LAST_CALLS)
 		for (const timer of this.timers) timer.cancel()
-		this.endLeading()
+		this.endSession()
 		await this.group.stop()
 		this.links.hub.close()
 	}
@@ -265,7 +265,7 @@
 		this.load.tick(this.parts.clock.now())
 		this.group.tick()
 		this.settled()
-		if (this.leading && this.group.mayAct) this.leading.tick()
+		if (this.session && this.group.mayAct) this.session.tick()
 		this.dial()
 	}
 
@@ -275,17 +275,17 @@
 		const { term, members } = this.group.replica.status
 		meter.gauge(Measure.LoopDelay, this.load.loopDelay)
 		meter.gauge(Measure.Term, term)
-		meter.gauge(Measure.Leads, this.leading ? 1 : 0)
+		meter.gauge(Measure.Leads, this.session ? 1 : 0)
 		meter.gauge(Measure.Voters, members.filter((member) => member.voter).length)
-		this.leading?.measure()
+		this.session?.updateGauges()
 	}
 
 	/** Begins or ends a leadership as the group's state asks for it. */
 	private settled(): void {
 		const { replica } = this.group
 		const { term, leader, members } = replica.status
-		if (this.leading && (!replica.leads || term !== this.leading.term)) this.endLeading()
-		if (!this.leading && this.group.mayAct) this.beginLeading(term)
+		if (this.session && (!replica.leads || term !== this.session.term)) this.endSession()
+		if (!this.session && this.group.mayAct) this.startSession(term)
 		if (leader !== this.toldLeader) {
 			this.toldLeader = leader
 			this.parts.log.info(MemberEvent.LeaderChanged, { leader, term })
@@ -298,10 +298,10 @@
 		if (named !== before) this.parts.log.info(MemberEvent.MembersChanged, { members: named })
 	}
 
-	private beginLeading(term: number): void {
+	private startSession(term: number): void {
 		const { clock, random, controller: timing, policy, log, meter } = this.parts
 		const { group, state, advisers } = this
-		this.leading = new Leading({
+		this.session = new LeaderSession({
 			group,
 			state,
 			term,
@@ -315,7 +315,7 @@
 			meter,
 		})
 		this.news.tell()
-		this.leading.flushSoon()
+		this.session.scheduleTurn()
 	}
 
 	private carriedOrders(term: number): CarriedOrders {
@@ -341,17 +341,17 @@
 
 	private lost(peer: string): void {
 		this.loads.lost(peer)
-		this.leading?.lost(peer)
+		this.session?.onLinkLost(peer)
 	}
 
-	private endLeading(): void {
-		this.leading?.end()
-		this.leading = undefined
+	private endSession(): void {
+		this.session?.end()
+		this.session = undefined
 	}
 
 	/** @returns this instance as the leader; undefined while it may not act as such. */
 	private localLeader(): LocalLeader | undefined {
-		const { leading, faults } = this
+		const { session: leading, faults } = this
 		if (!leading || !this.group.mayAct) return undefined
 		return {
 			term: leading.term,
@@ -370,11 +370,11 @@
 			this.carrier.onMessage(from, body.value.sent)
 			this.loads.core.take(from, body.value.load, now)
 		} else if (body.$case === 'orderBatch') this.carrier.onOrders(from, body.value)
-		else if (body.$case === 'orderResults') this.leading?.carried(body.value)
+		else if (body.$case === 'orderResults') this.session?.onOrderResults(body.value)
 		else if (body.$case === 'peerReply') {
 			this.loads.entry.take(from, body.value.load, now)
 			this.links.calls.replied(body.value)
-			this.leading?.flushSoon()
+			this.session?.scheduleTurn()
 		}
 	}
 
@@ -386,7 +386,7 @@
 			void answerQuestion(this.parts.adviser, call.question).then(reply)
 			return
 		}
-		if (this.leading) {
+		if (this.session) {
 			const leader = this.localLeader()
 			if (leader?.term === term) leader.call(call, reply)
 			else reply({ kind: 'not-leader' })
--- a/packages/member/src/lib/Leading.ts
+++ b/packages/member/src/lib/LeaderSession.ts
@@ -22,10 +22,10 @@
  * Milliseconds between two turns at least. Each looks at what can begin and sends what it has decided, whatever few events there were since the last
  * one; a decision is later by no more than that.
  */
-const TURN_GAP = 4
+const MIN_TURN_INTERVAL_MS = 4
 
 /** What a leadership is made with. @internal */
-export interface LeadingParts {
+export interface LeaderSessionParts {
 	readonly group: Group
 	readonly state: CellState
 	readonly term: number
@@ -44,22 +44,22 @@
  *
  * @internal
  */
-export class Leading {
+export class LeaderSession {
 	readonly term: number
 	private readonly controller: JobController
-	private readonly batching: CommandBatcher
+	private readonly commands: CommandBatcher
 	private readonly orders: WakingOrders
-	private readonly waiting = new Set<(reply: CellReply) => void>()
-	private flushing = false
-	private over = false
+	private readonly pendingReplies = new Set<(reply: CellReply) => void>()
+	private isTurnScheduled = false
+	private hasEnded = false
 	/** When the last turn began. */
-	private turnAt = Number.NEGATIVE_INFINITY
+	private lastTurnAt = Number.NEGATIVE_INFINITY
 
-	constructor(private readonly parts: LeadingParts) {
+	constructor(private readonly parts: LeaderSessionParts) {
 		const { group, state, clock, random, timing, policy, advisers, log, meter, term } = parts
 		this.term = term
-		this.batching = new CommandBatcher(group, clock, meter)
-		this.orders = new WakingOrders(parts.orders, () => this.flushSoon())
+		this.commands = new CommandBatcher(group, clock, meter)
+		this.orders = new WakingOrders(parts.orders, () => this.scheduleTurn())
 		this.controller = new JobController({
 			state,
 			ledger: new Ledger(random),
@@ -71,7 +71,7 @@
 			term,
 			orders: this.orders,
 			advisers,
-			proposals: this.batching,
+			proposals: this.commands,
 			log,
 			meter,
 			deposed: () => group.handOver(),
@@ -83,26 +83,26 @@
 	/** Answers a call; callers that still wait when the leadership ends are told so. */
 	call(call: CellCall, done: (reply: CellReply) => void): void {
 		const reply = (value: CellReply): void => {
-			if (this.waiting.delete(reply)) done(value)
+			if (this.pendingReplies.delete(reply)) done(value)
 		}
-		this.waiting.add(reply)
+		this.pendingReplies.add(reply)
 		this.controller.call(call, reply)
-		this.flushSoon()
+		this.scheduleTurn()
 	}
 
 	/** An entry of this leadership has been applied. */
-	applied(): void {
-		this.batching.onEntryApplied()
-		this.flushSoon()
+	onEntryApplied(): void {
+		this.commands.onEntryApplied()
+		this.scheduleTurn()
 	}
 
 	/** Another instance tells what came of orders that it carried. */
-	carried(results: OrderResults): void {
+	onOrderResults(results: OrderResults): void {
 		this.parts.orders.onResults(results)
 	}
 
 	/** A link is lost. */
-	lost(peer: string): void {
+	onLinkLost(peer: string): void {
 		this.parts.orders.onLinkLost(peer)
 	}
 
@@ -114,43 +114,43 @@
 	}
 
 	/** Sets the gauges of the controller. */
-	measure(): void {
+	updateGauges(): void {
 		this.controller.measure()
 	}
 
 	/** Something outside has happened, such as an answer of a worker: places and proposes. */
-	flushSoon(): void {
-		if (this.flushing || this.over) return
-		this.flushing = true
+	scheduleTurn(): void {
+		if (this.isTurnScheduled || this.hasEnded) return
+		this.isTurnScheduled = true
 		const { clock } = this.parts
-		const rest = this.turnAt + TURN_GAP - clock.now()
-		if (rest > 0) clock.after(rest, () => this.turn())
-		else setImmediate(() => this.turn())
+		const delay = this.lastTurnAt + MIN_TURN_INTERVAL_MS - clock.now()
+		if (delay > 0) clock.after(delay, () => this.runTurn())
+		else setImmediate(() => this.runTurn())
 	}
 
-	private turn(): void {
-		this.flushing = false
-		if (this.over || !this.parts.group.mayAct) return
-		this.turnAt = this.parts.clock.now()
+	private runTurn(): void {
+		this.isTurnScheduled = false
+		if (this.hasEnded || !this.parts.group.mayAct) return
+		this.lastTurnAt = this.parts.clock.now()
 		this.controller.place()
 		this.flush()
 	}
 
 	/** Sends what this turn has proposed and ordered. */
 	private flush(): void {
-		this.batching.flush()
+		this.commands.flush()
 		this.parts.orders.flush()
 	}
 
 	/** The leadership is over: nothing more is decided. */
 	end(): void {
-		this.over = true
-		this.batching.end()
+		this.hasEnded = true
+		this.commands.end()
 		this.orders.end()
 		this.parts.orders.end()
 		this.parts.log.info(LeaderEvent.LeadershipLost, { term: this.term })
 		this.parts.state.observer = undefined
 		const reply: CellReply = { kind: 'unknown', reason: 'the leader has changed' }
-		for (const waiting of [...this.waiting]) waiting(reply)
+		for (const pendingReply of [...this.pendingReplies]) pendingReply(reply)
 	}
 }
