--- a/packages/member/src/index.ts
+++ b/packages/member/src/index.ts
@@ -1,7 +1,7 @@
 /** Instances of a cell with one group: links, leadership, forwarding. */
 export { Adviser } from './lib/Adviser'
 export { CarriedOrders, type CarriedOrdersParts } from './lib/carriers/CarriedOrders'
-export type { Carrier } from './lib/carriers/CarrierChoice'
+export type { Carrier } from './lib/carriers/CarrierSelector'
 export { OrderCarrier } from './lib/carriers/OrderCarrier'
 export { CoreInstance, type CoreParts } from './lib/CoreInstance'
 export { UNKNOWN_CAPACITY, type InstanceCapacity } from './lib/load/InstanceCapacity'
--- a/packages/member/src/lib/CommandBatcher.ts
+++ b/packages/member/src/lib/CommandBatcher.ts
@@ -71,7 +71,7 @@
 	}
 
 	private proposeBatch(): void {
-		const { commands, callbacks: callbacks } = this
+		const { commands, callbacks } = this
 		const at = this.clock.now()
 		this.commands = []
 		this.callbacks = []
@@ -81,7 +81,7 @@
 			this.callbacks = [...callbacks, ...this.callbacks]
 			return
 		}
-		this.pendingEntries.push({ callbacks: callbacks, proposedAt: at })
+		this.pendingEntries.push({ callbacks, proposedAt: at })
 		this.proposedAt = at
 	}
 
--- a/packages/member/src/lib/CoreInstance.ts
+++ b/packages/member/src/lib/CoreInstance.ts
@@ -16,9 +16,9 @@
 import { Measure, type Log, type Meter } from '@rillrudder/telemetry'
 import { exhaustive, Random, type Clock, type Timer } from '@rillrudder/utils'
 import type { Adviser } from './Adviser'
-import { answerQuestion, AskingPeers } from './AskingPeers'
+import { answerQuestion, PeerAdvisers } from './PeerAdvisers'
 import { CarriedOrders } from './carriers/CarriedOrders'
-import type { Carrier } from './carriers/CarrierChoice'
+import type { Carrier } from './carriers/CarrierSelector'
 import { OrderCarrier } from './carriers/OrderCarrier'
 import { CallFaults } from './CallFaults'
 import { CellMachine } from './CellMachine'
@@ -26,7 +26,7 @@
 import { CoreNews } from './CoreNews'
 import { decodeCall } from './linkBodies'
 import { CellLoads } from './load/CellLoads'
-import { CarrierSpread } from './load/CarrierSpread'
+import { CarrierWeights } from './load/CarrierWeights'
 import type { InstanceCapacity } from './load/InstanceCapacity'
 import { InstanceLoad } from './load/InstanceLoad'
 import { HeartbeatBatcher, HeartbeatHandling } from './HeartbeatBatcher'
@@ -99,7 +99,7 @@
 	private readonly state = new CellState()
 	private readonly machine = new CellMachine(this.state)
 	private readonly links: PeerLinks
-	private readonly advisers: AskingPeers
+	private readonly advisers: PeerAdvisers
 	private readonly carrier: OrderCarrier
 	private readonly heartbeats: HeartbeatBatcher
 	private readonly news: CoreNews
@@ -131,7 +131,7 @@
 			local: () => this.localLeader(),
 		})
 		const peers = (): readonly string[] => this.links.hub.connected
-		this.advisers = new AskingPeers({
+		this.advisers = new PeerAdvisers({
 			self,
 			adviser,
 			calls: this.links.calls,
@@ -327,7 +327,7 @@
 			clock,
 			log,
 			linkedCarriers: () => this.linkedMembers(),
-			weights: new CarrierSpread(this.loads.core, log, meter),
+			weights: new CarrierWeights(this.loads.core, log, meter),
 			lastHeardAt: (id) => this.heardAt.get(id) ?? Number.NEGATIVE_INFINITY,
 			workerCount: () => this.state.workers.size,
 			send: (to, value) => this.links.hub.send(to, { body: { $case: 'orderBatch', value } }),
@@ -340,7 +340,7 @@
 	}
 
 	private lost(peer: string): void {
-		this.loads.lost(peer)
+		this.loads.onLinkLost(peer)
 		this.session?.onLinkLost(peer)
 	}
 
@@ -368,11 +368,11 @@
 		else if (body.$case === 'cellNews') {
 			this.links.view.take(from, body.value, now)
 			this.carrier.onMessage(from, body.value.sent)
-			this.loads.core.take(from, body.value.load, now)
+			this.loads.core.update(from, body.value.load, now)
 		} else if (body.$case === 'orderBatch') this.carrier.onOrders(from, body.value)
 		else if (body.$case === 'orderResults') this.session?.onOrderResults(body.value)
 		else if (body.$case === 'peerReply') {
-			this.loads.entry.take(from, body.value.load, now)
+			this.loads.entry.update(from, body.value.load, now)
 			this.links.calls.replied(body.value)
 			this.session?.scheduleTurn()
 		}
--- a/packages/member/src/lib/EntryInstance.ts
+++ b/packages/member/src/lib/EntryInstance.ts
@@ -4,7 +4,7 @@
 import type { Log, Meter } from '@rillrudder/telemetry'
 import type { Clock, Timer } from '@rillrudder/utils'
 import type { Adviser } from './Adviser'
-import { answerQuestion } from './AskingPeers'
+import { answerQuestion } from './PeerAdvisers'
 import type { RetryLimits } from './LeaderCalls'
 import { decodeCall } from './linkBodies'
 import { ENTRY_NEWS_KEPT } from './LeaderView'
@@ -60,7 +60,7 @@
 
 	/** Whether new connections may come here: calls can be brought to a leader, and this instance isn't overloaded. */
 	get isReady(): boolean {
-		return this.knowsLeader && this.load.takesConnections
+		return this.knowsLeader && this.load.acceptsConnections
 	}
 
 	private get knowsLeader(): boolean {
@@ -75,7 +75,7 @@
 
 	/** Brings a call to the leader. */
 	call(call: CellCall, finality: RetryLimits): Promise<CellReply> {
-		return this.load.pass(() => this.links.leaderCalls.call(call, finality))
+		return this.load.track(() => this.links.leaderCalls.call(call, finality))
 	}
 
 	/** Ends all links. */
--- a/packages/member/src/lib/AskingPeers.ts
+++ b/packages/member/src/lib/PeerAdvisers.ts
@@ -10,10 +10,10 @@
 import type { PeerCalls, PeerOutcome } from './PeerCalls'
 
 /** Milliseconds that a question may take; the longest answers take a second, behind others. */
-const ANSWER_LIMIT = 6000
+const ANSWER_TIMEOUT_MS = 6000
 
 /** What asking needs of the instance. @internal */
-export interface AskingPeersParts {
+export interface PeerAdvisersParts {
 	readonly self: string
 	readonly adviser: Adviser
 	readonly calls: PeerCalls
@@ -28,8 +28,8 @@
  *
  * @internal
  */
-export class AskingPeers extends Advisers {
-	constructor(private readonly parts: AskingPeersParts) {
+export class PeerAdvisers extends Advisers {
+	constructor(private readonly parts: PeerAdvisersParts) {
 		super()
 	}
 
@@ -47,7 +47,7 @@
 			return
 		}
 		const to = { peer: via, term: 0, hops: 1 }
-		this.parts.calls.call(to, { kind: 'advise', question }, ANSWER_LIMIT, (outcome) =>
+		this.parts.calls.call(to, { kind: 'advise', question }, ANSWER_TIMEOUT_MS, (outcome) =>
 			done(resultOf(outcome))
 		)
 	}
--- a/packages/member/src/lib/carriers/CarriedOrders.test.ts
+++ b/packages/member/src/lib/carriers/CarriedOrders.test.ts
@@ -6,7 +6,7 @@
 import { Log } from '@rillrudder/telemetry'
 import { ManualClock } from '@rillrudder/utils'
 import { CarriedOrders } from './CarriedOrders'
-import type { Carrier } from './CarrierChoice'
+import type { Carrier } from './CarrierSelector'
 import { OrderCarrier } from './OrderCarrier'
 
 const TERM = 7
--- a/packages/member/src/lib/carriers/CarriedOrders.ts
+++ b/packages/member/src/lib/carriers/CarriedOrders.ts
@@ -16,11 +16,11 @@
 import type { OrderBatch, OrderResults } from '@rillrudder/protocol'
 import type { Log } from '@rillrudder/telemetry'
 import type { Clock, Timer } from '@rillrudder/utils'
-import type { CarrierSpread, WeightedCarrier } from '../load/CarrierSpread'
+import type { CarrierWeights, WeightedCarrier } from '../load/CarrierWeights'
 import { MemberEvent } from '../MemberEvent'
 import { ORDER_LIMIT } from './OrderCarrier'
 import { decodeResults, encodeCarried, type CarriedBody, type CarriedOrder } from './CarriedOrder'
-import { CarrierChoice, type Carrier } from './CarrierChoice'
+import { CarrierSelector, type Carrier } from './CarrierSelector'
 
 /**
  * Workers from which orders are carried. Below, the leader has processor time to spare (0.2 of a core at 33 workers),
@@ -55,7 +55,7 @@
 	/** Instances of the core that are linked now, without this one. */
 	readonly linkedCarriers: () => readonly Carrier[]
 	/** How much each of them is given; all alike if absent. */
-	readonly weights?: CarrierSpread
+	readonly weights?: CarrierWeights
 	/** @returns when an instance last said something, on this one's clock. */
 	readonly lastHeardAt: (id: string) => number
 	/** How many workers there are. */
@@ -78,7 +78,7 @@
  * @public
  */
 export class CarriedOrders extends WorkerOrders {
-	private readonly choice = new CarrierChoice()
+	private readonly selector = new CarrierSelector()
 	private readonly pending = new Map<number, Pending>()
 	private readonly outgoing = new Map<string, CarriedOrder[]>()
 	/** When orders last went to each instance. */
@@ -99,7 +99,7 @@
 	}
 
 	override get firstPolls(): number {
-		return super.firstPolls * (1 + this.choice.size)
+		return super.firstPolls * (1 + this.selector.size)
 	}
 
 	override start(
@@ -166,7 +166,7 @@
 
 	/** @returns whether another instance carries the order. */
 	private give(worker: OrderTarget, body: CarriedBody, limit: number, done: Done): boolean {
-		const carrier = this.carries ? this.choice.of(worker) : undefined
+		const carrier = this.carries ? this.selector.carrierFor(worker) : undefined
 		if (carrier === undefined) return false
 		const id = ++this.lastId
 		const giveUpAt = this.parts.clock.now() + limit
@@ -228,7 +228,7 @@
 	private fail(carrier: string, reason: string): void {
 		const { clock, log } = this.parts
 		const lost = [...this.pending].filter(([, pending]) => pending.carrier === carrier)
-		this.choice.drop(carrier)
+		this.selector.remove(carrier)
 		this.outgoing.delete(carrier)
 		if (lost.length === 0) return
 		this.resting.set(carrier, clock.now() + REST)
@@ -244,7 +244,7 @@
 			({ id }) => !this.isSilent(id, now) && (this.resting.get(id) ?? 0) <= now
 		)
 		const { weights: spread } = this.parts
-		this.choice.set(spread ? spread.of(usable, now) : usable.map(alike))
+		this.selector.setCarriers(spread ? spread.weigh(usable, now) : usable.map(alike))
 	}
 }
 
--- a/packages/member/src/lib/carriers/CarrierChoice.ts
+++ b/packages/member/src/lib/carriers/CarrierSelector.ts
@@ -4,7 +4,7 @@
  */
 import type { OrderTarget } from '@rillrudder/jobs'
 import { choose } from '../load/rendezvous'
-import type { WeightedCarrier } from '../load/CarrierSpread'
+import type { WeightedCarrier } from '../load/CarrierWeights'
 
 /** An instance that can carry orders. @public */
 export interface Carrier {
@@ -18,7 +18,7 @@
  *
  * @internal
  */
-export class CarrierChoice {
+export class CarrierSelector {
 	private readonly byDataCentre = new Map<string, WeightedCarrier[]>()
 	private count = 0
 	/** Data centres where weights have differed: they count for good, so that a carrier that goes moves no other's workers. */
@@ -30,22 +30,22 @@
 	}
 
 	/** These instances can carry orders from now on, and no others. */
-	set(carriers: readonly WeightedCarrier[]): void {
+	setCarriers(carriers: readonly WeightedCarrier[]): void {
 		this.byDataCentre.clear()
 		this.count = carriers.length
 		for (const carrier of carriers) {
-			const there = this.byDataCentre.get(carrier.dataCentre)
-			if (!there) {
+			const sameDataCentre = this.byDataCentre.get(carrier.dataCentre)
+			if (!sameDataCentre) {
 				this.byDataCentre.set(carrier.dataCentre, [carrier])
 				continue
 			}
-			if (there[0].weight !== carrier.weight) this.weighted.add(carrier.dataCentre)
-			there.push(carrier)
+			if (sameDataCentre[0].weight !== carrier.weight) this.weighted.add(carrier.dataCentre)
+			sameDataCentre.push(carrier)
 		}
 	}
 
 	/** An instance can carry no orders for now. */
-	drop(id: string): void {
+	remove(id: string): void {
 		for (const [dataCentre, carriers] of this.byDataCentre) {
 			const others = carriers.filter((other) => other.id !== id)
 			this.count -= carriers.length - others.length
@@ -54,7 +54,7 @@
 	}
 
 	/** @returns the instance that carries orders to a worker; undefined when none in its data centre can. */
-	of({ id, dataCentre }: OrderTarget): string | undefined {
+	carrierFor({ id, dataCentre }: OrderTarget): string | undefined {
 		const carriers = this.byDataCentre.get(dataCentre) ?? []
 		if (carriers.length <= 1) return carriers[0]?.id
 		return choose(id, carriers, { weighted: this.weighted.has(dataCentre) })?.id
--- a/packages/member/src/lib/carriers/MessageDelays.ts
+++ b/packages/member/src/lib/carriers/MessageDelays.ts
@@ -38,8 +38,7 @@
 		const smallest = incarnations.get(sent.life)
 		const offset = now - sent.at
 		const expected = smallest ? smallest.offset + (now - smallest.seenAt) * MAX_CLOCK_DRIFT : offset
-		if (!smallest || offset <= expected)
-			incarnations.set(sent.life, { offset: offset, seenAt: now })
+		if (!smallest || offset <= expected) incarnations.set(sent.life, { offset, seenAt: now })
 		if (incarnations.size > MAX_INCARNATIONS) incarnations.delete([...incarnations.keys()][0])
 		return Math.max(0, offset - expected)
 	}
--- a/packages/member/src/lib/load/CarrierSpread.test.ts
+++ b/packages/member/src/lib/load/CarrierWeights.test.ts
@@ -3,8 +3,8 @@
 import { test } from 'node:test'
 import { Log, Meter } from '@rillrudder/telemetry'
 import { ManualClock } from '@rillrudder/utils'
-import { CarrierChoice } from '../carriers/CarrierChoice'
-import { CarrierSpread } from './CarrierSpread'
+import { CarrierSelector } from '../carriers/CarrierSelector'
+import { CarrierWeights } from './CarrierWeights'
 import { PeerLoads } from './PeerLoads'
 
 const SECOND = 1000
@@ -17,22 +17,22 @@
 	readonly lines: string[] = []
 	private readonly clock = new ManualClock()
 	private readonly log = new Log('test', this.clock, 'info', (line) => this.lines.push(line))
-	private readonly spread = new CarrierSpread(this.loads, this.log, new Meter())
-	private readonly choice = new CarrierChoice()
+	private readonly weights = new CarrierWeights(this.loads, this.log, new Meter())
+	private readonly selector = new CarrierSelector()
 
-	tell(id: string, loopDelay: number, now: number, processor = 1080): void {
-		this.loads.take(id, { processor, loopDelay, fill: 0 }, now)
+	reportLoad(id: string, loopDelay: number, now: number, processor = 1080): void {
+		this.loads.update(id, { processor, loopDelay, fill: 0 }, now)
 	}
 
 	kept(now: number): number[] {
-		return this.spread.of(CARRIERS, now).map(({ kept }) => kept)
+		return this.weights.weigh(CARRIERS, now).map(({ kept }) => kept)
 	}
 
 	/** @returns the workers of each carrier as of a moment. */
 	workersOf(id: string, now: number): number {
-		this.choice.set(this.spread.of(CARRIERS, now))
+		this.selector.setCarriers(this.weights.weigh(CARRIERS, now))
 		const carriers = WORKERS.map((worker) =>
-			this.choice.of({ id: worker, address: '', dataCentre: 'north' })
+			this.selector.carrierFor({ id: worker, address: '', dataCentre: 'north' })
 		)
 		return carriers.filter((carrier) => carrier === id).length
 	}
@@ -43,8 +43,8 @@
 	const all = subject.workersOf(LATE, 0)
 	let before = all
 	for (let second = 1; second <= 10; second++) {
-		subject.tell(LATE, 100, second * SECOND)
-		subject.tell(OTHER, 0, second * SECOND)
+		subject.reportLoad(LATE, 100, second * SECOND)
+		subject.reportLoad(OTHER, 0, second * SECOND)
 		const workers = subject.workersOf(LATE, second * SECOND)
 		assert.ok(before - workers <= all * 0.15, `${before} to ${workers}`)
 		before = workers
@@ -52,7 +52,7 @@
 	assert.deepEqual(subject.kept(10 * SECOND), [0.2, 1])
 	assert.ok(before < all * 0.3)
 	for (let second = 11; second <= 18; second++) {
-		subject.tell(LATE, 0, second * SECOND)
+		subject.reportLoad(LATE, 0, second * SECOND)
 		subject.kept(second * SECOND)
 	}
 	assert.equal(subject.workersOf(LATE, 19 * SECOND), all)
@@ -62,25 +62,25 @@
 
 test('a load that is old counts for nothing', () => {
 	const subject = new Subject()
-	subject.tell(LATE, 500, 0)
+	subject.reportLoad(LATE, 500, 0)
 	assert.deepEqual(subject.kept(2001), [1, 1])
 })
 
 test('a delay between late and punctual changes nothing', () => {
 	const subject = new Subject()
 	for (let second = 0; second < 5; second++) {
-		subject.tell(LATE, 40, second * SECOND)
+		subject.reportLoad(LATE, 40, second * SECOND)
 		assert.deepEqual(subject.kept(second * SECOND), [1, 1])
 	}
 })
 
 test('a link that comes back before its first news takes no worker from the others', () => {
 	const subject = new Subject()
-	subject.tell(LATE, 0, 0, 540)
-	subject.tell(OTHER, 0, 0)
+	subject.reportLoad(LATE, 0, 0, 540)
+	subject.reportLoad(OTHER, 0, 0)
 	subject.workersOf(LATE, 0)
-	subject.loads.lost(OTHER)
+	subject.loads.onLinkLost(OTHER)
 	const without = subject.workersOf(LATE, 0)
-	subject.tell(OTHER, 0, 0, 540)
+	subject.reportLoad(OTHER, 0, 0, 540)
 	assert.ok(without <= subject.workersOf(LATE, 0))
 })
--- a/packages/member/src/lib/load/CellLoads.ts
+++ b/packages/member/src/lib/load/CellLoads.ts
@@ -31,15 +31,15 @@
 	}
 
 	/** A link is lost. */
-	lost(peer: string): void {
-		this.core.lost(peer)
-		this.entry.lost(peer)
+	onLinkLost(peer: string): void {
+		this.core.onLinkLost(peer)
+		this.entry.onLinkLost(peer)
 	}
 
 	/** @returns how well an instance can ask for advice. */
 	standingOf(id: string, now: number): AdviserStanding {
-		const here = id === this.self ? { ...this.report(), age: 0 } : undefined
-		const load = here ?? this.core.loadOf(id, now) ?? this.entry.loadOf(id, now)
+		const own = id === this.self ? { ...this.report(), age: 0 } : undefined
+		const load = own ?? this.core.loadOf(id, now) ?? this.entry.loadOf(id, now)
 		return adviserStanding(load, {
 			processor: this.entry.processorOf(id),
 			largest: this.entry.largestProcessor(),
--- a/packages/member/src/lib/load/EntryLoad.test.ts
+++ b/packages/member/src/lib/load/EntryLoad.test.ts
@@ -6,9 +6,9 @@
 import { ManualClock } from '@rillrudder/utils'
 import fc from 'fast-check'
 import { EntryLoad } from './EntryLoad'
-import { mostCalls, UNKNOWN_CAPACITY, type InstanceCapacity } from './InstanceCapacity'
-import { LATE_LOOP, LoopDelay } from './LoopDelay'
-import { Shedding } from './Shedding'
+import { maxCalls, UNKNOWN_CAPACITY, type InstanceCapacity } from './InstanceCapacity'
+import { LATE_LOOP_MS, LoopDelay } from './LoopDelay'
+import { LoadShedder } from './LoadShedder'
 
 const PERIOD = 250
 const LARGE: InstanceCapacity = { processor: 810, memory: 490, link: 5 }
@@ -29,88 +29,88 @@
 	}
 
 	/** Lets time pass in which the loop is so late each time. */
-	run(span: number, late = 0): void {
-		for (let spent = 0; spent < span; spent += PERIOD + late) {
-			this.clock.advance(PERIOD + late)
+	run(span: number, delay = 0): void {
+		for (let spent = 0; spent < span; spent += PERIOD + delay) {
+			this.clock.advance(PERIOD + delay)
 			this.load.tick()
 		}
 	}
 
 	/** Begins a call that stays under way. */
-	hold(): void {
+	startCall(): void {
 		const never = new Promise<CellReply>((resolve) => this.ends.push(() => resolve(ACCEPTED)))
-		void this.load.pass(() => never)
+		void this.load.track(() => never)
 	}
 
 	async outcome(): Promise<string> {
-		return (await this.load.pass(() => Promise.resolve(ACCEPTED))).kind
+		return (await this.load.track(() => Promise.resolve(ACCEPTED))).kind
 	}
 }
 
 test('a loop that stays late sends new connections elsewhere, and takes them again once it has been punctual for a while', async () => {
 	const subject = new Subject()
 	subject.run(3000, 100)
-	assert.equal(subject.load.takesConnections, false)
+	assert.equal(subject.load.acceptsConnections, false)
 	assert.equal(await subject.outcome(), 'accepted')
 	subject.run(2000)
-	assert.equal(subject.load.takesConnections, false)
+	assert.equal(subject.load.acceptsConnections, false)
 	subject.run(4000)
-	assert.equal(subject.load.takesConnections, true)
+	assert.equal(subject.load.acceptsConnections, true)
 	assert.equal(subject.lines.length, 2)
 })
 
 test('a loop that is a second late refuses nothing: only a leader can tell that a job is not taken', async () => {
 	const subject = new Subject()
 	subject.run(6000, 1000)
-	assert.equal(subject.load.takesConnections, false)
+	assert.equal(subject.load.acceptsConnections, false)
 	assert.equal(await subject.outcome(), 'accepted')
 })
 
 test('calls beyond half of what its link and memory hold send new connections elsewhere, sooner at a small one', async () => {
-	assert.ok(mostCalls(SMALL) < mostCalls(LARGE) / 2)
-	assert.equal(mostCalls(UNKNOWN_CAPACITY), Number.POSITIVE_INFINITY)
+	assert.ok(maxCalls(SMALL) < maxCalls(LARGE) / 2)
+	assert.equal(maxCalls(UNKNOWN_CAPACITY), Number.POSITIVE_INFINITY)
 	const [small, large] = [new Subject(SMALL), new Subject(LARGE)]
-	for (let calls = 0; calls < mostCalls(SMALL); calls++) {
-		small.hold()
-		large.hold()
+	for (let calls = 0; calls < maxCalls(SMALL); calls++) {
+		small.startCall()
+		large.startCall()
 	}
 	small.run(PERIOD)
 	large.run(PERIOD)
-	assert.equal(small.load.takesConnections, false)
-	assert.equal(large.load.takesConnections, true)
+	assert.equal(small.load.acceptsConnections, false)
+	assert.equal(large.load.acceptsConnections, true)
 	for (const end of small.ends) end()
 	await Promise.resolve()
 	small.run(8000)
-	assert.equal(small.load.takesConnections, true)
+	assert.equal(small.load.acceptsConnections, true)
 })
 
 test('without knowledge of its capacity and with a punctual loop it takes everything', async () => {
 	const subject = new Subject(UNKNOWN_CAPACITY)
-	for (let calls = 0; calls < 5000; calls++) subject.hold()
+	for (let calls = 0; calls < 5000; calls++) subject.startCall()
 	subject.run(2000, 10)
-	assert.equal(subject.load.takesConnections, true)
+	assert.equal(subject.load.acceptsConnections, true)
 	assert.equal(await subject.outcome(), 'accepted')
 })
 
 test('below the bounds nothing is ever turned away', () => {
 	const calm = fc.record({
-		loopDelay: fc.double({ min: 0, max: LATE_LOOP - 1, noNaN: true }),
+		loopDelay: fc.double({ min: 0, max: LATE_LOOP_MS - 1, noNaN: true }),
 		fill: fc.double({ min: 0, max: 0.49, noNaN: true }),
 	})
 	const neverSheds = fc.property(fc.array(calm), (readings) => {
-		const shedding = new Shedding()
+		const shedding = new LoadShedder()
 		readings.forEach((reading, index) => shedding.update(reading, index * PERIOD))
-		assert.equal(shedding.active, false)
+		assert.equal(shedding.isShedding, false)
 	})
 	fc.assert(neverSheds, { numRuns: 200, seed: 36 })
 })
 
 test('one standstill of a process is no load, a loop that stays late is', () => {
 	const delay = new LoopDelay(PERIOD, 0)
-	delay.fired(PERIOD)
-	delay.fired(5000)
-	delay.fired(5000 + PERIOD)
+	delay.onTimer(PERIOD)
+	delay.onTimer(5000)
+	delay.onTimer(5000 + PERIOD)
 	assert.equal(delay.mean, 0)
-	for (let number = 1; number <= 10; number++) delay.fired(5250 + number * (PERIOD + 100))
-	assert.ok(delay.mean > LATE_LOOP)
+	for (let number = 1; number <= 10; number++) delay.onTimer(5250 + number * (PERIOD + 100))
+	assert.ok(delay.mean > LATE_LOOP_MS)
 })
--- a/packages/member/src/lib/load/EntryLoad.ts
+++ b/packages/member/src/lib/load/EntryLoad.ts
@@ -6,7 +6,7 @@
 import { MemberEvent } from '../MemberEvent'
 import type { InstanceCapacity } from './InstanceCapacity'
 import { InstanceLoad } from './InstanceLoad'
-import { Shedding } from './Shedding'
+import { LoadShedder } from './LoadShedder'
 
 /** What the load of an entry instance is kept with. @internal */
 export interface EntryLoadParts {
@@ -25,7 +25,7 @@
  */
 export class EntryLoad {
 	private readonly load: InstanceLoad
-	private readonly shedding = new Shedding()
+	private readonly shedder = new LoadShedder()
 
 	constructor(private readonly parts: EntryLoadParts) {
 		const { capacity, period, clock } = parts
@@ -33,15 +33,15 @@
 	}
 
 	/** Whether new connections may come here. */
-	get takesConnections(): boolean {
-		return !this.shedding.active
+	get acceptsConnections(): boolean {
+		return !this.shedder.isShedding
 	}
 
 	/** Reads the load and sets the gauges. */
 	tick(): void {
 		const { clock, meter } = this.parts
 		this.load.tick(clock.now())
-		this.update()
+		this.updateShedding()
 		meter.gauge(Measure.LoopDelay, this.load.loopDelay)
 		meter.gauge(Measure.CallsUnderWay, this.load.calls)
 	}
@@ -52,7 +52,7 @@
 	}
 
 	/** Passes a call on. */
-	async pass(send: () => Promise<CellReply>): Promise<CellReply> {
+	async track(send: () => Promise<CellReply>): Promise<CellReply> {
 		this.load.calls += 1
 		try {
 			return await send()
@@ -61,10 +61,10 @@
 		}
 	}
 
-	private update(): void {
-		const before = this.shedding.active
-		this.shedding.update(this.load, this.parts.clock.now())
-		const { active } = this.shedding
+	private updateShedding(): void {
+		const before = this.shedder.isShedding
+		this.shedder.update(this.load, this.parts.clock.now())
+		const { isShedding: active } = this.shedder
 		if (active === before) return
 		const { loopDelay, calls } = this.load
 		const delay = Math.round(loopDelay)
--- a/packages/member/src/lib/load/InstanceCapacity.ts
+++ b/packages/member/src/lib/load/InstanceCapacity.ts
@@ -14,20 +14,20 @@
 export const UNKNOWN_CAPACITY: InstanceCapacity = { processor: 0, memory: 0, link: 0 }
 
 /** Bytes that a call under way may hold, buffers of its connection included. */
-const CALL_MEMORY = 64 * 1024
+const CALL_MEMORY_BYTES = 64 * 1024
 /** Share of the memory that calls may hold; the program itself needs the rest. */
-const MEMORY_SHARE = 0.25
+const CALLS_MEMORY_SHARE = 0.25
 /** Bytes of a call and its answer on the link. */
 const CALL_BYTES = 4096
 /** Seconds that callers wait for an answer: what the link can't carry in that time is of no use any more. */
-const CALLER_PATIENCE = 3
+const CALLER_TIMEOUT_S = 3
 
-const MEGABYTE = 1024 * 1024
-const BYTES_OF_MEGABIT = 125_000
+const BYTES_PER_MEGABYTE = 1024 * 1024
+const BYTES_PER_MEGABIT = 125_000
 
 /** @returns how many calls may be under way at an instance; infinite where it is not known. @internal */
-export function mostCalls({ memory, link }: InstanceCapacity): number {
-	const held = (memory * MEGABYTE * MEMORY_SHARE) / CALL_MEMORY
-	const carried = (link * BYTES_OF_MEGABIT * CALLER_PATIENCE) / CALL_BYTES
-	return Math.min(held || Number.POSITIVE_INFINITY, carried || Number.POSITIVE_INFINITY)
+export function maxCalls({ memory, link }: InstanceCapacity): number {
+	const memoryLimit = (memory * BYTES_PER_MEGABYTE * CALLS_MEMORY_SHARE) / CALL_MEMORY_BYTES
+	const linkLimit = (link * BYTES_PER_MEGABIT * CALLER_TIMEOUT_S) / CALL_BYTES
+	return Math.min(memoryLimit || Number.POSITIVE_INFINITY, linkLimit || Number.POSITIVE_INFINITY)
 }
--- a/packages/member/src/lib/load/InstanceLoad.ts
+++ b/packages/member/src/lib/load/InstanceLoad.ts
@@ -1,10 +1,10 @@
 /** How loaded this instance is, as it tells others in messages that pass anyway. */
 import type { LoadReport } from '@rillrudder/protocol'
-import { mostCalls, type InstanceCapacity } from './InstanceCapacity'
+import { maxCalls, type InstanceCapacity } from './InstanceCapacity'
 import { LoopDelay } from './LoopDelay'
 
 /** Parts of the calls that an instance can hold, in which its fill is told. @internal */
-export const WHOLE_FILL = 100
+export const FILL_SCALE = 100
 
 /**
  * The load of this instance.
@@ -14,8 +14,8 @@
 export class InstanceLoad {
 	/** Calls under way. */
 	calls = 0
-	private readonly delay: LoopDelay
-	private readonly most: number
+	private readonly loop: LoopDelay
+	private readonly maxCalls: number
 
 	/**
 	 * @param capacity - what it has.
@@ -27,23 +27,23 @@
 		period: number,
 		now: number
 	) {
-		this.delay = new LoopDelay(period, now)
-		this.most = mostCalls(capacity)
+		this.loop = new LoopDelay(period, now)
+		this.maxCalls = maxCalls(capacity)
 	}
 
 	/** Milliseconds that the event loop is late. */
 	get loopDelay(): number {
-		return this.delay.mean
+		return this.loop.mean
 	}
 
 	/** Share of the calls that it can hold that are under way. */
 	get fill(): number {
-		return this.calls / this.most
+		return this.calls / this.maxCalls
 	}
 
 	/** Reads the loop's delay off the timer that calls. */
 	tick(now: number): void {
-		this.delay.fired(now)
+		this.loop.onTimer(now)
 	}
 
 	/** @returns what others are told. */
@@ -51,7 +51,7 @@
 		return {
 			processor: Math.round(this.capacity.processor),
 			loopDelay: Math.round(this.loopDelay),
-			fill: Math.round(this.fill * WHOLE_FILL),
+			fill: Math.round(this.fill * FILL_SCALE),
 		}
 	}
 }
--- a/packages/member/src/lib/load/LoopDelay.ts
+++ b/packages/member/src/lib/load/LoopDelay.ts
@@ -9,14 +9,14 @@
  *
  * @internal
  */
-export const LATE_LOOP = 60
+export const LATE_LOOP_MS = 60
 /** Milliseconds below which a loop that was late is so no longer. @internal */
-export const PUNCTUAL_LOOP = 20
+export const PUNCTUAL_LOOP_MS = 20
 
 /** Milliseconds over which the delay is averaged. */
-const SPAN = 1000
+const AVERAGING_WINDOW_MS = 1000
 /** Milliseconds that one reading counts for at most, so that a long standstill is soon forgotten. */
-const MOST = 500
+const MAX_SAMPLE_MS = 500
 
 /**
  * The delay of one event loop.
@@ -26,15 +26,15 @@
 export class LoopDelay {
 	private average = 0
 	/** Milliseconds that the last firing was late. */
-	private lastLate = 0
+	private lastDelay = 0
 
 	/**
 	 * @param period - milliseconds between two firings of the timer, were it never late.
-	 * @param firedAt - when it was set.
+	 * @param lastFiredAt - when it was set.
 	 */
 	constructor(
 		private readonly period: number,
-		private firedAt: number
+		private lastFiredAt: number
 	) {}
 
 	/** Milliseconds that the loop is late, averaged over the last second. */
@@ -43,14 +43,14 @@
 	}
 
 	/** The timer fires. */
-	fired(now: number): void {
-		const passed = now - this.firedAt
-		this.firedAt = now
-		const late = Math.min(MOST, Math.max(0, passed - this.period))
-		const share = 1 - Math.exp(-Math.min(passed, MOST) / SPAN)
+	onTimer(now: number): void {
+		const elapsed = now - this.lastFiredAt
+		this.lastFiredAt = now
+		const delay = Math.min(MAX_SAMPLE_MS, Math.max(0, elapsed - this.period))
+		const share = 1 - Math.exp(-Math.min(elapsed, MAX_SAMPLE_MS) / AVERAGING_WINDOW_MS)
 		// A process that stood still once, while it started or its machine was stopped, is not overloaded.
-		const steady = Math.min(late, this.lastLate)
-		this.lastLate = late
-		this.average += (steady - this.average) * share
+		const sustained = Math.min(delay, this.lastDelay)
+		this.lastDelay = delay
+		this.average += (sustained - this.average) * share
 	}
 }
--- a/packages/member/src/lib/load/PeerLoads.ts
+++ b/packages/member/src/lib/load/PeerLoads.ts
@@ -2,9 +2,9 @@
 import type { LoadReport } from '@rillrudder/protocol'
 
 /** Milliseconds for which a load counts. Core instances tell theirs many times in that span, others when they answer a question. */
-const KEPT = 2000
+const LOAD_TTL_MS = 2000
 
-interface Told {
+interface ReceivedLoad {
 	readonly load: LoadReport
 	readonly at: number
 }
@@ -21,38 +21,38 @@
  * @internal
  */
 export class PeerLoads {
-	private readonly told = new Map<string, Told>()
+	private readonly reports = new Map<string, ReceivedLoad>()
 	/** The largest processor; undefined when it has to be found again. */
 	private largest: number | undefined
 
 	/** A peer tells its load; one of an earlier version tells none. */
-	take(peer: string, load: LoadReport | undefined, now: number): void {
+	update(peer: string, load: LoadReport | undefined, now: number): void {
 		if (!load) return
-		if (this.told.get(peer)?.load.processor !== load.processor) this.largest = undefined
-		this.told.set(peer, { load, at: now })
+		if (this.reports.get(peer)?.load.processor !== load.processor) this.largest = undefined
+		this.reports.set(peer, { load, at: now })
 	}
 
 	/** A link is lost; the peer may come back with another capacity. */
-	lost(peer: string): void {
-		this.told.delete(peer)
+	onLinkLost(peer: string): void {
+		this.reports.delete(peer)
 		this.largest = undefined
 	}
 
 	/** @returns the thousandths of a core that a peer has; undefined where it is not known. */
 	processorOf(peer: string): number | undefined {
-		return this.told.get(peer)?.load.processor || undefined
+		return this.reports.get(peer)?.load.processor || undefined
 	}
 
 	/** @returns the largest processor among the peers; 0 where none is known. */
 	largestProcessor(): number {
-		this.largest ??= Math.max(0, ...[...this.told.values()].map(({ load }) => load.processor))
+		this.largest ??= Math.max(0, ...[...this.reports.values()].map(({ load }) => load.processor))
 		return this.largest
 	}
 
 	/** @returns the load of a peer; undefined without fresh word of it. */
 	loadOf(peer: string, now: number): FreshLoad | undefined {
-		const told = this.told.get(peer)
-		if (!told || now - told.at > KEPT) return undefined
-		return { ...told.load, age: now - told.at }
+		const received = this.reports.get(peer)
+		if (!received || now - received.at > LOAD_TTL_MS) return undefined
+		return { ...received.load, age: now - received.at }
 	}
 }
--- a/packages/member/src/lib/load/adviserStanding.ts
+++ b/packages/member/src/lib/load/adviserStanding.ts
@@ -1,7 +1,7 @@
 /** How well an instance can ask for advice, as the leader's choice among free ones takes it. */
 import type { AdviserStanding } from '@rillrudder/jobs'
-import { WHOLE_FILL } from './InstanceLoad'
-import { LATE_LOOP } from './LoopDelay'
+import { FILL_SCALE } from './InstanceLoad'
+import { LATE_LOOP_MS } from './LoopDelay'
 import type { FreshLoad } from './PeerLoads'
 
 /** Parts in which the fill of an instance is compared, so that all are alike while there is little to do. */
@@ -24,8 +24,8 @@
 ): AdviserStanding {
 	const { loopDelay, fill } = load ?? { loopDelay: 0, fill: 0 }
 	return {
-		late: loopDelay >= LATE_LOOP,
-		load: Math.floor((fill / WHOLE_FILL) * FILL_STEPS),
+		late: loopDelay >= LATE_LOOP_MS,
+		load: Math.floor((fill / FILL_SCALE) * FILL_STEPS),
 		small: processor !== undefined && processor < largest * SMALL_SHARE,
 	}
 }
--- a/packages/member/src/lib/load/rendezvous.ts
+++ b/packages/member/src/lib/load/rendezvous.ts
@@ -14,7 +14,7 @@
 }
 
 /** How scores are made. @internal */
-export interface RendezvousRule {
+export interface RendezvousOptions {
 	/** Whether weights count; without them all candidates are taken as equal. */
 	readonly weighted: boolean
 }
@@ -28,42 +28,42 @@
 export function choose(
 	worker: string,
 	candidates: readonly Candidate[],
-	{ weighted }: RendezvousRule
+	{ weighted }: RendezvousOptions
 ): Candidate | undefined {
-	const score = weighted ? weightedScore : plainScore
-	const most = Math.max(...candidates.map(({ kept }) => kept))
+	const score = weighted ? weightedScore : unweightedScore
+	const maxKept = Math.max(...candidates.map(({ kept }) => kept))
 	let best: Candidate | undefined
 	let bestScore = 0
 	for (const candidate of candidates) {
-		if (!keeps(worker, candidate, most)) continue
-		const own = score(worker, candidate)
-		if (best && own <= bestScore) continue
+		if (!isKept(worker, candidate, maxKept)) continue
+		const candidateScore = score(worker, candidate)
+		if (best && candidateScore <= bestScore) continue
 		best = candidate
-		bestScore = own
+		bestScore = candidateScore
 	}
 	return best
 }
 
 /** Whether a worker is among those that a candidate keeps; what all give up alike, none does. */
-function keeps(worker: string, { id, kept }: Candidate, most: number): boolean {
-	return kept >= most || uniform(`${id} ${worker}`) < kept / most
+function isKept(worker: string, { id, kept }: Candidate, maxKept: number): boolean {
+	return kept >= maxKept || uniformHash(`${id} ${worker}`) < kept / maxKept
 }
 
-function plainScore(worker: string, { id }: Candidate): number {
+function unweightedScore(worker: string, { id }: Candidate): number {
 	return textHash(`${worker} ${id}`)
 }
 
 function weightedScore(worker: string, { id, weight }: Candidate): number {
-	return -weight / Math.log(uniform(`${worker} ${id}`))
+	return -weight / Math.log(uniformHash(`${worker} ${id}`))
 }
 
 /** @returns a number between 0 and 1; texts that differ in little have numbers that have nothing in common. */
-function uniform(text: string): number {
-	return (mixed(textHash(text)) + 0.5) / 2 ** 32
+function uniformHash(text: string): number {
+	return (mixBits(textHash(text)) + 0.5) / 2 ** 32
 }
 
 /** The last step of MurmurHash3: every bit of the number changes every bit of the result. */
-function mixed(number: number): number {
+function mixBits(number: number): number {
 	let bits = number
 	bits = Math.imul(bits ^ (bits >>> 16), 0x85ebca6b)
 	bits = Math.imul(bits ^ (bits >>> 13), 0xc2b2ae35)
