--- a/packages/member/src/lib/CoreInstance.ts
+++ b/packages/member/src/lib/CoreInstance.ts
@@ -23,16 +23,16 @@
 import { CallFaults } from './CallFaults'
 import { CellMachine } from './CellMachine'
 import type { RetryLimits, LocalLeader } from './LeaderCalls'
-import { CoreNews } from './CoreNews'
+import { NewsBroadcaster } from './NewsBroadcaster'
 import { decodeCall } from './linkBodies'
 import { CellLoads } from './load/CellLoads'
 import { CarrierWeights } from './load/CarrierWeights'
 import type { InstanceCapacity } from './load/InstanceCapacity'
 import { InstanceLoad } from './load/InstanceLoad'
 import { HeartbeatBatcher, HeartbeatHandling } from './HeartbeatBatcher'
-import { CORE_NEWS_KEPT, NEWS_PERIOD } from './LeaderView'
+import { CORE_NEWS_TTL_MS, NEWS_INTERVAL_MS } from './LeaderView'
 import { LeaderSession } from './LeaderSession'
-import { TICK_PERIOD } from './linkTiming'
+import { TICK_INTERVAL_MS } from './linkTiming'
 import { MemberEvent } from './MemberEvent'
 import { PeerLinks } from './PeerLinks'
 
@@ -102,7 +102,7 @@
 	private readonly advisers: PeerAdvisers
 	private readonly carrier: OrderCarrier
 	private readonly heartbeats: HeartbeatBatcher
-	private readonly news: CoreNews
+	private readonly news: NewsBroadcaster
 	private readonly faults: CallFaults
 	private readonly load: InstanceLoad
 	private readonly loads: CellLoads
@@ -117,18 +117,18 @@
 
 	constructor(private readonly parts: CoreParts) {
 		const { clock, address: self, adviser } = parts
-		this.load = new InstanceLoad(parts.capacity, TICK_PERIOD, clock.now())
+		this.load = new InstanceLoad(parts.capacity, TICK_INTERVAL_MS, clock.now())
 		this.loads = new CellLoads(self, this.load)
 		this.faults = new CallFaults(clock, parts.log, parts.meter)
 		this.links = new PeerLinks({
 			self,
-			newsKept: CORE_NEWS_KEPT,
+			newsTtl: CORE_NEWS_TTL_MS,
 			clock,
 			log: parts.log,
 			meter: parts.meter,
-			receive: (from, event) => this.receive(from, event),
-			lost: (peer) => this.lost(peer),
-			local: () => this.localLeader(),
+			onEvent: (from, event) => this.receive(from, event),
+			onPeerLost: (peer) => this.lost(peer),
+			localLeader: () => this.localLeader(),
 		})
 		const peers = (): readonly string[] => this.links.hub.connected
 		this.advisers = new PeerAdvisers({
@@ -145,9 +145,9 @@
 			canReport: () => this.links.view.leader(clock.now()) !== undefined,
 			onRefusingChanged: (active) => parts.log.warn(MemberEvent.HeartbeatsRefused, { active }),
 		})
-		this.news = new CoreNews({
+		this.news = new NewsBroadcaster({
 			self,
-			life: this.life,
+			incarnation: this.life,
 			clock,
 			links: this.links,
 			replica: () => this.group.replica,
@@ -176,8 +176,8 @@
 		this.dial()
 		const { clock } = this.parts
 		this.timers = [
-			clock.every(TICK_PERIOD, () => this.tick()),
-			clock.every(NEWS_PERIOD, () => this.news.tellAgain()),
+			clock.every(TICK_INTERVAL_MS, () => this.tick()),
+			clock.every(NEWS_INTERVAL_MS, () => this.news.broadcastPeriodically()),
 			clock.every(MEASURE_PERIOD, () => this.measure()),
 		]
 	}
@@ -205,7 +205,7 @@
 		const wait = (span: number) => new Promise<void>((done) => clock.after(span, done))
 		const until = clock.now() + HAND_OVER_WAIT
 		if (this.group.replica.leads) this.group.handOver()
-		while (this.group.replica.leads && clock.now() < until) await wait(TICK_PERIOD)
+		while (this.group.replica.leads && clock.now() < until) await wait(TICK_INTERVAL_MS)
 		await wait(LAST_CALLS)
 		for (const timer of this.timers) timer.cancel()
 		this.endSession()
@@ -289,7 +289,7 @@
 		if (leader !== this.toldLeader) {
 			this.toldLeader = leader
 			this.parts.log.info(MemberEvent.LeaderChanged, { leader, term })
-			this.news.tell()
+			this.news.broadcast()
 		}
 		if (members === this.toldMembers) return
 		const named = namesOf(members)
@@ -314,7 +314,7 @@
 			log,
 			meter,
 		})
-		this.news.tell()
+		this.news.broadcast()
 		this.session.scheduleTurn()
 	}
 
@@ -366,14 +366,14 @@
 		if (body.$case === 'group') this.group.receive(body.value)
 		else if (body.$case === 'peerCall') this.peerCalled(from, body.value)
 		else if (body.$case === 'cellNews') {
-			this.links.view.take(from, body.value, now)
+			this.links.view.update(from, body.value, now)
 			this.carrier.onMessage(from, body.value.sent)
 			this.loads.core.update(from, body.value.load, now)
 		} else if (body.$case === 'orderBatch') this.carrier.onOrders(from, body.value)
 		else if (body.$case === 'orderResults') this.session?.onOrderResults(body.value)
 		else if (body.$case === 'peerReply') {
 			this.loads.entry.update(from, body.value.load, now)
-			this.links.calls.replied(body.value)
+			this.links.calls.onReply(body.value)
 			this.session?.scheduleTurn()
 		}
 	}
@@ -398,7 +398,7 @@
 			return
 		}
 		const to = { peer: leader, term, hops: hops + 1 }
-		this.links.calls.pass(to, body, RELAY_LIMIT, (outcome) => {
+		this.links.calls.callEncoded(to, body, RELAY_LIMIT, (outcome) => {
 			if (outcome.kind === 'replied') reply(outcome.reply)
 			else if (outcome.kind === 'not-sent') reply({ kind: 'not-leader' })
 			else reply({ kind: 'unknown', reason: 'the leader did not answer' })
--- a/packages/member/src/lib/EntryInstance.ts
+++ b/packages/member/src/lib/EntryInstance.ts
@@ -7,7 +7,7 @@
 import { answerQuestion } from './PeerAdvisers'
 import type { RetryLimits } from './LeaderCalls'
 import { decodeCall } from './linkBodies'
-import { ENTRY_NEWS_KEPT } from './LeaderView'
+import { ENTRY_NEWS_TTL_MS } from './LeaderView'
 import { EntryLoad } from './load/EntryLoad'
 import type { InstanceCapacity } from './load/InstanceCapacity'
 import { MemberEvent } from './MemberEvent'
@@ -49,12 +49,12 @@
 		this.load = new EntryLoad({ ...parts, period: DIAL_PERIOD })
 		this.links = new PeerLinks({
 			self: ID_PREFIX + parts.name,
-			newsKept: ENTRY_NEWS_KEPT,
+			newsTtl: ENTRY_NEWS_TTL_MS,
 			clock: parts.clock,
 			log: parts.log,
 			meter: parts.meter,
-			receive: (from, event) => this.receive(from, event),
-			lost: () => this.noteLeader(),
+			onEvent: (from, event) => this.receive(from, event),
+			onPeerLost: () => this.noteLeader(),
 		})
 	}
 
@@ -86,10 +86,10 @@
 
 	private receive(from: string, { body }: Event): void {
 		if (!body) return
-		if (body.$case === 'peerReply') this.links.calls.replied(body.value)
+		if (body.$case === 'peerReply') this.links.calls.onReply(body.value)
 		else if (body.$case === 'peerCall') this.peerCalled(from, body.value)
 		else if (body.$case === 'cellNews') {
-			this.links.view.take(from, body.value, this.parts.clock.now())
+			this.links.view.update(from, body.value, this.parts.clock.now())
 			this.noteLeader()
 		}
 	}
@@ -106,7 +106,7 @@
 	}
 
 	private noteLeader(): void {
-		if (this.knowsLeader) this.links.leaderCalls.led()
+		if (this.knowsLeader) this.links.leaderCalls.onLeaderKnown()
 		const known = this.links.view.leader(this.parts.clock.now())
 		const leader = known?.id ?? ''
 		if (leader === this.toldLeader) return
@@ -126,7 +126,7 @@
 		const leader = view.leader(now)
 		if (leader) this.ledAt = now
 		const lost = now - this.ledAt > LEADERLESS
-		const known = lost ? undefined : { leader: leader?.id, heard: view.heard(now) }
+		const known = lost ? undefined : { leader: leader?.id, heard: view.freshPeers(now) }
 		this.links.dialOnly(peersForEntry(name, seeds(), view.members(), known))
 	}
 }
--- a/packages/member/src/lib/LeaderCalls.test.ts
+++ b/packages/member/src/lib/LeaderCalls.test.ts
@@ -37,8 +37,8 @@
 		calls: this.peers,
 		meter: new Meter(),
 		leader: () => this.leader,
-		life: 'first',
-		local: () => this.localLeader(),
+		incarnation: 'first',
+		localLeader: () => this.localLeader(),
 	})
 
 	get outcome(): string | undefined {
@@ -51,11 +51,11 @@
 
 	answer(reply: CellReply): void {
 		const last = this.sent[this.sent.length - 1]
-		this.peers.replied({ id: last.id, body: Buffer.from(JSON.stringify(reply)) })
+		this.peers.onReply({ id: last.id, body: Buffer.from(JSON.stringify(reply)) })
 	}
 
 	lose(peer: string): void {
-		this.peers.lost(peer)
+		this.peers.onLinkLost(peer)
 	}
 
 	/** Lets time pass, and promises settle. */
--- a/packages/member/src/lib/LeaderCalls.ts
+++ b/packages/member/src/lib/LeaderCalls.ts
@@ -9,13 +9,13 @@
 import type { PeerCalls, PeerOutcome } from './PeerCalls'
 
 /** Milliseconds between two tries. */
-const RETRY_PAUSE = 50
+const RETRY_INTERVAL_MS = 50
 /** Milliseconds that one try may take; a commit behind a slow disk takes hundreds. */
-const TRY_LIMIT = 800
+const TRY_TIMEOUT_MS = 800
 /** Milliseconds from which an answered call is told as slow. */
-const SLOW = 300
+const SLOW_CALL_MS = 300
 /** Milliseconds after which a call that was not run may come again. */
-const RETRY_AFTER = 1000
+const RETRY_AFTER_MS = 1000
 
 /** How long a call is tried. @public */
 export interface RetryLimits {
@@ -50,11 +50,11 @@
 	/** Who leads now. */
 	readonly leader: () => KnownLeader | undefined
 	/** Told of a call that was not answered well, or late. */
-	readonly slow?: (call: CellCall, reply: CellReply, took: number, tries: number) => void
+	readonly onFailedOrSlow?: (call: CellCall, reply: CellReply, took: number, tries: number) => void
 	/** @returns this instance as the leader; undefined while it does not lead. */
-	readonly local?: () => LocalLeader | undefined
+	readonly localLeader?: () => LocalLeader | undefined
 	/** This life of the instance, unlike any other's; names its calls. */
-	readonly life: string
+	readonly incarnation: string
 }
 
 interface Attempt {
@@ -65,7 +65,7 @@
 	readonly limits: RetryLimits
 	readonly done: (reply: CellReply) => void
 	/** Whether some instance may have done it. */
-	sent: boolean
+	mayHaveRun: boolean
 	tries: number
 }
 
@@ -76,16 +76,16 @@
  */
 export class LeaderCalls {
 	/** When a leader was last known, on the instance's clock. */
-	private ledAt: number
+	private leaderKnownAt: number
 	private lastNumber = 0
 
 	constructor(private readonly parts: LeaderCallsParts) {
-		this.ledAt = parts.clock.now()
+		this.leaderKnownAt = parts.clock.now()
 	}
 
 	/** Notes that a leader is known now. */
-	led(): void {
-		this.ledAt = this.parts.clock.now()
+	onLeaderKnown(): void {
+		this.leaderKnownAt = this.parts.clock.now()
 	}
 
 	/** Makes a call; it is replied to exactly once. */
@@ -94,84 +94,84 @@
 		return new Promise((resolve) => {
 			const startedAt = clock.now()
 			const done = (reply: CellReply): void => {
-				this.tell(attempt, reply)
+				this.record(attempt, reply)
 				resolve(reply)
 			}
-			const named = this.named(call)
-			const attempt = { call: named, startedAt, limits, done, term: 0, sent: false, tries: 0 }
+			const named = this.withCallId(call)
+			const attempt = { call: named, startedAt, limits, done, term: 0, mayHaveRun: false, tries: 0 }
 			this.attempt(attempt)
 		})
 	}
 
 	/** A submission that is tried more than once is one call to its leaders. */
-	private named(call: CellCall): CellCall {
+	private withCallId(call: CellCall): CellCall {
 		if (call.kind !== 'submit') return call
-		return { ...call, call: { instance: this.parts.life, number: ++this.lastNumber } }
+		return { ...call, call: { instance: this.parts.incarnation, number: ++this.lastNumber } }
 	}
 
-	private tell({ call, startedAt, tries }: Attempt, reply: CellReply): void {
+	private record({ call, startedAt, tries }: Attempt, reply: CellReply): void {
 		const took = this.parts.clock.now() - startedAt
 		this.parts.meter.count(Measure.Calls, { kind: call.kind, outcome: reply.kind })
 		this.parts.meter.observe(Measure.CallTime, took, { kind: call.kind })
 		const failed = reply.kind === 'not-run' || reply.kind === 'unknown'
-		if (failed || took > SLOW) this.parts.slow?.(call, reply, took, tries)
+		if (failed || took > SLOW_CALL_MS) this.parts.onFailedOrSlow?.(call, reply, took, tries)
 	}
 
 	private attempt(attempt: Attempt): void {
-		const { local, leader, calls } = this.parts
-		const here = local?.()
-		if (here) {
-			this.attemptHere(attempt, here)
+		const { localLeader, leader, calls } = this.parts
+		const local = localLeader?.()
+		if (local) {
+			this.attemptLocally(attempt, local)
 			return
 		}
 		const known = leader()
-		if (known) this.led()
+		if (known) this.onLeaderKnown()
 		if (!known || known.via.length === 0) {
-			this.again(attempt)
+			this.retry(attempt)
 			return
 		}
 		const peer = known.via[attempt.tries++ % known.via.length]
 		const { term } = known
 		const to = { peer, term, hops: 0 }
-		const limit = Math.min(TRY_LIMIT, this.left(attempt))
+		const limit = Math.min(TRY_TIMEOUT_MS, this.remainingTime(attempt))
 		attempt.term = Math.max(attempt.term, term)
-		calls.call(to, attempt.call, limit, (outcome) => this.outcome(attempt, outcome, term))
+		calls.call(to, attempt.call, limit, (outcome) => this.onOutcome(attempt, outcome, term))
 	}
 
 	/** Answers here, as the leader. */
-	private attemptHere(attempt: Attempt, { term, call }: LocalLeader): void {
+	private attemptLocally(attempt: Attempt, { term, call }: LocalLeader): void {
 		let answered = false
 		const replied = (reply: CellReply): void => {
 			if (answered) return
 			answered = true
-			this.replied(attempt, reply, term)
+			this.onReply(attempt, reply, term)
 		}
 		attempt.term = Math.max(attempt.term, term)
 		call(attempt.call, replied)
-		attempt.sent = true
+		attempt.mayHaveRun = true
 		const reason = 'not committed in time'
-		this.parts.clock.after(this.left(attempt), () => replied({ kind: 'unknown', reason }))
+		this.parts.clock.after(this.remainingTime(attempt), () => replied({ kind: 'unknown', reason }))
 	}
 
-	private outcome(attempt: Attempt, outcome: PeerOutcome, term: number): void {
+	private onOutcome(attempt: Attempt, outcome: PeerOutcome, term: number): void {
 		if (outcome.kind === 'replied') {
-			this.replied(attempt, outcome.reply, term)
+			this.onReply(attempt, outcome.reply, term)
 			return
 		}
-		if (outcome.kind === 'no-reply') attempt.sent = true
-		this.again(attempt)
+		if (outcome.kind === 'no-reply') attempt.mayHaveRun = true
+		this.retry(attempt)
 	}
 
-	private replied(attempt: Attempt, reply: CellReply, term: number): void {
+	private onReply(attempt: Attempt, reply: CellReply, term: number): void {
 		if (reply.kind === 'settled') {
-			this.settled(attempt, reply.refusal, term)
+			this.onSettled(attempt, reply.refusal, term)
 		} else if (reply.kind === 'unknown') {
-			attempt.sent = true
-			this.again(attempt)
+			attempt.mayHaveRun = true
+			this.retry(attempt)
 		} else if (reply.kind === 'not-leader') {
-			this.again(attempt)
-		} else if (attempt.sent && attempt.call.kind === 'submit' && isJobRefusal(reply)) {
-			this.doubt(attempt, reply)
+			this.retry(attempt)
+		} else if (attempt.mayHaveRun && attempt.call.kind === 'submit' && isJobRefusal(reply)) {
+			this.finishUnknown(attempt, reply)
 		} else {
 			attempt.done(reply)
 		}
@@ -181,33 +181,36 @@
 	 * A leader has settled that no try of a submission is or will be taken, as far as tries came to it or to leaders before it: those of lower
 	 * terms are void once it leads, and it knows what they have committed. A try under a later term may still have been taken.
 	 */
-	private settled(attempt: Attempt, refusal: JobRefusal, term: number): void {
-		if (term >= attempt.term || !attempt.sent) attempt.done(refusal)
-		else this.doubt(attempt, refusal)
+	private onSettled(attempt: Attempt, refusal: JobRefusal, term: number): void {
+		if (term >= attempt.term || !attempt.mayHaveRun) attempt.done(refusal)
+		else this.finishUnknown(attempt, refusal)
 	}
 
 	/** After a try without an answer a refusal says nothing of that one: it may have been taken, and its key, queue or quota changed since. */
-	private doubt(attempt: Attempt, { kind }: JobRefusal): void {
+	private finishUnknown(attempt: Attempt, { kind }: JobRefusal): void {
 		attempt.done({ kind: 'unknown', reason: `${kind} after a try without an answer` })
 	}
 
-	private again(attempt: Attempt): void {
+	private retry(attempt: Attempt): void {
 		const { clock } = this.parts
 		const now = clock.now()
-		const leaderless = !attempt.sent && now - this.ledAt + RETRY_PAUSE > attempt.limits.leaderWait
-		const spent = now - attempt.startedAt + RETRY_PAUSE > limitOf(attempt)
-		const late = spent || (attempt.limits.isAbandoned?.() ?? false)
-		if (!leaderless && !late) clock.after(RETRY_PAUSE, () => this.attempt(attempt))
-		else if (attempt.sent) attempt.done({ kind: 'unknown', reason: 'no answer from a leader' })
-		else attempt.done({ kind: 'not-run', reason: 'no leader', retryAfter: RETRY_AFTER })
+		const leaderless =
+			!attempt.mayHaveRun &&
+			now - this.leaderKnownAt + RETRY_INTERVAL_MS > attempt.limits.leaderWait
+		const isTimedOut = now - attempt.startedAt + RETRY_INTERVAL_MS > limitOf(attempt)
+		const shouldStop = isTimedOut || (attempt.limits.isAbandoned?.() ?? false)
+		if (!leaderless && !shouldStop) clock.after(RETRY_INTERVAL_MS, () => this.attempt(attempt))
+		else if (attempt.mayHaveRun)
+			attempt.done({ kind: 'unknown', reason: 'no answer from a leader' })
+		else attempt.done({ kind: 'not-run', reason: 'no leader', retryAfter: RETRY_AFTER_MS })
 	}
 
-	private left(attempt: Attempt): number {
-		const spent = this.parts.clock.now() - attempt.startedAt
-		return Math.max(RETRY_PAUSE, limitOf(attempt) - spent)
+	private remainingTime(attempt: Attempt): number {
+		const elapsed = this.parts.clock.now() - attempt.startedAt
+		return Math.max(RETRY_INTERVAL_MS, limitOf(attempt) - elapsed)
 	}
 }
 
-function limitOf({ limits: { limit, limitOnceSent = limit }, sent }: Attempt): number {
-	return sent ? limitOnceSent : limit
+function limitOf({ limits: { limit, limitOnceSent = limit }, mayHaveRun }: Attempt): number {
+	return mayHaveRun ? limitOnceSent : limit
 }
--- a/packages/member/src/lib/CoreNews.test.ts
+++ b/packages/member/src/lib/NewsBroadcaster.test.ts
@@ -4,8 +4,8 @@
 import type { Replica } from '@rillrudder/consensus'
 import type { CellNews } from '@rillrudder/protocol'
 import { ManualClock } from '@rillrudder/utils'
-import { CoreNews } from './CoreNews'
-import { ENTRY_NEWS_KEPT, LeaderView, NEWS_PERIOD } from './LeaderView'
+import { NewsBroadcaster } from './NewsBroadcaster'
+import { ENTRY_NEWS_TTL_MS, LeaderView, NEWS_INTERVAL_MS } from './LeaderView'
 import type { PeerLinks } from './PeerLinks'
 
 const ENTRY = 'entry/a'
@@ -14,19 +14,19 @@
 const LOAD = { processor: 0, loopDelay: 0, age: 0 }
 
 /** @returns to whom a core instance tells news in a span, one name for each. */
-function toldIn(span: number, leads: boolean): string[] {
+function recipientsWithin(span: number, leads: boolean): string[] {
 	const clock = new ManualClock()
 	const sent: string[] = []
 	const hub = { connected: [MEMBER, ENTRY], send: (peer: string) => sent.push(peer) > 0 }
 	const links = {
 		hub,
-		view: new LeaderView(ENTRY_NEWS_KEPT),
-		leaderCalls: { led: () => undefined },
+		view: new LeaderView(ENTRY_NEWS_TTL_MS),
+		leaderCalls: { onLeaderKnown: () => undefined },
 	}
 	const status = { leader: 'c', term: 3, members: [] }
-	const news = new CoreNews({
+	const news = new NewsBroadcaster({
 		self: leads ? 'c' : 'a',
-		life: 'life',
+		incarnation: 'life',
 		clock,
 		links: links as unknown as PeerLinks,
 		replica: () =>
@@ -34,7 +34,7 @@
 		load: () => LOAD as never,
 		linkedMembers: () => [{ id: MEMBER }],
 	})
-	clock.every(NEWS_PERIOD, () => news.tellAgain())
+	clock.every(NEWS_INTERVAL_MS, () => news.broadcastPeriodically())
 	clock.advance(span)
 	return sent
 }
@@ -42,17 +42,17 @@
 // Guards against entry instances, of which there are hundreds, being woken by news that say nothing new.
 test('entry instances are told who leads every 300 ms at most while nothing changes, others of the core every 150', () => {
 	const toldBy = (leads: boolean, peer: string): number =>
-		toldIn(SPAN, leads).filter((name) => name === peer).length
+		recipientsWithin(SPAN, leads).filter((name) => name === peer).length
 	assert.equal(toldBy(false, ENTRY), SPAN / 300)
 	assert.ok(toldBy(true, ENTRY) <= SPAN / 300)
-	assert.equal(toldBy(false, MEMBER), SPAN / NEWS_PERIOD)
-	assert.equal(toldBy(true, MEMBER), SPAN / NEWS_PERIOD)
+	assert.equal(toldBy(false, MEMBER), SPAN / NEWS_INTERVAL_MS)
+	assert.equal(toldBy(true, MEMBER), SPAN / NEWS_INTERVAL_MS)
 })
 
 test('an entry instance goes on knowing its leader over one message that is lost, and not over a second one', () => {
-	const view = new LeaderView(ENTRY_NEWS_KEPT)
+	const view = new LeaderView(ENTRY_NEWS_TTL_MS)
 	const news: CellNews = { leader: 'c', term: 3, members: [], fresh: true }
-	view.take('a', news, 0)
+	view.update('a', news, 0)
 	assert.equal(view.leader(600)?.id, 'c')
 	assert.equal(view.leader(900), undefined)
 })
--- a/packages/member/src/lib/CoreNews.ts
+++ b/packages/member/src/lib/NewsBroadcaster.ts
@@ -2,18 +2,18 @@
 import type { Replica } from '@rillrudder/consensus'
 import type { CellNews, LoadReport } from '@rillrudder/protocol'
 import type { Clock } from '@rillrudder/utils'
-import { ENTRY_TOLD_EVERY, LEADER_TELLS_EVERY } from './LeaderView'
+import { ENTRY_NEWS_EVERY, LEADER_NEWS_EVERY } from './LeaderView'
 import type { PeerLinks } from './PeerLinks'
 
 /** Milliseconds since its last word for which a follower says that its leader is there. */
-const LEADER_FRESH = 500
+const LEADER_CONTACT_TTL_MS = 500
 
 /** What telling needs of the instance. @internal */
-export interface CoreNewsParts {
+export interface NewsBroadcasterParts {
 	/** Link address of the instance. */
 	readonly self: string
 	/** This life of the instance, unlike any other. */
-	readonly life: string
+	readonly incarnation: string
 	readonly clock: Clock
 	readonly links: PeerLinks
 	readonly replica: () => Replica
@@ -28,42 +28,42 @@
  *
  * @internal
  */
-export class CoreNews {
-	private told = 0
+export class NewsBroadcaster {
+	private rounds = 0
 
-	constructor(private readonly parts: CoreNewsParts) {}
+	constructor(private readonly parts: NewsBroadcasterParts) {}
 
 	/** Tells news that are due, entry instances more seldom. */
-	tellAgain(): void {
+	broadcastPeriodically(): void {
 		const { replica, linkedMembers } = this.parts
-		this.told += 1
-		const every = replica().leads ? LEADER_TELLS_EVERY : ENTRY_TOLD_EVERY
-		if (this.told % every === 0) this.tell()
-		else this.tellTo(linkedMembers().map(({ id }) => id))
+		this.rounds += 1
+		const every = replica().leads ? LEADER_NEWS_EVERY : ENTRY_NEWS_EVERY
+		if (this.rounds % every === 0) this.broadcast()
+		else this.sendTo(linkedMembers().map(({ id }) => id))
 	}
 
 	/** Tells everyone, since something has changed. */
-	tell(): void {
-		this.tellTo(this.parts.links.hub.connected)
+	broadcast(): void {
+		this.sendTo(this.parts.links.hub.connected)
 	}
 
-	private tellTo(peers: readonly string[]): void {
+	private sendTo(peers: readonly string[]): void {
 		const { self, clock, links } = this.parts
-		const value = this.news()
-		links.view.take(self, value, clock.now())
-		if (value.fresh) links.leaderCalls.led()
+		const value = this.currentNews()
+		links.view.update(self, value, clock.now())
+		if (value.fresh) links.leaderCalls.onLeaderKnown()
 		for (const peer of peers) links.hub.send(peer, { body: { $case: 'cellNews', value } })
 	}
 
-	private news(): CellNews {
+	private currentNews(): CellNews {
 		const replica = this.parts.replica()
 		const { leader, term, members } = replica.status
 		const now = this.parts.clock.now()
 		const fresh = replica.leads
 			? replica.holdsLease(now)
-			: now - replica.leaderHeardAt < LEADER_FRESH
+			: now - replica.leaderHeardAt < LEADER_CONTACT_TTL_MS
 		const ids = members.map((member) => member.id)
-		const sent = { life: this.parts.life, at: now }
+		const sent = { life: this.parts.incarnation, at: now }
 		return { leader, term, members: ids, fresh, load: this.parts.load(), sent }
 	}
 }
--- a/packages/member/src/lib/PeerCalls.ts
+++ b/packages/member/src/lib/PeerCalls.ts
@@ -13,7 +13,7 @@
 	| { readonly kind: 'no-reply' }
 
 /** Calls that can wait for replies at a time; more are not sent. */
-const MOST_PENDING = 10_000
+const MAX_PENDING_CALLS = 10_000
 
 interface Pending {
 	readonly peer: string
@@ -61,11 +61,11 @@
 		limit: number,
 		done: (outcome: PeerOutcome) => void
 	): void {
-		this.pass(to, Buffer.from(JSON.stringify(call)), limit, done)
+		this.callEncoded(to, Buffer.from(JSON.stringify(call)), limit, done)
 	}
 
 	/** Makes a call that is encoded already. */
-	pass(
+	callEncoded(
 		{ peer, term, hops }: PeerDestination,
 		body: Buffer,
 		limit: number,
@@ -73,7 +73,7 @@
 	): void {
 		const id = ++this.lastId
 		const value: PeerCall = { id, body, hops, term }
-		const full = this.pending.size >= MOST_PENDING
+		const full = this.pending.size >= MAX_PENDING_CALLS
 		if (full || !this.send(peer, { body: { $case: 'peerCall', value } })) {
 			done({ kind: 'not-sent' })
 			return
@@ -90,13 +90,13 @@
 	}
 
 	/** Takes a peer's reply. */
-	replied({ id, body }: PeerReply): void {
+	onReply({ id, body }: PeerReply): void {
 		const reply = decodeReply(body)
 		this.settle(id, reply ? { kind: 'replied', reply } : { kind: 'no-reply' })
 	}
 
 	/** A link is lost: what was sent over it gets no reply any more. */
-	lost(peer: string): void {
+	onLinkLost(peer: string): void {
 		for (const [id, pending] of this.pending) {
 			if (pending.peer === peer) this.settle(id, { kind: 'no-reply' })
 		}
--- a/packages/member/src/lib/PeerLinks.ts
+++ b/packages/member/src/lib/PeerLinks.ts
@@ -5,7 +5,7 @@
 import type { Clock } from '@rillrudder/utils'
 import { LeaderCalls, type LocalLeader } from './LeaderCalls'
 import { LeaderView } from './LeaderView'
-import { LINK_SILENCE, LONGEST_REDIAL } from './linkTiming'
+import { LINK_SILENCE_TIMEOUT_MS, MAX_REDIAL_DELAY_MS } from './linkTiming'
 import { MemberEvent } from './MemberEvent'
 import { PeerCalls } from './PeerCalls'
 import { tellCall } from './tellCall'
@@ -15,16 +15,16 @@
 	/** Its id; other instances dial a core instance by it. */
 	readonly self: string
 	/** Milliseconds for which it counts what peers other than the leader tell of who leads. */
-	readonly newsKept: number
+	readonly newsTtl: number
 	readonly clock: Clock
 	readonly log: Log
 	readonly meter: Meter
 	/** Takes an event from a peer. */
-	readonly receive: (from: string, event: Event) => void
+	readonly onEvent: (from: string, event: Event) => void
 	/** Told once a peer is lost. */
-	readonly lost?: (peer: string) => void
+	readonly onPeerLost?: (peer: string) => void
 	/** @returns this instance as the leader; undefined while it does not lead. */
-	readonly local?: () => LocalLeader | undefined
+	readonly localLeader?: () => LocalLeader | undefined
 }
 
 /**
@@ -42,29 +42,29 @@
 	readonly leaderCalls: LeaderCalls
 
 	constructor(private readonly parts: PeerLinksParts) {
-		const { self, clock, log, meter, receive, local, newsKept } = parts
-		this.view = new LeaderView(newsKept)
+		const { self, clock, log, meter, onEvent, localLeader, newsTtl } = parts
+		this.view = new LeaderView(newsTtl)
 		this.hub = new LinkHub({
 			self,
 			clock,
 			...linkSecurity(undefined),
-			receive,
-			changed: (peer, connected) => this.changed(peer, connected),
-			silence: LINK_SILENCE,
-			longestRetry: LONGEST_REDIAL,
+			receive: onEvent,
+			changed: (peer, connected) => this.onLinkChanged(peer, connected),
+			silence: LINK_SILENCE_TIMEOUT_MS,
+			longestRetry: MAX_REDIAL_DELAY_MS,
 		})
 		this.calls = new PeerCalls(clock, (peer, event) => this.hub.send(peer, event))
 		const leader = () => this.view.leader(clock.now())
-		const slow = tellCall(log, leader)
-		const life = randomUUID()
+		const onFailedOrSlow = tellCall(log, leader)
+		const incarnation = randomUUID()
 		this.leaderCalls = new LeaderCalls({
 			clock,
 			calls: this.calls,
 			meter,
 			leader,
-			slow,
-			local,
-			life,
+			onFailedOrSlow,
+			localLeader,
+			incarnation,
 		})
 	}
 
@@ -75,12 +75,12 @@
 		for (const peer of this.hub.dialledPeers) if (!wanted.has(peer)) this.hub.hangUp(peer)
 	}
 
-	private changed(peer: string, connected: boolean): void {
+	private onLinkChanged(peer: string, connected: boolean): void {
 		const event = connected ? MemberEvent.PeerRegained : MemberEvent.PeerLost
 		this.parts.log.info(event, { peer })
 		if (connected) return
-		this.calls.lost(peer)
-		this.view.lost(peer)
-		this.parts.lost?.(peer)
+		this.calls.onLinkLost(peer)
+		this.view.onLinkLost(peer)
+		this.parts.onPeerLost?.(peer)
 	}
 }
