--- a/packages/member/src/lib/ApiServer.ts
+++ b/packages/member/src/lib/ApiServer.ts
@@ -14,14 +14,14 @@
 import type { RetryLimits } from './LeaderCalls'
 
 /** Operators wait longer than callers do. */
-const FINALITY: RetryLimits = { leaderWait: 2000, limit: 5000 }
+const OPERATOR_RETRY_LIMITS: RetryLimits = { leaderWait: 2000, limit: 5000 }
 /** Jobs in a list, where the call names no other number. */
-const DEFAULT_LIST = 100
-const MOST_LIST = 1000
-const JOB = /^\/v1\/jobs\/([0-9a-f]{16})(\/cancel)?$/
+const DEFAULT_LIST_SIZE = 100
+const MAX_LIST_SIZE = 1000
+const JOB_PATH = /^\/v1\/jobs\/([0-9a-f]{16})(\/cancel)?$/
 /** How the key of a client account is shown. */
-const BEARER = /^Bearer +(\S+)$/i
-const QUEUE_JOB = /^\/v1\/queues\/([^/]+)\/jobs\/([0-9a-f]{16})$/
+const BEARER_TOKEN = /^Bearer +(\S+)$/i
+const QUEUE_JOB_PATH = /^\/v1\/queues\/([^/]+)\/jobs\/([0-9a-f]{16})$/
 
 /** What the interface works with. @public */
 export interface ApiServerParts {
@@ -62,27 +62,32 @@
 		if (method === 'GET' && path === '/v1/status') {
 			return { status: 200, body: { content: this.parts.status() } }
 		}
-		const asked = toCall(call)
-		return 'status' in asked ? asked : toAnswer(await this.parts.call(asked, FINALITY))
+		const request = toCall(call)
+		return 'status' in request
+			? request
+			: toAnswer(await this.parts.call(request, OPERATOR_RETRY_LIMITS))
 	}
 }
 
 const TEXT = { 'content-type': 'text/plain; version=0.0.4' }
 
 function toCall({ method, path, query, headers, body }: HttpCall): CellCall | HttpAnswer {
-	const submitted = QUEUE_JOB.exec(path)
+	const submitted = QUEUE_JOB_PATH.exec(path)
 	if (method === 'POST' && submitted) {
 		const to = { queue: submitted[1], id: submitted[2], keyDigest: bearerDigest(headers) }
 		return toSubmission(to, body)
 	}
 	if (method === 'GET' && path === '/v1/accounts') return { kind: 'list-accounts' }
 	if (method === 'GET' && path === '/v1/jobs') {
-		const most = Math.min(MOST_LIST, Number(query.get('most') ?? DEFAULT_LIST) || DEFAULT_LIST)
+		const limit = Math.min(
+			MAX_LIST_SIZE,
+			Number(query.get('most') ?? DEFAULT_LIST_SIZE) || DEFAULT_LIST_SIZE
+		)
 		const queue = query.get('queue') ?? undefined
 		const state = query.get('state') ?? undefined
-		return { kind: 'list-jobs', filter: { queue, state, most } }
+		return { kind: 'list-jobs', filter: { queue, state, most: limit } }
 	}
-	const job = JOB.exec(path)
+	const job = JOB_PATH.exec(path)
 	if (method === 'GET' && job && !job[2]) return { kind: 'explain-job', id: job[1] }
 	if (method === 'POST' && job?.[2]) return { kind: 'cancel', to: { id: job[1] } }
 	return { status: 404, body: { message: `there is no ${method} ${path}` } }
@@ -90,7 +95,7 @@
 
 /** @returns the digest of the key that a call shows as a bearer token; undefined for none. */
 function bearerDigest({ authorization }: HttpCall['headers']): string | undefined {
-	const key = BEARER.exec(authorization ?? '')?.[1]
+	const key = BEARER_TOKEN.exec(authorization ?? '')?.[1]
 	return key === undefined ? undefined : digestOf(key)
 }
 
@@ -111,9 +116,9 @@
 	}
 	const { spec = '', steps, repeat } = (read ?? {}) as Partial<JobRequest>
 	if (typeof spec !== 'string' || !Array.isArray(steps)) return undefined
-	const whole = steps.map((step) => completeStep(step))
-	if (whole.some((step) => step === undefined)) return undefined
-	return { spec, steps: whole as JobRequest['steps'], repeat }
+	const complete = steps.map((step) => completeStep(step))
+	if (complete.some((step) => step === undefined)) return undefined
+	return { spec, steps: complete as JobRequest['steps'], repeat }
 }
 
 /** @returns the step with what it leaves out, or undefined when a field has the wrong type. */
--- a/packages/member/src/lib/CallFaults.ts
+++ b/packages/member/src/lib/CallFaults.ts
@@ -11,9 +11,9 @@
 import { MemberEvent } from './MemberEvent'
 
 /** Calls that are remembered as faulty; the oldest is forgotten first. */
-const MOST_KNOWN = 100
+const MAX_FAULTY_CALLS = 100
 /** Milliseconds between two lines about unreadable messages. */
-const TELL_EVERY = 5000
+const LOG_INTERVAL_MS = 5000
 
 /**
  * Faults of messages.
@@ -22,9 +22,9 @@
  */
 export class CallFaults {
 	/** Digests of calls whose handling has failed here. */
-	private readonly known = new Set<string>()
-	private untold = 0
-	private toldAt = Number.NEGATIVE_INFINITY
+	private readonly faultyCalls = new Set<string>()
+	private unreportedMessages = 0
+	private lastLoggedAt = Number.NEGATIVE_INFINITY
 
 	constructor(
 		private readonly clock: Clock,
@@ -33,14 +33,14 @@
 	) {}
 
 	/** A message of a peer could not be read. */
-	unreadable(peer: string): void {
+	onUnreadable(peer: string): void {
 		this.meter.count(Measure.MessagesUnreadable)
-		this.untold += 1
+		this.unreportedMessages += 1
 		const now = this.clock.now()
-		if (now - this.toldAt < TELL_EVERY) return
-		this.log.warn(MemberEvent.MessagesUnreadable, { peer, messages: this.untold })
-		this.toldAt = now
-		this.untold = 0
+		if (now - this.lastLoggedAt < LOG_INTERVAL_MS) return
+		this.log.warn(MemberEvent.MessagesUnreadable, { peer, messages: this.unreportedMessages })
+		this.lastLoggedAt = now
+		this.unreportedMessages = 0
 	}
 
 	/**
@@ -50,25 +50,25 @@
 	 */
 	handle(call: CellCall, done: (reply: CellReply) => void, handle: () => void): void {
 		const unknown: CellReply = { kind: 'unknown', reason: 'it could not be handled' }
-		if (this.known.size > 0 && this.known.has(digestOf(call))) return done(unknown)
+		if (this.faultyCalls.size > 0 && this.faultyCalls.has(digestOf(call))) return done(unknown)
 		try {
 			handle()
 		} catch (fault) {
-			this.note(call, fault as Error)
+			this.record(call, fault as Error)
 			done(unknown)
 		}
 	}
 
-	private note(call: CellCall, { message: reason }: Error): void {
+	private record(call: CellCall, { message: reason }: Error): void {
 		this.meter.count(Measure.CallsFaulty, { call: call.kind })
 		this.log.error(MemberEvent.CallFaulty, { call: call.kind, reason })
-		if (this.known.size >= MOST_KNOWN) this.known.delete([...this.known][0])
-		this.known.add(digestOf(call))
+		if (this.faultyCalls.size >= MAX_FAULTY_CALLS) this.faultyCalls.delete([...this.faultyCalls][0])
+		this.faultyCalls.add(digestOf(call))
 	}
 }
 
 /** The name of a call is left out: a submission that its caller brings again has another. */
 function digestOf(call: CellCall): string {
-	const asked = call.kind === 'submit' ? { ...call, call: undefined } : call
-	return createHash('sha256').update(JSON.stringify(asked)).digest('hex')
+	const identity = call.kind === 'submit' ? { ...call, call: undefined } : call
+	return createHash('sha256').update(JSON.stringify(identity)).digest('hex')
 }
--- a/packages/member/src/lib/CoreInstance.ts
+++ b/packages/member/src/lib/CoreInstance.ts
@@ -24,7 +24,7 @@
 import { CellMachine } from './CellMachine'
 import type { RetryLimits, LocalLeader } from './LeaderCalls'
 import { NewsBroadcaster } from './NewsBroadcaster'
-import { decodeCall } from './linkBodies'
+import { decodeCall } from './messageBodies'
 import { CellLoads } from './load/CellLoads'
 import { CarrierWeights } from './load/CarrierWeights'
 import type { InstanceCapacity } from './load/InstanceCapacity'
@@ -38,18 +38,18 @@
 
 const GROUP = 'cell'
 /** Milliseconds between two settings of the gauges. */
-const MEASURE_PERIOD = 1000
+const GAUGE_INTERVAL_MS = 1000
 /** Milliseconds that a planned stop waits for another instance to lead. */
-const HAND_OVER_WAIT = 1500
+const HAND_OVER_TIMEOUT_MS = 1500
 /** Milliseconds that a stopping instance still passes calls on to its successor. */
-const LAST_CALLS = 300
+const LAST_CALLS_MS = 300
 /** Milliseconds that a call that is passed on may take. */
-const RELAY_LIMIT = 1200
+const RELAY_TIMEOUT_MS = 1200
 
 /** How long the leader is told of heartbeats that others heard; the next ones say it again. */
-const HEARD_FINALITY = { leaderWait: 300, limit: 600 }
+const HEARTBEAT_RETRY_LIMITS = { leaderWait: 300, limit: 600 }
 /** What a worker is told whose heartbeat can't be brought to the leader for now. */
-const LEADER_SILENT: CellReply = {
+const LEADER_UNREACHABLE: CellReply = {
 	kind: 'not-run',
 	reason: 'the leader does not answer',
 	retryAfter: 1000,
@@ -95,7 +95,7 @@
  */
 export class CoreInstance {
 	/** This life of the instance, unlike any other. */
-	private readonly life = randomUUID()
+	private readonly incarnation = randomUUID()
 	private readonly state = new CellState()
 	private readonly machine = new CellMachine(this.state)
 	private readonly links: PeerLinks
@@ -107,13 +107,13 @@
 	private readonly load: InstanceLoad
 	private readonly loads: CellLoads
 	/** When each peer last said something, on the instance's clock. */
-	private readonly heardAt = new Map<string, number>()
+	private readonly lastHeardAt = new Map<string, number>()
 	private group!: Group
 	private session: LeaderSession | undefined
 	private timers: Timer[] = []
-	private toldLeader = ''
+	private loggedLeader = ''
 	/** The members that were told last; the group replaces the list whenever it changes. */
-	private toldMembers: readonly Member[] = []
+	private loggedMembers: readonly Member[] = []
 
 	constructor(private readonly parts: CoreParts) {
 		const { clock, address: self, adviser } = parts
@@ -126,8 +126,8 @@
 			clock,
 			log: parts.log,
 			meter: parts.meter,
-			onEvent: (from, event) => this.receive(from, event),
-			onPeerLost: (peer) => this.lost(peer),
+			onEvent: (from, event) => this.onEvent(from, event),
+			onPeerLost: (peer) => this.onPeerLost(peer),
 			localLeader: () => this.localLeader(),
 		})
 		const peers = (): readonly string[] => this.links.hub.connected
@@ -141,13 +141,14 @@
 		this.heartbeats = new HeartbeatBatcher({
 			workers: this.state.workers,
 			clock,
-			report: (heard) => this.links.leaderCalls.call({ kind: 'heartbeats', heard }, HEARD_FINALITY),
+			report: (heard) =>
+				this.links.leaderCalls.call({ kind: 'heartbeats', heard }, HEARTBEAT_RETRY_LIMITS),
 			canReport: () => this.links.view.leader(clock.now()) !== undefined,
 			onRefusingChanged: (active) => parts.log.warn(MemberEvent.HeartbeatsRefused, { active }),
 		})
 		this.news = new NewsBroadcaster({
 			self,
-			incarnation: this.life,
+			incarnation: this.incarnation,
 			clock,
 			links: this.links,
 			replica: () => this.group.replica,
@@ -178,22 +179,21 @@
 		this.timers = [
 			clock.every(TICK_INTERVAL_MS, () => this.tick()),
 			clock.every(NEWS_INTERVAL_MS, () => this.news.broadcastPeriodically()),
-			clock.every(MEASURE_PERIOD, () => this.measure()),
+			clock.every(GAUGE_INTERVAL_MS, () => this.updateGauges()),
 		]
 	}
 
 	/** Brings a call to the leader, here or elsewhere. */
-	call(call: CellCall, finality: RetryLimits): Promise<CellReply> {
-		if (call.kind !== 'heartbeat' || this.session)
-			return this.links.leaderCalls.call(call, finality)
+	call(call: CellCall, limits: RetryLimits): Promise<CellReply> {
+		if (call.kind !== 'heartbeat' || this.session) return this.links.leaderCalls.call(call, limits)
 		const handling = this.heartbeats.handle(call.heartbeat)
 		switch (handling) {
 			case HeartbeatHandling.Batched:
 				return Promise.resolve({ kind: 'noted' })
 			case HeartbeatHandling.Refused:
-				return Promise.resolve(LEADER_SILENT)
+				return Promise.resolve(LEADER_UNREACHABLE)
 			case HeartbeatHandling.Forwarded:
-				return this.links.leaderCalls.call(call, finality)
+				return this.links.leaderCalls.call(call, limits)
 			default:
 				return exhaustive(handling)
 		}
@@ -203,10 +203,10 @@
 	async stop(): Promise<void> {
 		const { clock } = this.parts
 		const wait = (span: number) => new Promise<void>((done) => clock.after(span, done))
-		const until = clock.now() + HAND_OVER_WAIT
+		const until = clock.now() + HAND_OVER_TIMEOUT_MS
 		if (this.group.replica.leads) this.group.handOver()
 		while (this.group.replica.leads && clock.now() < until) await wait(TICK_INTERVAL_MS)
-		await wait(LAST_CALLS)
+		await wait(LAST_CALLS_MS)
 		for (const timer of this.timers) timer.cancel()
 		this.endSession()
 		await this.group.stop()
@@ -214,17 +214,8 @@
 	}
 
 	private async openGroup(): Promise<Group> {
-		const {
-			address,
-			dataCentre,
-			data,
-			clock,
-			random,
-			timing,
-			log,
-			onFatalError: fail,
-			startedAt,
-		} = this.parts
+		const { address, dataCentre, data, clock, random, timing, log, onFatalError, startedAt } =
+			this.parts
 		const opened = await GroupStore.open({
 			disk: new SystemDisk(),
 			folder: join(data, GROUP),
@@ -251,8 +242,8 @@
 			clock,
 			send: (to, message) =>
 				void this.links.hub.send(to, { body: { $case: 'group', value: message } }),
-			fail,
-			settled: () => this.settled(),
+			fail: onFatalError,
+			settled: () => this.onGroupSettled(),
 		})
 	}
 
@@ -264,13 +255,13 @@
 	private tick(): void {
 		this.load.tick(this.parts.clock.now())
 		this.group.tick()
-		this.settled()
+		this.onGroupSettled()
 		if (this.session && this.group.mayAct) this.session.tick()
 		this.dial()
 	}
 
 	/** Sets the gauges. */
-	private measure(): void {
+	private updateGauges(): void {
 		const { meter } = this.parts
 		const { term, members } = this.group.replica.status
 		meter.gauge(Measure.LoopDelay, this.load.loopDelay)
@@ -281,20 +272,20 @@
 	}
 
 	/** Begins or ends a leadership as the group's state asks for it. */
-	private settled(): void {
+	private onGroupSettled(): void {
 		const { replica } = this.group
 		const { term, leader, members } = replica.status
 		if (this.session && (!replica.leads || term !== this.session.term)) this.endSession()
 		if (!this.session && this.group.mayAct) this.startSession(term)
-		if (leader !== this.toldLeader) {
-			this.toldLeader = leader
+		if (leader !== this.loggedLeader) {
+			this.loggedLeader = leader
 			this.parts.log.info(MemberEvent.LeaderChanged, { leader, term })
 			this.news.broadcast()
 		}
-		if (members === this.toldMembers) return
+		if (members === this.loggedMembers) return
 		const named = namesOf(members)
-		const before = namesOf(this.toldMembers)
-		this.toldMembers = members
+		const before = namesOf(this.loggedMembers)
+		this.loggedMembers = members
 		if (named !== before) this.parts.log.info(MemberEvent.MembersChanged, { members: named })
 	}
 
@@ -323,12 +314,12 @@
 		return new CarriedOrders({
 			direct,
 			term,
-			incarnation: this.life,
+			incarnation: this.incarnation,
 			clock,
 			log,
 			linkedCarriers: () => this.linkedMembers(),
 			weights: new CarrierWeights(this.loads.core, log, meter),
-			lastHeardAt: (id) => this.heardAt.get(id) ?? Number.NEGATIVE_INFINITY,
+			lastHeardAt: (id) => this.lastHeardAt.get(id) ?? Number.NEGATIVE_INFINITY,
 			workerCount: () => this.state.workers.size,
 			send: (to, value) => this.links.hub.send(to, { body: { $case: 'orderBatch', value } }),
 		})
@@ -339,7 +330,7 @@
 		return members.filter(({ id }) => id !== this.parts.address && this.links.hub.isConnected(id))
 	}
 
-	private lost(peer: string): void {
+	private onPeerLost(peer: string): void {
 		this.loads.onLinkLost(peer)
 		this.session?.onLinkLost(peer)
 	}
@@ -351,20 +342,20 @@
 
 	/** @returns this instance as the leader; undefined while it may not act as such. */
 	private localLeader(): LocalLeader | undefined {
-		const { session: leading, faults } = this
-		if (!leading || !this.group.mayAct) return undefined
+		const { session, faults } = this
+		if (!session || !this.group.mayAct) return undefined
 		return {
-			term: leading.term,
-			call: (call, done) => faults.handle(call, done, () => leading.call(call, done)),
+			term: session.term,
+			call: (call, done) => faults.handle(call, done, () => session.call(call, done)),
 		}
 	}
 
-	private receive(from: string, { body }: Event): void {
+	private onEvent(from: string, { body }: Event): void {
 		const now = this.parts.clock.now()
-		this.heardAt.set(from, now)
+		this.lastHeardAt.set(from, now)
 		if (!body) return
 		if (body.$case === 'group') this.group.receive(body.value)
-		else if (body.$case === 'peerCall') this.peerCalled(from, body.value)
+		else if (body.$case === 'peerCall') this.onPeerCall(from, body.value)
 		else if (body.$case === 'cellNews') {
 			this.links.view.update(from, body.value, now)
 			this.carrier.onMessage(from, body.value.sent)
@@ -378,10 +369,10 @@
 		}
 	}
 
-	private peerCalled(from: string, { id, body, hops, term }: PeerCall): void {
+	private onPeerCall(from: string, { id, body, hops, term }: PeerCall): void {
 		const reply = (value: CellReply): void => this.links.calls.reply(from, id, value)
 		const call = decodeCall(body)
-		if (!call) return this.faults.unreadable(from)
+		if (!call) return this.faults.onUnreadable(from)
 		if (call.kind === 'advise') {
 			void answerQuestion(this.parts.adviser, call.question).then(reply)
 			return
@@ -398,7 +389,7 @@
 			return
 		}
 		const to = { peer: leader, term, hops: hops + 1 }
-		this.links.calls.callEncoded(to, body, RELAY_LIMIT, (outcome) => {
+		this.links.calls.callEncoded(to, body, RELAY_TIMEOUT_MS, (outcome) => {
 			if (outcome.kind === 'replied') reply(outcome.reply)
 			else if (outcome.kind === 'not-sent') reply({ kind: 'not-leader' })
 			else reply({ kind: 'unknown', reason: 'the leader did not answer' })
--- a/packages/member/src/lib/EntryInstance.ts
+++ b/packages/member/src/lib/EntryInstance.ts
@@ -6,18 +6,18 @@
 import type { Adviser } from './Adviser'
 import { answerQuestion } from './PeerAdvisers'
 import type { RetryLimits } from './LeaderCalls'
-import { decodeCall } from './linkBodies'
+import { decodeCall } from './messageBodies'
 import { ENTRY_NEWS_TTL_MS } from './LeaderView'
 import { EntryLoad } from './load/EntryLoad'
 import type { InstanceCapacity } from './load/InstanceCapacity'
 import { MemberEvent } from './MemberEvent'
 import { PeerLinks } from './PeerLinks'
-import { peersForEntry } from './peersForEntry'
+import { selectEntryPeers } from './selectEntryPeers'
 
 /** Milliseconds between two polls of whom to dial. */
-const DIAL_PERIOD = 250
+const DIAL_INTERVAL_MS = 250
 /** Milliseconds without a leader after which every instance of the core is dialled; a change takes less. */
-const LEADERLESS = 700
+const LEADERLESS_TIMEOUT_MS = 700
 const ID_PREFIX = 'entry/'
 
 /** What an entry instance is made with. @public */
@@ -41,20 +41,20 @@
 	private readonly links: PeerLinks
 	private readonly load: EntryLoad
 	private timer: Timer | undefined
-	private toldLeader = ''
+	private loggedLeader = ''
 	/** When a leader was last known, on the instance's clock. */
-	private ledAt = Number.NEGATIVE_INFINITY
+	private leaderKnownAt = Number.NEGATIVE_INFINITY
 
 	constructor(private readonly parts: EntryParts) {
-		this.load = new EntryLoad({ ...parts, period: DIAL_PERIOD })
+		this.load = new EntryLoad({ ...parts, period: DIAL_INTERVAL_MS })
 		this.links = new PeerLinks({
 			self: ID_PREFIX + parts.name,
 			newsTtl: ENTRY_NEWS_TTL_MS,
 			clock: parts.clock,
 			log: parts.log,
 			meter: parts.meter,
-			onEvent: (from, event) => this.receive(from, event),
-			onPeerLost: () => this.noteLeader(),
+			onEvent: (from, event) => this.onEvent(from, event),
+			onPeerLost: () => this.updateLeader(),
 		})
 	}
 
@@ -70,12 +70,12 @@
 	/** Links up. */
 	start(): void {
 		this.dial()
-		this.timer = this.parts.clock.every(DIAL_PERIOD, () => this.tick())
+		this.timer = this.parts.clock.every(DIAL_INTERVAL_MS, () => this.tick())
 	}
 
 	/** Brings a call to the leader. */
-	call(call: CellCall, finality: RetryLimits): Promise<CellReply> {
-		return this.load.track(() => this.links.leaderCalls.call(call, finality))
+	call(call: CellCall, limits: RetryLimits): Promise<CellReply> {
+		return this.load.track(() => this.links.leaderCalls.call(call, limits))
 	}
 
 	/** Ends all links. */
@@ -84,17 +84,17 @@
 		this.links.hub.close()
 	}
 
-	private receive(from: string, { body }: Event): void {
+	private onEvent(from: string, { body }: Event): void {
 		if (!body) return
 		if (body.$case === 'peerReply') this.links.calls.onReply(body.value)
-		else if (body.$case === 'peerCall') this.peerCalled(from, body.value)
+		else if (body.$case === 'peerCall') this.onPeerCall(from, body.value)
 		else if (body.$case === 'cellNews') {
 			this.links.view.update(from, body.value, this.parts.clock.now())
-			this.noteLeader()
+			this.updateLeader()
 		}
 	}
 
-	private peerCalled(from: string, { id, body }: PeerCall): void {
+	private onPeerCall(from: string, { id, body }: PeerCall): void {
 		const call = decodeCall(body)
 		if (call?.kind !== 'advise') {
 			this.links.calls.reply(from, id, { kind: 'not-leader' })
@@ -105,12 +105,12 @@
 		)
 	}
 
-	private noteLeader(): void {
+	private updateLeader(): void {
 		if (this.knowsLeader) this.links.leaderCalls.onLeaderKnown()
 		const known = this.links.view.leader(this.parts.clock.now())
 		const leader = known?.id ?? ''
-		if (leader === this.toldLeader) return
-		this.toldLeader = leader
+		if (leader === this.loggedLeader) return
+		this.loggedLeader = leader
 		this.parts.log.info(MemberEvent.LeaderChanged, { leader, term: known?.term ?? 0 })
 	}
 
@@ -124,9 +124,9 @@
 		const { view } = this.links
 		const now = clock.now()
 		const leader = view.leader(now)
-		if (leader) this.ledAt = now
-		const lost = now - this.ledAt > LEADERLESS
-		const known = lost ? undefined : { leader: leader?.id, heard: view.freshPeers(now) }
-		this.links.dialOnly(peersForEntry(name, seeds(), view.members(), known))
+		if (leader) this.leaderKnownAt = now
+		const lost = now - this.leaderKnownAt > LEADERLESS_TIMEOUT_MS
+		const known = lost ? undefined : { leader: leader?.id, freshPeers: view.freshPeers(now) }
+		this.links.dialOnly(selectEntryPeers(name, seeds(), view.members(), known))
 	}
 }
--- a/packages/member/src/lib/LeaderCalls.test.ts
+++ b/packages/member/src/lib/LeaderCalls.test.ts
@@ -6,7 +6,7 @@
 import { Meter } from '@rillrudder/telemetry'
 import { ManualClock } from '@rillrudder/utils'
 import { LeaderCalls, type RetryLimits, type LocalLeader } from './LeaderCalls'
-import { decodeCall } from './linkBodies'
+import { decodeCall } from './messageBodies'
 import type { KnownLeader } from './LeaderView'
 import { PeerCalls } from './PeerCalls'
 
--- a/packages/member/src/lib/PeerCalls.ts
+++ b/packages/member/src/lib/PeerCalls.ts
@@ -2,7 +2,7 @@
 import type { CellCall, CellReply } from '@rillrudder/jobs'
 import type { Event, LoadReport, PeerCall, PeerReply } from '@rillrudder/protocol'
 import type { Clock, Timer } from '@rillrudder/utils'
-import { decodeReply } from './linkBodies'
+import { decodeReply } from './messageBodies'
 
 /** What came of a call to a peer. @internal */
 export type PeerOutcome =
--- a/packages/member/src/lib/PeerLinks.ts
+++ b/packages/member/src/lib/PeerLinks.ts
@@ -8,7 +8,7 @@
 import { LINK_SILENCE_TIMEOUT_MS, MAX_REDIAL_DELAY_MS } from './linkTiming'
 import { MemberEvent } from './MemberEvent'
 import { PeerCalls } from './PeerCalls'
-import { tellCall } from './tellCall'
+import { callLogger } from './callLogger'
 
 /** What the links of an instance are made with. @internal */
 export interface PeerLinksParts {
@@ -55,7 +55,7 @@
 		})
 		this.calls = new PeerCalls(clock, (peer, event) => this.hub.send(peer, event))
 		const leader = () => this.view.leader(clock.now())
-		const onFailedOrSlow = tellCall(log, leader)
+		const onFailedOrSlow = callLogger(log, leader)
 		const incarnation = randomUUID()
 		this.leaderCalls = new LeaderCalls({
 			clock,
--- a/packages/member/src/lib/WakingOrders.ts
+++ b/packages/member/src/lib/WakingOrders.ts
@@ -19,7 +19,7 @@
  * @internal
  */
 export class WakingOrders extends WorkerOrders {
-	private over = false
+	private hasEnded = false
 
 	/**
 	 * @param orders - what carries the orders.
@@ -37,29 +37,29 @@
 		order: StartOrder,
 		done: (result: OrderResult) => void
 	): void {
-		this.orders.start(worker, order, this.waking(done))
+		this.orders.start(worker, order, this.withWake(done))
 	}
 
 	override stop(worker: OrderTarget, order: StopOrder, done: (result: OrderResult) => void): void {
-		this.orders.stop(worker, order, this.waking(done))
+		this.orders.stop(worker, order, this.withWake(done))
 	}
 
 	override pace(worker: OrderTarget, order: PaceOrder, done: (result: OrderResult) => void): void {
-		this.orders.pace(worker, order, this.waking(done))
+		this.orders.pace(worker, order, this.withWake(done))
 	}
 
 	override poll(worker: OrderTarget, order: PollOrder, done: (result: PollResult) => void): void {
-		this.orders.poll(worker, order, this.waking(done))
+		this.orders.poll(worker, order, this.withWake(done))
 	}
 
 	/** The leadership is over. */
 	end(): void {
-		this.over = true
+		this.hasEnded = true
 	}
 
-	private waking<Result>(done: (result: Result) => void): (result: Result) => void {
+	private withWake<Result>(done: (result: Result) => void): (result: Result) => void {
 		return (result) => {
-			if (this.over) return
+			if (this.hasEnded) return
 			done(result)
 			this.wake()
 		}
--- a/packages/member/src/lib/tellCall.ts
+++ b/packages/member/src/lib/callLogger.ts
@@ -10,7 +10,7 @@
  * @returns a function that writes the line.
  * @internal
  */
-export function tellCall(log: Log, leader: () => KnownLeader | undefined) {
+export function callLogger(log: Log, leader: () => KnownLeader | undefined) {
 	return (call: CellCall, reply: CellReply, took: number, tries: number): void => {
 		const known = leader()
 		log.info(MemberEvent.CallAnswered, {
--- a/packages/member/src/lib/carriers/CarriedOrder.ts
+++ b/packages/member/src/lib/carriers/CarriedOrder.ts
@@ -8,7 +8,7 @@
 	StartOrder,
 	StopOrder,
 } from '@rillrudder/jobs'
-import { decodeBatch, isFields } from '../linkBodies'
+import { decodeBatch, isJsonObject } from '../messageBodies'
 
 /** What a worker is told. @internal */
 export type CarriedBody =
@@ -47,17 +47,17 @@
 	return decodeBatch(body).filter(isResult)
 }
 
-const ORDERS: readonly unknown[] = ['start', 'stop', 'pace', 'poll']
+const ORDER_KINDS: readonly unknown[] = ['start', 'stop', 'pace', 'poll']
 
 function isOrder(row: unknown): row is CarriedOrder {
-	if (!isFields(row) || typeof row.id !== 'number') return false
+	if (!isJsonObject(row) || typeof row.id !== 'number') return false
 	const { worker, body } = row
-	if (!isFields(worker) || typeof worker.id !== 'string') return false
+	if (!isJsonObject(worker) || typeof worker.id !== 'string') return false
 	if (typeof worker.address !== 'string') return false
-	return isFields(body) && ORDERS.includes(body.kind) && isFields(body.order)
+	return isJsonObject(body) && ORDER_KINDS.includes(body.kind) && isJsonObject(body.order)
 }
 
 function isResult(row: unknown): row is CarriedResult {
-	if (!isFields(row) || typeof row.id !== 'number') return false
-	return isFields(row.result) && typeof row.result.kind === 'string'
+	if (!isJsonObject(row) || typeof row.id !== 'number') return false
+	return isJsonObject(row.result) && typeof row.result.kind === 'string'
 }
--- a/packages/member/src/lib/carriers/CarriedOrders.ts
+++ b/packages/member/src/lib/carriers/CarriedOrders.ts
@@ -18,7 +18,7 @@
 import type { Clock, Timer } from '@rillrudder/utils'
 import type { CarrierWeights, WeightedCarrier } from '../load/CarrierWeights'
 import { MemberEvent } from '../MemberEvent'
-import { ORDER_LIMIT } from './OrderCarrier'
+import { ORDER_TIMEOUT_MS } from './OrderCarrier'
 import { decodeResults, encodeCarried, type CarriedBody, type CarriedOrder } from './CarriedOrder'
 import { CarrierSelector, type Carrier } from './CarrierSelector'
 
@@ -26,21 +26,21 @@
  * Workers from which orders are carried. Below, the leader has processor time to spare (0.2 of a core at 33 workers),
  * and a hop would only cost time.
  */
-const LEAST_WORKERS = 100
+const MIN_WORKERS = 100
 /**
  * Milliseconds without a word after which an instance counts as silent: replicas answer every 50. To be wrong costs a second
  * copy of the orders that it has; to wait costs a start for each of them, of which urgent ones have 0.5 s in hand.
  */
-const SILENCE = 160
+const SILENCE_TIMEOUT_MS = 160
 /** Milliseconds for which an instance that did not carry an order is given none. */
-const REST = 1000
+const CARRIER_BACKOFF_MS = 1000
 /**
  * Milliseconds for which orders to one instance gather after some went there: a message costs both ends as much as many orders in it. The first
  * one goes at once, and none is later by more than a commit.
  */
-const GATHER = 8
+const BATCH_DELAY_MS = 8
 /** Milliseconds between two readings of the clock beyond which the leader itself was late, and not the others. */
-const LATE_TICK = 100
+const LATE_TICK_MS = 100
 
 /** What the orders of a leadership need of its instance. @public */
 export interface CarriedOrdersParts {
@@ -66,7 +66,7 @@
 
 interface Pending {
 	readonly carrier: string
-	readonly giveUpAt: number
+	readonly deadline: number
 	readonly done: (result: Result) => void
 }
 
@@ -86,16 +86,16 @@
 	/** Set while orders gather. */
 	private timer: Timer | undefined
 	/** Until when instances that did not carry an order are given none. */
-	private readonly resting = new Map<string, number>()
+	private readonly backoffUntil = new Map<string, number>()
 	private lastId = 0
-	private tickedAt: number
+	private lastTickAt: number
 	/** Once there were enough workers orders stay carried, so that connections are not given up for a few of them. */
-	private carries = false
+	private isCarrying = false
 
 	constructor(private readonly parts: CarriedOrdersParts) {
 		super()
-		this.tickedAt = parts.clock.now()
-		this.refresh(this.tickedAt)
+		this.lastTickAt = parts.clock.now()
+		this.refresh(this.lastTickAt)
 	}
 
 	override get firstPolls(): number {
@@ -107,23 +107,23 @@
 		order: StartOrder,
 		done: (result: OrderResult) => void
 	): void {
-		const carried = this.give(worker, { kind: 'start', order }, ORDER_LIMIT, done as Done)
+		const carried = this.carry(worker, { kind: 'start', order }, ORDER_TIMEOUT_MS, done as Done)
 		if (!carried) this.parts.direct.start(worker, order, done)
 	}
 
 	override stop(worker: OrderTarget, order: StopOrder, done: (result: OrderResult) => void): void {
-		const carried = this.give(worker, { kind: 'stop', order }, ORDER_LIMIT, done as Done)
+		const carried = this.carry(worker, { kind: 'stop', order }, ORDER_TIMEOUT_MS, done as Done)
 		if (!carried) this.parts.direct.stop(worker, order, done)
 	}
 
 	override pace(worker: OrderTarget, order: PaceOrder, done: (result: OrderResult) => void): void {
-		const carried = this.give(worker, { kind: 'pace', order }, ORDER_LIMIT, done as Done)
+		const carried = this.carry(worker, { kind: 'pace', order }, ORDER_TIMEOUT_MS, done as Done)
 		if (!carried) this.parts.direct.pace(worker, order, done)
 	}
 
 	override poll(worker: OrderTarget, order: PollOrder, done: (result: PollResult) => void): void {
-		const limit = ORDER_LIMIT + order.wait
-		const carried = this.give(worker, { kind: 'poll', order }, limit, done as Done)
+		const limit = ORDER_TIMEOUT_MS + order.wait
+		const carried = this.carry(worker, { kind: 'poll', order }, limit, done as Done)
 		if (!carried) this.parts.direct.poll(worker, order, done)
 	}
 
@@ -137,17 +137,17 @@
 	flush(): void {
 		const now = this.parts.clock.now()
 		for (const [carrier, orders] of [...this.outgoing]) {
-			const rest = (this.sentAt.get(carrier) ?? Number.NEGATIVE_INFINITY) + GATHER - now
-			if (rest > 0) this.flushAfter(rest)
+			const delay = (this.sentAt.get(carrier) ?? Number.NEGATIVE_INFINITY) + BATCH_DELAY_MS - now
+			if (delay > 0) this.flushAfter(delay)
 			else this.sendTo(carrier, orders, now)
 		}
 	}
 
 	/** Finds instances that have fallen silent, and those that can carry again. */
 	tick(now: number): void {
-		const late = now - this.tickedAt > LATE_TICK
-		this.tickedAt = now
-		if (!late) this.failSilent(now)
+		const isLate = now - this.lastTickAt > LATE_TICK_MS
+		this.lastTickAt = now
+		if (!isLate) this.failUnresponsive(now)
 		this.failOverdue(now)
 		this.refresh(now)
 	}
@@ -165,12 +165,12 @@
 	}
 
 	/** @returns whether another instance carries the order. */
-	private give(worker: OrderTarget, body: CarriedBody, limit: number, done: Done): boolean {
-		const carrier = this.carries ? this.selector.carrierFor(worker) : undefined
+	private carry(worker: OrderTarget, body: CarriedBody, limit: number, done: Done): boolean {
+		const carrier = this.isCarrying ? this.selector.carrierFor(worker) : undefined
 		if (carrier === undefined) return false
 		const id = ++this.lastId
-		const giveUpAt = this.parts.clock.now() + limit
-		this.pending.set(id, { carrier, giveUpAt, done })
+		const deadline = this.parts.clock.now() + limit
+		this.pending.set(id, { carrier, deadline, done })
 		const { id: name, address, dataCentre } = worker
 		this.queue(carrier, { id, worker: { id: name, address, dataCentre }, body })
 		return true
@@ -182,8 +182,8 @@
 		else this.outgoing.set(carrier, [order])
 	}
 
-	private flushAfter(rest: number): void {
-		this.timer ??= this.parts.clock.after(rest, () => {
+	private flushAfter(delay: number): void {
+		this.timer ??= this.parts.clock.after(delay, () => {
 			this.timer = undefined
 			this.flush()
 		})
@@ -192,8 +192,8 @@
 	private sendTo(carrier: string, orders: readonly CarriedOrder[], now: number): void {
 		if (!this.outgoing.delete(carrier)) return
 		this.sentAt.set(carrier, now)
-		const { term, incarnation: life } = this.parts
-		const batch = { term, body: encodeCarried(orders), sent: { life, at: now } }
+		const { term, incarnation } = this.parts
+		const batch = { term, body: encodeCarried(orders), sent: { life: incarnation, at: now } }
 		if (!this.parts.send(carrier, batch)) this.fail(carrier, 'there is no link')
 	}
 
@@ -204,24 +204,24 @@
 		pending.done(result)
 	}
 
-	private failSilent(now: number): void {
-		const silent = new Set<string>()
+	private failUnresponsive(now: number): void {
+		const unresponsive = new Set<string>()
 		for (const { carrier } of this.pending.values()) {
-			if (this.isSilent(carrier, now)) silent.add(carrier)
+			if (this.isUnresponsive(carrier, now)) unresponsive.add(carrier)
 		}
-		for (const carrier of silent) this.fail(carrier, 'it is silent')
+		for (const carrier of unresponsive) this.fail(carrier, 'it is silent')
 	}
 
 	private failOverdue(now: number): void {
 		const overdue = new Set<string>()
-		for (const { carrier, giveUpAt } of this.pending.values()) {
-			if (now > giveUpAt) overdue.add(carrier)
+		for (const { carrier, deadline } of this.pending.values()) {
+			if (now > deadline) overdue.add(carrier)
 		}
 		for (const carrier of overdue) this.fail(carrier, 'an order took too long')
 	}
 
-	private isSilent(carrier: string, now: number): boolean {
-		return now - this.parts.lastHeardAt(carrier) > SILENCE
+	private isUnresponsive(carrier: string, now: number): boolean {
+		return now - this.parts.lastHeardAt(carrier) > SILENCE_TIMEOUT_MS
 	}
 
 	/** Nothing is known of what became of an instance's orders. */
@@ -231,24 +231,24 @@
 		this.selector.remove(carrier)
 		this.outgoing.delete(carrier)
 		if (lost.length === 0) return
-		this.resting.set(carrier, clock.now() + REST)
+		this.backoffUntil.set(carrier, clock.now() + CARRIER_BACKOFF_MS)
 		log.warn(MemberEvent.CarrierLost, { peer: carrier, reason, orders: lost.length })
 		for (const [id] of lost) this.settle(id, { kind: 'not-carried' })
 	}
 
 	private refresh(now: number): void {
-		const { linkedCarriers: linked, workerCount: workers } = this.parts
-		this.carries ||= workers() >= LEAST_WORKERS
-		if (!this.carries) return
-		const usable = linked().filter(
-			({ id }) => !this.isSilent(id, now) && (this.resting.get(id) ?? 0) <= now
+		const { linkedCarriers, workerCount } = this.parts
+		this.isCarrying ||= workerCount() >= MIN_WORKERS
+		if (!this.isCarrying) return
+		const usable = linkedCarriers().filter(
+			({ id }) => !this.isUnresponsive(id, now) && (this.backoffUntil.get(id) ?? 0) <= now
 		)
-		const { weights: spread } = this.parts
-		this.selector.setCarriers(spread ? spread.weigh(usable, now) : usable.map(alike))
+		const { weights } = this.parts
+		this.selector.setCarriers(weights ? weights.weigh(usable, now) : usable.map(withEqualWeight))
 	}
 }
 
-function alike(carrier: Carrier): WeightedCarrier {
+function withEqualWeight(carrier: Carrier): WeightedCarrier {
 	return { ...carrier, weight: 1, kept: 1 }
 }
 
--- a/packages/member/src/lib/carriers/OrderCarrier.ts
+++ b/packages/member/src/lib/carriers/OrderCarrier.ts
@@ -11,17 +11,17 @@
 import { decodeOrders, encodeCarried, type CarriedOrder, type CarriedResult } from './CarriedOrder'
 
 /** Milliseconds for which results gather, since a message costs thirty times as much as a result in it. */
-const GATHER = 8
+const BATCH_DELAY_MS = 8
 
 /**
  * Milliseconds that an order may take besides its own wait, and be held up on its way: a call to a worker has 250. Then its leader gives it up.
  *
  * @internal
  */
-export const ORDER_LIMIT = 500
+export const ORDER_TIMEOUT_MS = 500
 
 /** Results on their way to one leader. */
-interface Gathered {
+interface ResultBatch {
 	readonly term: number
 	readonly results: CarriedResult[]
 }
@@ -32,7 +32,7 @@
  * @public
  */
 export class OrderCarrier {
-	private readonly gathered = new Map<string, Gathered>()
+	private readonly batches = new Map<string, ResultBatch>()
 	private readonly delays = new MessageDelays()
 
 	/**
@@ -58,9 +58,9 @@
 	onOrders(leader: string, { term, body, sent }: OrderBatch): void {
 		const heldUp = this.delays.observe(leader, sent, this.clock.now())
 		const orders = decodeOrders(body)
-		if (heldUp > ORDER_LIMIT) return this.onDropped(leader, orders.length, heldUp)
+		if (heldUp > ORDER_TIMEOUT_MS) return this.onDropped(leader, orders.length, heldUp)
 		for (const order of orders) {
-			this.carry(order, (result) => this.gather(leader, term, { id: order.id, result }))
+			this.carry(order, (result) => this.addResult(leader, term, { id: order.id, result }))
 		}
 	}
 
@@ -77,21 +77,21 @@
 		}
 	}
 
-	private gather(leader: string, term: number, result: CarriedResult): void {
-		const gathered = this.gathered.get(leader)
-		if (gathered?.term === term) {
-			gathered.results.push(result)
+	private addResult(leader: string, term: number, result: CarriedResult): void {
+		const batch = this.batches.get(leader)
+		if (batch?.term === term) {
+			batch.results.push(result)
 			return
 		}
 		// Results of an earlier term interest nobody any more.
-		const begun = { term, results: [result] }
-		this.gathered.set(leader, begun)
-		this.clock.after(GATHER, () => this.flush(leader, begun))
+		const newBatch = { term, results: [result] }
+		this.batches.set(leader, newBatch)
+		this.clock.after(BATCH_DELAY_MS, () => this.flush(leader, newBatch))
 	}
 
-	private flush(leader: string, gathered: Gathered): void {
-		if (this.gathered.get(leader) === gathered) this.gathered.delete(leader)
-		this.send(leader, { term: gathered.term, body: encodeCarried(gathered.results) })
+	private flush(leader: string, batch: ResultBatch): void {
+		if (this.batches.get(leader) === batch) this.batches.delete(leader)
+		this.send(leader, { term: batch.term, body: encodeCarried(batch.results) })
 	}
 }
 
--- a/packages/member/src/lib/linkBodies.test.ts
+++ b/packages/member/src/lib/messageBodies.test.ts
@@ -7,7 +7,7 @@
 import fc from 'fast-check'
 import { CallFaults } from './CallFaults'
 import { decodeOrders, decodeResults } from './carriers/CarriedOrder'
-import { decodeCall, decodeReply } from './linkBodies'
+import { decodeCall, decodeReply } from './messageBodies'
 
 /** Tries of each property; the seed makes them the same each time. */
 const TRIES = { numRuns: 300, seed: 33 }
--- a/packages/member/src/lib/linkBodies.ts
+++ b/packages/member/src/lib/messageBodies.ts
@@ -4,7 +4,7 @@
  */
 import type { CellCall, CellReply } from '@rillrudder/jobs'
 
-const CALLS: { readonly [kind in CellCall['kind']]: true } = {
+const CALL_KINDS: { readonly [kind in CellCall['kind']]: true } = {
 	submit: true,
 	show: true,
 	cancel: true,
@@ -23,7 +23,7 @@
 export function decodeCall(body: Uint8Array): CellCall | undefined {
 	const call = decodeJson(body)
 	const kind = kindOf(call)
-	return kind !== undefined && Object.hasOwn(CALLS, kind) ? (call as CellCall) : undefined
+	return kind !== undefined && Object.hasOwn(CALL_KINDS, kind) ? (call as CellCall) : undefined
 }
 
 /** @returns the reply that a message holds; undefined for none. @internal */
@@ -35,19 +35,19 @@
 /** @returns the rows of a batch that are objects; none for what is no batch. @internal */
 export function decodeBatch(body: Uint8Array): readonly unknown[] {
 	const batch = decodeJson(body)
-	return Array.isArray(batch) ? (batch as unknown[]).filter(isFields) : []
+	return Array.isArray(batch) ? (batch as unknown[]).filter(isJsonObject) : []
 }
 
 /** An object of which nothing is known yet. @internal */
-export type Fields = { readonly [name: string]: unknown }
+export type JsonObject = { readonly [name: string]: unknown }
 
 /** @returns whether a value is an object with fields. @internal */
-export function isFields(value: unknown): value is Fields {
+export function isJsonObject(value: unknown): value is JsonObject {
 	return typeof value === 'object' && value !== null && !Array.isArray(value)
 }
 
 function kindOf(value: unknown): string | undefined {
-	return isFields(value) && typeof value.kind === 'string' ? value.kind : undefined
+	return isJsonObject(value) && typeof value.kind === 'string' ? value.kind : undefined
 }
 
 function decodeJson(body: Uint8Array): unknown {
--- a/packages/member/src/lib/peersForEntry.test.ts
+++ b/packages/member/src/lib/selectEntryPeers.test.ts
@@ -1,18 +1,21 @@
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
-import { peersForEntry } from './peersForEntry'
+import { selectEntryPeers } from './selectEntryPeers'
 
 const MEMBERS = ['a:1', 'b:1', 'c:1', 'd:1', 'e:1', 'f:1']
 const SEEDS = ['a:1', 'b:1', 'z:1']
 
 function peers(leader: string | undefined, heard: readonly string[], self = 'edge-1'): string[] {
-	return peersForEntry(self, SEEDS, MEMBERS, { leader, heard: new Set(heard) })
+	return selectEntryPeers(self, SEEDS, MEMBERS, { leader, freshPeers: new Set(heard) })
 }
 
 test('without a leader for long, and in a small core, every known instance is dialled', () => {
-	assert.deepEqual(peersForEntry('edge-1', SEEDS, MEMBERS, undefined).sort(), [...MEMBERS, 'z:1'])
-	const small = { leader: 'a:1', heard: new Set(['a:1']) }
-	assert.deepEqual(peersForEntry('edge-1', SEEDS, ['a:1', 'c:1'], small).sort(), [
+	assert.deepEqual(selectEntryPeers('edge-1', SEEDS, MEMBERS, undefined).sort(), [
+		...MEMBERS,
+		'z:1',
+	])
+	const small = { leader: 'a:1', freshPeers: new Set(['a:1']) }
+	assert.deepEqual(selectEntryPeers('edge-1', SEEDS, ['a:1', 'c:1'], small).sort(), [
 		'a:1',
 		'b:1',
 		'c:1',
--- a/packages/member/src/lib/peersForEntry.ts
+++ b/packages/member/src/lib/selectEntryPeers.ts
@@ -13,7 +13,7 @@
 	/** The leader's id; absent during a change of leader. */
 	readonly leader: string | undefined
 	/** Peers that have told news lately. */
-	readonly heard: ReadonlySet<string>
+	readonly freshPeers: ReadonlySet<string>
 }
 
 /**
@@ -24,23 +24,23 @@
  * @returns ids of the instances to keep links to.
  * @internal
  */
-export function peersForEntry(
+export function selectEntryPeers(
 	self: string,
 	seeds: readonly string[],
 	members: readonly string[],
 	known: KnownCore | undefined
 ): string[] {
 	if (!known || members.length <= SPARE_LINKS + 1) return [...new Set([...seeds, ...members])]
-	const { leader, heard } = known
-	const others = rotated([...members].sort(), self).filter((member) => member !== leader)
-	const live = others.filter((member) => heard.has(member))
-	const spare = live.length >= SPARE_LINKS ? live.slice(0, SPARE_LINKS) : others
+	const { leader, freshPeers } = known
+	const others = rotate([...members].sort(), self).filter((member) => member !== leader)
+	const freshMembers = others.filter((member) => freshPeers.has(member))
+	const spare = freshMembers.length >= SPARE_LINKS ? freshMembers.slice(0, SPARE_LINKS) : others
 	if (leader !== undefined) return [leader, ...spare]
 	// During a change of leader nothing that still talks is given up.
-	return [...new Set([...live, ...spare])]
+	return [...new Set([...freshMembers, ...spare])]
 }
 
-function rotated(members: readonly string[], self: string): string[] {
+function rotate(members: readonly string[], self: string): string[] {
 	const start = textHash(self) % members.length
 	return [...members.slice(start), ...members.slice(0, start)]
 }
