--- a/packages/member/src/lib/Adviser.ts
+++ b/packages/member/src/lib/Adviser.ts
@@ -1,8 +1,8 @@
-/** Asks the service that knows the queues' policies, from this instance. */
+/** Access to the service that holds the queues' policies, from this instance. */
 import type { AdviceQuestion, AdviceResult } from '@rillrudder/jobs'
 
-/** Asks for advice. @public */
+/** Requests advice on queued jobs. @public */
 export abstract class Adviser {
-	/** @returns what came of the question; it never rejects. */
+	/** @returns the result of the question; the promise never rejects. */
 	abstract ask(question: AdviceQuestion): Promise<AdviceResult>
 }
--- a/packages/member/src/lib/ApiServer.ts
+++ b/packages/member/src/lib/ApiServer.ts
@@ -1,4 +1,4 @@
-/** The product's own interface of an instance: jobs, measures, status. */
+/** The HTTP API of an instance: jobs, metrics and status. */
 import {
 	checkJob,
 	digestOf,
@@ -13,28 +13,28 @@
 import { HttpServer, type Address, type HttpAnswer, type HttpCall } from '@rillrudder/web'
 import type { RetryLimits } from './LeaderCalls'
 
-/** Operators wait longer than callers do. */
+/** Operators wait longer than other callers. */
 const OPERATOR_RETRY_LIMITS: RetryLimits = { leaderWait: 2000, limit: 5000 }
-/** Jobs in a list, where the call names no other number. */
+/** Number of jobs in a list if the request names none. */
 const DEFAULT_LIST_SIZE = 100
 const MAX_LIST_SIZE = 1000
 const JOB_PATH = /^\/v1\/jobs\/([0-9a-f]{16})(\/cancel)?$/
-/** How the key of a client account is shown. */
+/** The authorization header that carries the key of a client account. */
 const BEARER_TOKEN = /^Bearer +(\S+)$/i
 const QUEUE_JOB_PATH = /^\/v1\/queues\/([^/]+)\/jobs\/([0-9a-f]{16})$/
 
-/** What the interface works with. @public */
+/** Dependencies of the API server. @public */
 export interface ApiServerParts {
 	readonly call: (call: CellCall, finality: RetryLimits) => Promise<CellReply>
 	readonly meter: Meter
-	/** Sets gauges that nobody keeps up to date between two readings. */
+	/** Updates the gauges that are only computed when metrics are read. */
 	readonly refresh: () => void
-	/** What the instance tells of itself. */
+	/** The status of the instance. */
 	readonly status: () => object
 }
 
 /**
- * The product's own interface.
+ * Serves the HTTP API of an instance.
  *
  * @public
  */
@@ -43,12 +43,12 @@
 
 	constructor(private readonly parts: ApiServerParts) {}
 
-	/** Listens. */
+	/** Starts to listen. */
 	listen(address: Address): Promise<void> {
 		return this.server.listen(address)
 	}
 
-	/** Takes no more calls. */
+	/** Accepts no more calls. */
 	close(): void {
 		this.server.close()
 	}
@@ -93,7 +93,7 @@
 	return { status: 404, body: { message: `there is no ${method} ${path}` } }
 }
 
-/** @returns the digest of the key that a call shows as a bearer token; undefined for none. */
+/** @returns the digest of the bearer token of a call; undefined if it has none. */
 function bearerDigest({ authorization }: HttpCall['headers']): string | undefined {
 	const key = BEARER_TOKEN.exec(authorization ?? '')?.[1]
 	return key === undefined ? undefined : digestOf(key)
@@ -101,7 +101,7 @@
 
 function toSubmission(to: Destination, body: Buffer): CellCall | HttpAnswer {
 	const job = parseJob(body)
-	if (!job) return { status: 400, body: { message: 'the body is no job' } }
+	if (!job) return { status: 400, body: { message: 'the body is not a job' } }
 	const findings = checkJob(job)
 	if (findings.length === 0) return { kind: 'submit', to, job }
 	return { status: 422, body: { message: findings.map(formatFinding).join('; ') } }
@@ -121,7 +121,7 @@
 	return { spec, steps: complete as JobRequest['steps'], repeat }
 }
 
-/** @returns the step with what it leaves out, or undefined when a field has the wrong type. */
+/** @returns the step with defaults for missing fields; undefined if a field has the wrong type. */
 function completeStep(step: unknown): JobRequest['steps'][number] | undefined {
 	if (typeof step !== 'object' || step === null) return undefined
 	const given = step as { readonly [field: string]: unknown }
--- a/packages/member/src/lib/CallFaults.ts
+++ b/packages/member/src/lib/CallFaults.ts
@@ -1,8 +1,8 @@
 /**
- * The border at which a message that this program can't handle ends. What can't be read is passed over. A call whose handling throws is
- * answered with what is true, that its outcome is not known, and is not handled here again: its sender repeats it, and a fault that ended the
- * process each time would end one instance after the other. Faults outside calls (ticks, committed commands) end the process: what they leave
- * half done would be wrong for all.
+ * The error boundary for messages that this program can't handle. Unreadable messages are skipped. A call whose handler
+ * throws is answered with an unknown outcome and is not handled here again: its sender repeats it, and a crash on each
+ * repetition would take down one instance after the other. Faults outside calls (ticks, committed commands) end the
+ * process, since a half-finished change would be wrong for all.
  */
 import { createHash } from 'node:crypto'
 import type { CellCall, CellReply } from '@rillrudder/jobs'
@@ -10,18 +10,18 @@
 import type { Clock } from '@rillrudder/utils'
 import { MemberEvent } from './MemberEvent'
 
-/** Calls that are remembered as faulty; the oldest is forgotten first. */
+/** Maximum number of calls remembered as faulty; the oldest is forgotten first. */
 const MAX_FAULTY_CALLS = 100
-/** Milliseconds between two lines about unreadable messages. */
+/** Milliseconds between two log lines about unreadable messages. */
 const LOG_INTERVAL_MS = 5000
 
 /**
- * Faults of messages.
+ * Contains faults in the handling of messages.
  *
  * @internal
  */
 export class CallFaults {
-	/** Digests of calls whose handling has failed here. */
+	/** Digests of calls whose handler has thrown. */
 	private readonly faultyCalls = new Set<string>()
 	private unreportedMessages = 0
 	private lastLoggedAt = Number.NEGATIVE_INFINITY
@@ -32,7 +32,7 @@
 		private readonly meter: Meter
 	) {}
 
-	/** A message of a peer could not be read. */
+	/** Counts and logs a message of a peer that could not be read. */
 	onUnreadable(peer: string): void {
 		this.meter.count(Measure.MessagesUnreadable)
 		this.unreportedMessages += 1
@@ -44,12 +44,13 @@
 	}
 
 	/**
-	 * @param call - the call.
-	 * @param done - takes the reply of a call that is not handled, or whose handling has failed.
-	 * @param handle - handles it.
+	 * Runs the handler of a call.
+	 *
+	 * @param done - takes the `unknown` reply if the handler throws now or threw for the same call before.
+	 * @param handle - handles the call.
 	 */
 	handle(call: CellCall, done: (reply: CellReply) => void, handle: () => void): void {
-		const unknown: CellReply = { kind: 'unknown', reason: 'it could not be handled' }
+		const unknown: CellReply = { kind: 'unknown', reason: 'the call could not be handled' }
 		if (this.faultyCalls.size > 0 && this.faultyCalls.has(digestOf(call))) return done(unknown)
 		try {
 			handle()
@@ -67,7 +68,7 @@
 	}
 }
 
-/** The name of a call is left out: a submission that its caller brings again has another. */
+/** The call id of a submission is left out, since a submission that its caller repeats has another one. */
 function digestOf(call: CellCall): string {
 	const identity = call.kind === 'submit' ? { ...call, call: undefined } : call
 	return createHash('sha256').update(JSON.stringify(identity)).digest('hex')
--- a/packages/member/src/lib/CellMachine.ts
+++ b/packages/member/src/lib/CellMachine.ts
@@ -1,17 +1,16 @@
-/** Applies committed entries to the cell's state, and tells when each one has been applied. */
+/** Applies committed entries to the cell's state and notifies a listener after each one. */
 import { StateMachine } from '@rillrudder/group'
 import type { CellState } from '@rillrudder/jobs'
 
 /**
- * The cell's state as the group drives it.
+ * The replicated state machine over the cell's state.
  *
  * @internal
  */
 export class CellMachine extends StateMachine {
-	/** Told after each entry while set. */
+	/** Called after each applied entry while set. */
 	onApplied: (() => void) | undefined
 
-	/** @param state - the state. */
 	constructor(private readonly state: CellState) {
 		super()
 	}
--- a/packages/member/src/lib/CommandBatcher.ts
+++ b/packages/member/src/lib/CommandBatcher.ts
@@ -1,6 +1,6 @@
 /**
- * Gathers commands into log entries, and tells when they have been applied. Every entry costs each instance of the core a message,
- * a sync and an answer, whatever it holds, so commands gather while an earlier entry is under way.
+ * Batches commands into log entries and calls back when they have been applied. Every entry costs each instance of the
+ * core a message, a sync and an answer, whatever its size, so commands are batched while an earlier entry is in flight.
  */
 import type { Group } from '@rillrudder/group'
 import { Measure, type Meter } from '@rillrudder/telemetry'
@@ -8,8 +8,8 @@
 import { encodeCommands, Proposals, type CellCommand } from '@rillrudder/jobs'
 
 /**
- * Milliseconds for which commands wait at most for the entry before them: about one commit, so that of two decisions that
- * follow each other the second is hardly later than by itself.
+ * Maximum milliseconds for which commands wait for the entry before them: about one commit, so that the second of two
+ * consecutive decisions is hardly delayed.
  */
 const BATCH_DELAY_MS = 8
 
@@ -19,23 +19,23 @@
 }
 
 /**
- * The proposals of one leadership.
+ * Proposes the commands of one leadership in batches.
  *
  * @internal
  */
 export class CommandBatcher extends Proposals {
 	private commands: CellCommand[] = []
 	private callbacks: (() => void)[] = []
-	/** Entries that were proposed and not yet applied, in the order of the log. */
+	/** Entries that are proposed but not yet applied, in log order. */
 	private readonly pendingEntries: PendingEntry[] = []
 	private proposedAt = Number.NEGATIVE_INFINITY
 	/** Set while commands wait for the entry before them. */
 	private timer: Timer | undefined
 
 	/**
-	 * @param group - the group whose leader this is.
-	 * @param clock - measures commits, and how long commands gather.
-	 * @param meter - takes what was measured.
+	 * @param group - the group that this instance leads.
+	 * @param clock - for commit times and batching.
+	 * @param meter - records commit times.
 	 */
 	constructor(
 		private readonly group: Pick<Group, 'propose' | 'mayAct'>,
@@ -50,7 +50,7 @@
 		if (done) this.callbacks.push(done)
 	}
 
-	/** Proposes what has gathered, unless it may gather for longer. */
+	/** Proposes the batched commands, unless they may still wait for the entry before them. */
 	flush(): void {
 		if (this.commands.length === 0) return
 		const delay = this.proposedAt + BATCH_DELAY_MS - this.clock.now()
@@ -58,7 +58,7 @@
 		else this.proposeBatch()
 	}
 
-	/** Proposes nothing more by itself. */
+	/** Cancels the delayed proposal. */
 	end(): void {
 		this.timer?.cancel()
 	}
@@ -76,7 +76,7 @@
 		this.commands = []
 		this.callbacks = []
 		if (!this.group.propose([encodeCommands(commands)])) {
-			// While leadership is being handed over nothing is taken; what waits goes with the controller.
+			// No proposal is accepted during a hand-over; the waiting commands are discarded with the controller.
 			this.commands = [...commands, ...this.commands]
 			this.callbacks = [...callbacks, ...this.callbacks]
 			return
@@ -85,7 +85,7 @@
 		this.proposedAt = at
 	}
 
-	/** The next entry of this leadership has been applied. */
+	/** Handles the application of this leadership's oldest pending entry. */
 	onEntryApplied(): void {
 		const next = this.pendingEntries.shift()
 		if (!next) return
--- a/packages/member/src/lib/CoreInstance.ts
+++ b/packages/member/src/lib/CoreInstance.ts
@@ -1,4 +1,4 @@
-/** An instance of the core: a replica of the cell's group, and the controller while it leads. */
+/** An instance of the core: a replica of the cell's consensus group that runs the controller while it leads. */
 import { randomUUID } from 'node:crypto'
 import { join } from 'node:path'
 import { Replica, type Founder, type Timing } from '@rillrudder/consensus'
@@ -37,25 +37,25 @@
 import { PeerLinks } from './PeerLinks'
 
 const GROUP = 'cell'
-/** Milliseconds between two settings of the gauges. */
+/** Milliseconds between two updates of the gauges. */
 const GAUGE_INTERVAL_MS = 1000
-/** Milliseconds that a planned stop waits for another instance to lead. */
+/** Milliseconds that a planned stop waits for another instance to take over leadership. */
 const HAND_OVER_TIMEOUT_MS = 1500
-/** Milliseconds that a stopping instance still passes calls on to its successor. */
+/** Milliseconds for which a stopping instance still forwards calls to its successor. */
 const LAST_CALLS_MS = 300
-/** Milliseconds that a call that is passed on may take. */
+/** Timeout of a call that is forwarded to the leader, in milliseconds. */
 const RELAY_TIMEOUT_MS = 1200
 
-/** How long the leader is told of heartbeats that others heard; the next ones say it again. */
+/** Retry limits for reporting batched heartbeats to the leader. Short, since the next batch reports the same workers. */
 const HEARTBEAT_RETRY_LIMITS = { leaderWait: 300, limit: 600 }
-/** What a worker is told whose heartbeat can't be brought to the leader for now. */
+/** Reply to a worker whose heartbeat can't be forwarded to the leader at the moment. */
 const LEADER_UNREACHABLE: CellReply = {
 	kind: 'not-run',
-	reason: 'the leader does not answer',
+	reason: 'the leader is unreachable',
 	retryAfter: 1000,
 }
 
-/** What an instance of the core is made with. @public */
+/** Settings and dependencies of a core instance. @public */
 export interface CoreParts {
 	/** Host and port for links; also its id. */
 	readonly address: string
@@ -63,12 +63,12 @@
 	readonly capacity: InstanceCapacity
 	/** Data folder. */
 	readonly data: string
-	/** Link addresses of instances to ask for admission; they may change. */
+	/** Link addresses of the instances to ask for admission; read again each time, since they may change. */
 	readonly seeds: () => readonly string[]
-	/** Whether the whole cell starts for the first time, and the seeds found it. */
+	/** Whether the cell starts for the first time, with the seeds as its founding members. */
 	readonly isFounding: boolean
 	readonly clock: Clock
-	/** When the process started, on that clock. */
+	/** When the process started, on `clock`. */
 	readonly startedAt: number
 	readonly random: Random
 	readonly timing: Timing
@@ -78,12 +78,12 @@
 	readonly adviser: Adviser
 	readonly log: Log
 	readonly meter: Meter
-	/** Told of a fault after which the process must end. */
+	/** Called with an error after which the process must end. */
 	readonly onFatalError: (fault: Error) => void
 }
 
 /**
- * An instance of the core.
+ * An instance of the core: replicates the cell's state, forwards calls to the leader, and leads when elected.
  *
  * @example
  * ```ts
@@ -94,7 +94,7 @@
  * @public
  */
 export class CoreInstance {
-	/** This life of the instance, unlike any other. */
+	/** Unique id of this start of the instance. */
 	private readonly incarnation = randomUUID()
 	private readonly state = new CellState()
 	private readonly machine = new CellMachine(this.state)
@@ -106,13 +106,13 @@
 	private readonly faults: CallFaults
 	private readonly load: InstanceLoad
 	private readonly loads: CellLoads
-	/** When each peer last said something, on the instance's clock. */
+	/** When each peer last sent a message, on the instance's clock. */
 	private readonly lastHeardAt = new Map<string, number>()
 	private group!: Group
 	private session: LeaderSession | undefined
 	private timers: Timer[] = []
 	private loggedLeader = ''
-	/** The members that were told last; the group replaces the list whenever it changes. */
+	/** The members that were logged last; the group replaces the list whenever it changes. */
 	private loggedMembers: readonly Member[] = []
 
 	constructor(private readonly parts: CoreParts) {
@@ -164,12 +164,12 @@
 		)
 	}
 
-	/** The replica's view of the group, for the status page. */
+	/** The replica's view of the group, for the status endpoint. */
 	get status() {
 		return this.group.replica.status
 	}
 
-	/** Opens the data folder and links up. */
+	/** Opens the data folder and connects to the peers. */
 	async start(): Promise<void> {
 		this.group = await this.openGroup()
 		this.machine.onApplied = () => this.session?.onEntryApplied()
@@ -183,7 +183,7 @@
 		]
 	}
 
-	/** Brings a call to the leader, here or elsewhere. */
+	/** Sends a call to the leader, be it this instance or another. */
 	call(call: CellCall, limits: RetryLimits): Promise<CellReply> {
 		if (call.kind !== 'heartbeat' || this.session) return this.links.leaderCalls.call(call, limits)
 		const handling = this.heartbeats.handle(call.heartbeat)
@@ -199,7 +199,7 @@
 		}
 	}
 
-	/** Hands leadership over and stops. */
+	/** Hands leadership over, if this instance leads, and stops. */
 	async stop(): Promise<void> {
 		const { clock } = this.parts
 		const wait = (span: number) => new Promise<void>((done) => clock.after(span, done))
@@ -260,7 +260,7 @@
 		this.dial()
 	}
 
-	/** Sets the gauges. */
+	/** Updates the gauges. */
 	private updateGauges(): void {
 		const { meter } = this.parts
 		const { term, members } = this.group.replica.status
@@ -271,7 +271,7 @@
 		this.session?.updateGauges()
 	}
 
-	/** Begins or ends a leadership as the group's state asks for it. */
+	/** Starts or ends a leader session after a change of the group's state, and logs a new leader or new members. */
 	private onGroupSettled(): void {
 		const { replica } = this.group
 		const { term, leader, members } = replica.status
@@ -396,7 +396,7 @@
 		})
 	}
 
-	/** Every instance of the core that this one has a reason to know. */
+	/** @returns seeds and members of the core, without this instance; before it knows any member, also those that it has heard of. */
 	private peersToDial(): string[] {
 		const { address, seeds } = this.parts
 		const replica = this.group?.replica
@@ -412,7 +412,7 @@
 	}
 }
 
-/** Those without a vote are marked. */
+/** Joins the ids of members; a question mark follows those without a vote. */
 function namesOf(members: readonly Member[]): string {
 	return members.map((one) => `${one.id}${one.voter ? '' : '?'}`).join()
 }
--- a/packages/member/src/lib/EntryInstance.ts
+++ b/packages/member/src/lib/EntryInstance.ts
@@ -1,4 +1,4 @@
-/** An entry instance: keeps nothing, and brings calls to whoever leads. */
+/** An entry instance: stateless, forwards calls to the current leader. */
 import type { CellCall, CellReply } from '@rillrudder/jobs'
 import type { Event, PeerCall } from '@rillrudder/protocol'
 import type { Log, Meter } from '@rillrudder/telemetry'
@@ -14,16 +14,16 @@
 import { PeerLinks } from './PeerLinks'
 import { selectEntryPeers } from './selectEntryPeers'
 
-/** Milliseconds between two polls of whom to dial. */
+/** Milliseconds between two selections of the peers to dial. */
 const DIAL_INTERVAL_MS = 250
-/** Milliseconds without a leader after which every instance of the core is dialled; a change takes less. */
+/** Milliseconds without a leader after which every instance of the core is dialled; a leader change takes less. */
 const LEADERLESS_TIMEOUT_MS = 700
 const ID_PREFIX = 'entry/'
 
-/** What an entry instance is made with. @public */
+/** Settings and dependencies of an entry instance. @public */
 export interface EntryParts {
 	readonly name: string
-	/** Link addresses of instances of the core; they may change. */
+	/** Link addresses of instances of the core; read again each time, since they may change. */
 	readonly seeds: () => readonly string[]
 	readonly capacity: InstanceCapacity
 	readonly clock: Clock
@@ -33,7 +33,7 @@
 }
 
 /**
- * An entry instance.
+ * An entry instance: accepts calls and forwards them to the leader.
  *
  * @public
  */
@@ -58,7 +58,7 @@
 		})
 	}
 
-	/** Whether new connections may come here: calls can be brought to a leader, and this instance isn't overloaded. */
+	/** Whether this instance accepts new connections: a leader is reachable and the instance isn't overloaded. */
 	get isReady(): boolean {
 		return this.knowsLeader && this.load.acceptsConnections
 	}
@@ -67,18 +67,18 @@
 		return (this.links.view.leader(this.parts.clock.now())?.via.length ?? 0) > 0
 	}
 
-	/** Links up. */
+	/** Connects to the core. */
 	start(): void {
 		this.dial()
 		this.timer = this.parts.clock.every(DIAL_INTERVAL_MS, () => this.tick())
 	}
 
-	/** Brings a call to the leader. */
+	/** Forwards a call to the leader. */
 	call(call: CellCall, limits: RetryLimits): Promise<CellReply> {
 		return this.load.track(() => this.links.leaderCalls.call(call, limits))
 	}
 
-	/** Ends all links. */
+	/** Closes all links. */
 	stop(): void {
 		this.timer?.cancel()
 		this.links.hub.close()
--- a/packages/member/src/lib/HeartbeatBatcher.ts
+++ b/packages/member/src/lib/HeartbeatBatcher.ts
@@ -1,6 +1,6 @@
 /**
- * Heartbeats of workers that bring nothing new, gathered at an instance that does not lead and told to the leader in one
- * call. Each by itself would cost the leader a call and its answer, and there are hundreds a second.
+ * Batches routine heartbeats of workers at an instance that does not lead, and reports them to the leader in one call.
+ * Forwarded one by one, each would cost the leader a call and an answer, hundreds of times a second.
  */
 import {
 	sameWorker,
@@ -11,58 +11,58 @@
 } from '@rillrudder/jobs'
 import type { Clock } from '@rillrudder/utils'
 
-/** Milliseconds for which heartbeats gather; a fifth of the time between two of them. */
+/** Milliseconds for which heartbeats are collected into a batch: a fifth of the heartbeat interval. */
 const BATCH_DELAY_MS = 300
-/** Milliseconds for which nothing is gathered after there was no leader to tell: the workers then call another instance. */
+/** Milliseconds for which nothing is batched after no leader was found: workers then call another instance. */
 const NO_LEADER_BACKOFF_MS = 1500
 /**
- * Milliseconds for which heartbeats are gathered while a leader that is known gives no answer. It may only be busy, and is told again; it is not
- * told of each by itself, which would keep it busy. An instance that can't reach it for longer sends workers to others.
+ * Milliseconds for which heartbeats are batched while a known leader does not answer. It may only be busy, so the batch
+ * is sent again; forwarding heartbeats one by one would keep it busy. After that, workers are sent to other instances.
  */
 const MAX_UNANSWERED_MS = 1500
 
-/** What becomes of a heartbeat. @internal */
+/** How a heartbeat is handled. @internal */
 export const HeartbeatHandling = {
-	/** The leader will be told of it with others. */
+	/** It will be reported to the leader in a batch. */
 	Batched: 'gathered',
-	/** It has to be brought to the leader by itself. */
+	/** It has to be forwarded to the leader by itself. */
 	Forwarded: 'passed',
-	/** The leader can't be told: the worker should call another instance. */
+	/** The leader is unreachable: the worker should call another instance. */
 	Refused: 'refused',
 } as const
-/** One of the answers. @internal */
+/** One of the ways. @internal */
 export type HeartbeatHandling = (typeof HeartbeatHandling)[keyof typeof HeartbeatHandling]
 
-/** What gathering needs of its instance. @internal */
+/** Dependencies of a heartbeat batcher. @internal */
 export interface HeartbeatBatcherParts {
 	/** The workers as this replica knows them. */
 	readonly workers: KnownWorkers
 	readonly clock: Clock
-	/** Tells the leader. */
+	/** Reports a batch to the leader. */
 	readonly report: (heard: readonly HeardWorker[]) => Promise<CellReply>
-	/** Whether a leader is known that can be told. */
+	/** Whether a leader is known. */
 	readonly canReport: () => boolean
-	/** Told when heartbeats begin to be refused, and when they are no longer. */
+	/** Called when heartbeats start to be refused, and when they are accepted again. */
 	readonly onRefusingChanged?: (active: boolean) => void
 }
 
 /**
- * Gathers heartbeats.
+ * Batches heartbeats for the leader.
  *
  * @internal
  */
 export class HeartbeatBatcher {
-	/** For each worker what it said last, and when. */
+	/** The last heartbeat of each worker, and when it arrived. */
 	private pending = new Map<string, { readonly heartbeat: Heartbeat; readonly at: number }>()
 	private backoffUntil = Number.NEGATIVE_INFINITY
-	/** Since when the leader has not answered; undefined once it has. */
+	/** Since when the leader has not answered; undefined while it answers. */
 	private unansweredSince: number | undefined
 	private isFlushScheduled = false
 	private isRefusing = false
 
 	constructor(private readonly parts: HeartbeatBatcherParts) {}
 
-	/** Takes a heartbeat. @returns what becomes of it. */
+	/** Handles a heartbeat. @returns how it was handled. */
 	handle(heartbeat: Heartbeat): HeartbeatHandling {
 		const { clock, canReport: mayTell } = this.parts
 		const now = clock.now()
@@ -76,7 +76,7 @@
 		return HeartbeatHandling.Batched
 	}
 
-	/** Whether it only says that a worker is there as this replica knows it. */
+	/** Whether a heartbeat only confirms a worker as this replica knows it. */
 	private isRoutine({ worker, draining }: Heartbeat): boolean {
 		const { workers } = this.parts
 		const known = workers.find(worker.id)
@@ -114,7 +114,7 @@
 		if (kind === 'not-run') this.backoffUntil = clock.now() + NO_LEADER_BACKOFF_MS
 	}
 
-	/** Nothing is known of what became of heartbeats: they are told again with those that have come since. */
+	/** Queues heartbeats again whose report had an unknown outcome; newer ones of the same worker replace them. */
 	private requeue(batch: HeartbeatBatcher['pending'], since: number): void {
 		this.unansweredSince ??= since
 		for (const [worker, entry] of batch) {
--- a/packages/member/src/lib/LeaderSession.ts
+++ b/packages/member/src/lib/LeaderSession.ts
@@ -1,4 +1,4 @@
-/** One leadership: the controller, and what it proposes. It begins with the lease and ends with the term. */
+/** One leadership: runs the controller and proposes its commands, from the first lease to the end of the term. */
 import type { Group } from '@rillrudder/group'
 import {
 	LeaderEvent,
@@ -19,12 +19,12 @@
 import { WakingOrders } from './WakingOrders'
 
 /**
- * Milliseconds between two turns at least. Each looks at what can begin and sends what it has decided, whatever few events there were since the last
- * one; a decision is later by no more than that.
+ * Minimum milliseconds between two turns. Each turn has a fixed cost, however few events there were since the
+ * last one: it looks for steps to place and sends what was decided. A decision is delayed by no more than this.
  */
 const MIN_TURN_INTERVAL_MS = 4
 
-/** What a leadership is made with. @internal */
+/** Dependencies of a leader session. @internal */
 export interface LeaderSessionParts {
 	readonly group: Group
 	readonly state: CellState
@@ -40,7 +40,7 @@
 }
 
 /**
- * One leadership.
+ * The controller of one leadership with its proposals and orders.
  *
  * @internal
  */
@@ -52,7 +52,7 @@
 	private readonly pendingReplies = new Set<(reply: CellReply) => void>()
 	private isTurnScheduled = false
 	private hasEnded = false
-	/** When the last turn began. */
+	/** When the last turn started. */
 	private lastTurnAt = Number.NEGATIVE_INFINITY
 
 	constructor(private readonly parts: LeaderSessionParts) {
@@ -80,7 +80,7 @@
 		state.observer = (change) => this.controller.changed(change)
 	}
 
-	/** Answers a call; callers that still wait when the leadership ends are told so. */
+	/** Answers a call; one that is still pending when the leadership ends gets an `unknown` reply. */
 	call(call: CellCall, done: (reply: CellReply) => void): void {
 		const reply = (value: CellReply): void => {
 			if (this.pendingReplies.delete(reply)) done(value)
@@ -90,35 +90,35 @@
 		this.scheduleTurn()
 	}
 
-	/** An entry of this leadership has been applied. */
+	/** Handles the application of an entry that this leadership proposed. */
 	onEntryApplied(): void {
 		this.commands.onEntryApplied()
 		this.scheduleTurn()
 	}
 
-	/** Another instance tells what came of orders that it carried. */
+	/** Handles the results of orders that another instance carried. */
 	onOrderResults(results: OrderResults): void {
 		this.parts.orders.onResults(results)
 	}
 
-	/** A link is lost. */
+	/** Handles the loss of the link to a peer. */
 	onLinkLost(peer: string): void {
 		this.parts.orders.onLinkLost(peer)
 	}
 
-	/** Lets time pass. */
+	/** Runs the periodic work. */
 	tick(): void {
 		this.parts.orders.tick(this.parts.clock.now())
 		this.controller.tick()
 		this.flush()
 	}
 
-	/** Sets the gauges of the controller. */
+	/** Updates the gauges of the controller. */
 	updateGauges(): void {
 		this.controller.measure()
 	}
 
-	/** Something outside has happened, such as an answer of a worker: places and proposes. */
+	/** Schedules a turn, after an event such as an answer of a worker: the turn places steps and proposes. */
 	scheduleTurn(): void {
 		if (this.isTurnScheduled || this.hasEnded) return
 		this.isTurnScheduled = true
@@ -136,13 +136,13 @@
 		this.flush()
 	}
 
-	/** Sends what this turn has proposed and ordered. */
+	/** Sends the proposals and orders of this turn. */
 	private flush(): void {
 		this.commands.flush()
 		this.parts.orders.flush()
 	}
 
-	/** The leadership is over: nothing more is decided. */
+	/** Ends the leadership: nothing more is decided, and pending calls get an `unknown` reply. */
 	end(): void {
 		this.hasEnded = true
 		this.commands.end()
--- a/packages/member/src/lib/LeaderView.ts
+++ b/packages/member/src/lib/LeaderView.ts
@@ -1,30 +1,30 @@
-/** Who leads, as far as an instance has been told. */
+/** The current leader, as known from the news that instances of the core broadcast. */
 import type { CellNews } from '@rillrudder/protocol'
 
-/** Milliseconds between two tellings of who leads. */
+/** Milliseconds between two broadcasts of who leads. */
 export const NEWS_INTERVAL_MS = 150
-/** Milliseconds for which instances of the core count each other's news: three periods. */
+/** Milliseconds for which instances of the core accept each other's news: three broadcast intervals. */
 export const CORE_NEWS_TTL_MS = 500
 /**
- * Of so many tellings an instance of the core sends one to entry instances. They are many, at rest nothing else wakes them as often, and what
- * changes is told them at once.
+ * A core instance sends every n-th broadcast to entry instances too. They are many, nothing else wakes them as often
+ * when idle, and changes are sent to them at once.
  */
 export const ENTRY_NEWS_EVERY = 2
-/** The same for the leader: it has a link to each of them, and others of the core tell them too. */
+/** The same for the leader, which has a link to every entry instance; other core instances inform them too. */
 export const LEADER_NEWS_EVERY = 3
 /**
- * Milliseconds for which entry instances count news: two tellings and a late one, so that an instance that is cut off stops taking clients before
- * the platform's second question, a second later.
+ * Milliseconds for which entry instances accept news: two broadcasts and a late one. An instance that is cut off thus
+ * stops accepting clients before the platform's second readiness check, one second later.
  */
 export const ENTRY_NEWS_TTL_MS = 700
-/** Milliseconds for which the leader's own news count: two of its tellings and a late one. */
+/** Milliseconds for which the leader's own news are accepted: two of its broadcasts and a late one. */
 const LEADER_NEWS_TTL_MS = 1000
 
-/** A leader and the peers that can pass calls on to it. @internal */
+/** A leader and the peers that can forward calls to it. @internal */
 export interface KnownLeader {
 	readonly id: string
 	readonly term: number
-	/** Peers that have heard from it lately, the leader itself first if it is linked. */
+	/** Peers that have heard from it recently, the leader itself first if it is linked. */
 	readonly via: readonly string[]
 }
 
@@ -34,27 +34,27 @@
 }
 
 /**
- * Who leads, from the news of the core's instances.
+ * Derives the current leader from the news of the core's instances.
  *
  * @internal
  */
 export class LeaderView {
 	private readonly newsByPeer = new Map<string, ReceivedNews>()
 
-	/** @param ttl - milliseconds for which news of others than the leader count. */
+	/** @param ttl - milliseconds for which news from peers other than the leader are accepted. */
 	constructor(private readonly ttl: number) {}
 
-	/** Takes news from a peer. */
+	/** Records the news of a peer. */
 	update(from: string, news: CellNews, now: number): void {
 		this.newsByPeer.set(from, { news, at: now })
 	}
 
-	/** A link is lost: what the peer told counts no longer. */
+	/** Discards the news of a peer whose link is lost. */
 	onLinkLost(peer: string): void {
 		this.newsByPeer.delete(peer)
 	}
 
-	/** @returns the leader of the highest term that somebody has heard from lately. */
+	/** @returns the leader of the highest term that some peer has heard from recently. */
 	leader(now: number): KnownLeader | undefined {
 		let term = 0
 		let id = ''
@@ -82,7 +82,7 @@
 		return new Set(fresh.map(([peer]) => peer))
 	}
 
-	/** @returns the members of the core that the newest news name. */
+	/** @returns the members of the core according to the news of the highest term. */
 	members(): readonly string[] {
 		let newest: ReceivedNews | undefined
 		for (const received of this.newsByPeer.values()) {
--- a/packages/member/src/lib/NewsBroadcaster.ts
+++ b/packages/member/src/lib/NewsBroadcaster.ts
@@ -1,30 +1,30 @@
-/** What a core instance tells everyone linked to it: who leads, who belongs to the core, and whether that is fresh. */
+/** Broadcasts a core instance's news to its linked peers: the leader, the members of the core, and whether the leader is in contact. */
 import type { Replica } from '@rillrudder/consensus'
 import type { CellNews, LoadReport } from '@rillrudder/protocol'
 import type { Clock } from '@rillrudder/utils'
 import { ENTRY_NEWS_EVERY, LEADER_NEWS_EVERY } from './LeaderView'
 import type { PeerLinks } from './PeerLinks'
 
-/** Milliseconds since its last word for which a follower says that its leader is there. */
+/** Milliseconds since the leader's last message for which a follower reports it as in contact. */
 const LEADER_CONTACT_TTL_MS = 500
 
-/** What telling needs of the instance. @internal */
+/** Dependencies of a news broadcaster. @internal */
 export interface NewsBroadcasterParts {
 	/** Link address of the instance. */
 	readonly self: string
-	/** This life of the instance, unlike any other. */
+	/** Unique id of this start of the instance. */
 	readonly incarnation: string
 	readonly clock: Clock
 	readonly links: PeerLinks
 	readonly replica: () => Replica
-	/** How loaded this instance is. */
+	/** The load of this instance. */
 	readonly load: () => LoadReport
-	/** Members of the core that are linked now, without this one. */
+	/** Members of the core that are linked at the moment, without this one. */
 	readonly linkedMembers: () => readonly { readonly id: string }[]
 }
 
 /**
- * The news of a core instance.
+ * Broadcasts the news of a core instance.
  *
  * @internal
  */
@@ -33,7 +33,7 @@
 
 	constructor(private readonly parts: NewsBroadcasterParts) {}
 
-	/** Tells news that are due, entry instances more seldom. */
+	/** Sends the periodic news; entry instances get only some of them. */
 	broadcastPeriodically(): void {
 		const { replica, linkedMembers } = this.parts
 		this.rounds += 1
@@ -42,7 +42,7 @@
 		else this.sendTo(linkedMembers().map(({ id }) => id))
 	}
 
-	/** Tells everyone, since something has changed. */
+	/** Sends the news to all linked peers, after a change. */
 	broadcast(): void {
 		this.sendTo(this.parts.links.hub.connected)
 	}
--- a/packages/member/src/lib/PeerAdvisers.ts
+++ b/packages/member/src/lib/PeerAdvisers.ts
@@ -1,4 +1,4 @@
-/** Advice for the leader's controller, asked through this instance and every one that is linked to it. */
+/** Advice for the leader's controller, requested through this instance and every one that is linked to it. */
 import {
 	Advisers,
 	type AdviceQuestion,
@@ -9,22 +9,22 @@
 import type { Adviser } from './Adviser'
 import type { PeerCalls, PeerOutcome } from './PeerCalls'
 
-/** Milliseconds that a question may take; the longest answers take a second, behind others. */
+/** Timeout of a question in milliseconds; the slowest answers take a second, queued behind others. */
 const ANSWER_TIMEOUT_MS = 6000
 
-/** What asking needs of the instance. @internal */
+/** Dependencies of `PeerAdvisers`. @internal */
 export interface PeerAdvisersParts {
 	readonly self: string
 	readonly adviser: Adviser
 	readonly calls: PeerCalls
-	/** Peers that are linked now. */
+	/** Peers that are linked at the moment. */
 	readonly peers: () => readonly string[]
-	/** How well each of them can ask now. */
+	/** How suited an instance is to ask for advice at the moment. */
 	readonly standing: (id: string) => AdviserStanding
 }
 
 /**
- * Advice through all linked instances.
+ * Requests advice through all linked instances.
  *
  * @internal
  */
@@ -53,7 +53,7 @@
 	}
 }
 
-/** Answers a leader's question through this instance. @internal */
+/** Answers a leader's question through the adviser of this instance. @internal */
 export async function answerQuestion(
 	adviser: Adviser,
 	question: AdviceQuestion
--- a/packages/member/src/lib/PeerCalls.ts
+++ b/packages/member/src/lib/PeerCalls.ts
@@ -1,10 +1,10 @@
-/** Calls between instances over their links: each gets one reply, or is given up. */
+/** Calls between instances over their links: each gets one reply, or is abandoned. */
 import type { CellCall, CellReply } from '@rillrudder/jobs'
 import type { Event, LoadReport, PeerCall, PeerReply } from '@rillrudder/protocol'
 import type { Clock, Timer } from '@rillrudder/utils'
 import { decodeReply } from './messageBodies'
 
-/** What came of a call to a peer. @internal */
+/** The outcome of a call to a peer. @internal */
 export type PeerOutcome =
 	| { readonly kind: 'replied'; readonly reply: CellReply }
 	/** It was never sent. */
@@ -12,7 +12,7 @@
 	/** It was sent, and no reply came in time or before the link was lost. */
 	| { readonly kind: 'no-reply' }
 
-/** Calls that can wait for replies at a time; more are not sent. */
+/** Maximum number of pending calls; further ones are not sent. */
 const MAX_PENDING_CALLS = 10_000
 
 interface Pending {
@@ -21,10 +21,10 @@
 	readonly done: (outcome: PeerOutcome) => void
 }
 
-/** Where a call goes. @internal */
+/** Destination of a call. @internal */
 export interface PeerDestination {
 	readonly peer: string
-	/** Term of the leader that it is meant for; 0 for any instance. */
+	/** Term of the leader that the call is meant for; 0 for any instance. */
 	readonly term: number
 	readonly hops: number
 }
@@ -39,8 +39,8 @@
 	private lastId = 0
 
 	/**
-	 * @param clock - for time limits.
-	 * @param send - sends to a peer; false when it was dropped for certain.
+	 * @param clock - for timeouts.
+	 * @param send - sends an event to a peer; returns false when it was certainly not sent.
 	 */
 	constructor(
 		private readonly clock: Clock,
@@ -50,10 +50,8 @@
 	/**
 	 * Makes a call.
 	 *
-	 * @param to - where it goes.
-	 * @param call - what is asked.
-	 * @param limit - milliseconds after which it is given up.
-	 * @param done - called once.
+	 * @param limit - timeout in milliseconds.
+	 * @param done - called exactly once.
 	 */
 	call(
 		to: PeerDestination,
@@ -64,7 +62,7 @@
 		this.callEncoded(to, Buffer.from(JSON.stringify(call)), limit, done)
 	}
 
-	/** Makes a call that is encoded already. */
+	/** Makes a call that is already encoded. */
 	callEncoded(
 		{ peer, term, hops }: PeerDestination,
 		body: Buffer,
@@ -82,20 +80,20 @@
 		this.pending.set(id, { peer, timer, done })
 	}
 
-	/** Sends the reply to a peer's call, with the load of this instance where the peer may make use of it. */
+	/** Sends the reply to a peer's call, with the load of this instance where the peer may use it. */
 	reply(peer: string, id: number, reply: CellReply, load?: LoadReport): void {
 		const value: PeerReply = { id, body: Buffer.from(JSON.stringify(reply)), load }
-		// A reply that can't be sent is missed by the peer, which asks again.
+		// A reply that can't be sent times out at the peer, which calls again.
 		this.send(peer, { body: { $case: 'peerReply', value } })
 	}
 
-	/** Takes a peer's reply. */
+	/** Handles a peer's reply. */
 	onReply({ id, body }: PeerReply): void {
 		const reply = decodeReply(body)
 		this.settle(id, reply ? { kind: 'replied', reply } : { kind: 'no-reply' })
 	}
 
-	/** A link is lost: what was sent over it gets no reply any more. */
+	/** Ends the calls over a lost link: they get no reply any more. */
 	onLinkLost(peer: string): void {
 		for (const [id, pending] of this.pending) {
 			if (pending.peer === peer) this.settle(id, { kind: 'no-reply' })
--- a/packages/member/src/lib/PeerLinks.ts
+++ b/packages/member/src/lib/PeerLinks.ts
@@ -1,4 +1,4 @@
-/** What every instance has towards the others: links, calls over them, and who leads. */
+/** The links of an instance to its peers, the calls over them, and the view of who leads. */
 import { randomUUID } from 'node:crypto'
 import { LinkHub, linkSecurity, type Event } from '@rillrudder/protocol'
 import type { Log, Meter } from '@rillrudder/telemetry'
@@ -10,18 +10,18 @@
 import { PeerCalls } from './PeerCalls'
 import { callLogger } from './callLogger'
 
-/** What the links of an instance are made with. @internal */
+/** Dependencies of the links of an instance. @internal */
 export interface PeerLinksParts {
 	/** Its id; other instances dial a core instance by it. */
 	readonly self: string
-	/** Milliseconds for which it counts what peers other than the leader tell of who leads. */
+	/** Milliseconds for which news from peers other than the leader are accepted. */
 	readonly newsTtl: number
 	readonly clock: Clock
 	readonly log: Log
 	readonly meter: Meter
-	/** Takes an event from a peer. */
+	/** Handles an event from a peer. */
 	readonly onEvent: (from: string, event: Event) => void
-	/** Told once a peer is lost. */
+	/** Called when the link to a peer is lost. */
 	readonly onPeerLost?: (peer: string) => void
 	/** @returns this instance as the leader; undefined while it does not lead. */
 	readonly localLeader?: () => LocalLeader | undefined
@@ -36,9 +36,9 @@
 	readonly hub: LinkHub
 	/** Calls to single peers. */
 	readonly calls: PeerCalls
-	/** Who leads, as the peers tell it. */
+	/** The leader, as known from the peers' news. */
 	readonly view: LeaderView
-	/** Calls to whoever leads. */
+	/** Calls to the current leader. */
 	readonly leaderCalls: LeaderCalls
 
 	constructor(private readonly parts: PeerLinksParts) {
@@ -68,7 +68,7 @@
 		})
 	}
 
-	/** Keeps links to these peers, and to no others of those that it has dialled. */
+	/** Dials these peers and closes the links to all others that were dialled before. */
 	dialOnly(peers: Iterable<string>): void {
 		const wanted = new Set(peers)
 		for (const peer of wanted) this.hub.dial(peer, peer)
--- a/packages/member/src/lib/WakingOrders.ts
+++ b/packages/member/src/lib/WakingOrders.ts
@@ -1,6 +1,6 @@
 /**
- * Carries the orders of one leadership to workers, and wakes its controller after each answer so that what follows is
- * decided. Once the leadership is over its controller hears of no more answers: it would take them for news of today.
+ * Sends the orders of one leadership to workers and wakes its controller after each answer, so that it decides what
+ * follows. After the end of the leadership answers are dropped, since the controller would take them as current.
  */
 import {
 	WorkerOrders,
@@ -14,7 +14,7 @@
 } from '@rillrudder/jobs'
 
 /**
- * Orders that wake the controller.
+ * Orders whose answers wake the controller.
  *
  * @internal
  */
@@ -22,7 +22,7 @@
 	private hasEnded = false
 
 	/**
-	 * @param orders - what carries the orders.
+	 * @param orders - sends the orders.
 	 * @param wake - called after each answer.
 	 */
 	constructor(
@@ -52,7 +52,7 @@
 		this.orders.poll(worker, order, this.withWake(done))
 	}
 
-	/** The leadership is over. */
+	/** Ends the leadership: answers are dropped from now on. */
 	end(): void {
 		this.hasEnded = true
 	}
--- a/packages/member/src/lib/callLogger.ts
+++ b/packages/member/src/lib/callLogger.ts
@@ -1,13 +1,13 @@
-/** The log line of a call that failed or took long. */
+/** Logs calls that failed or were slow. */
 import type { CellCall, CellReply } from '@rillrudder/jobs'
 import type { Log } from '@rillrudder/telemetry'
 import type { KnownLeader } from './LeaderView'
 import { MemberEvent } from './MemberEvent'
 
 /**
- * @param log - where the line goes.
- * @param leader - who leads, as far as this instance knows.
- * @returns a function that writes the line.
+ * @param log - the log to write to.
+ * @param leader - returns the leader as known to this instance.
+ * @returns a function that logs one call.
  * @internal
  */
 export function callLogger(log: Log, leader: () => KnownLeader | undefined) {
--- a/packages/member/src/lib/selectEntryPeers.ts
+++ b/packages/member/src/lib/selectEntryPeers.ts
@@ -1,6 +1,6 @@
 /**
- * Which instances of the core an entry instance keeps links to. Every link costs messages on both sides, and a
- * large core has many; what is needed is the leader, and others that tell who leads once it is lost.
+ * Selects the instances of the core that an entry instance keeps links to. Every link costs messages on both sides, and
+ * a large core has many instances; needed are the leader, and others that announce a new one once it is lost.
  */
 
 import { textHash } from '@rillrudder/utils'
@@ -8,19 +8,19 @@
 /** Links besides the one to the leader. */
 const SPARE_LINKS = 2
 
-/** What an entry instance knows while there is a leader. @internal */
+/** What an entry instance knows of the core while there is a leader. @internal */
 export interface KnownCore {
-	/** The leader's id; absent during a change of leader. */
+	/** The leader's id; undefined during a leader change. */
 	readonly leader: string | undefined
-	/** Peers that have told news lately. */
+	/** Peers that have sent news recently. */
 	readonly freshPeers: ReadonlySet<string>
 }
 
 /**
  * @param self - the entry instance's name; spreads entry instances over the core.
- * @param seeds - links of instances that may be of the core.
+ * @param seeds - link addresses of instances that may belong to the core.
  * @param members - ids of the core's instances, as far as known.
- * @param known - what is known while there is a leader; absent to try everything.
+ * @param known - what is known while there is a leader; undefined to try all instances.
  * @returns ids of the instances to keep links to.
  * @internal
  */
@@ -36,7 +36,7 @@
 	const freshMembers = others.filter((member) => freshPeers.has(member))
 	const spare = freshMembers.length >= SPARE_LINKS ? freshMembers.slice(0, SPARE_LINKS) : others
 	if (leader !== undefined) return [leader, ...spare]
-	// During a change of leader nothing that still talks is given up.
+	// During a leader change, links to peers that still send news are kept.
 	return [...new Set([...freshMembers, ...spare])]
 }
 
