--- a/packages/member/src/lib/ProductServer.ts
+++ b/packages/member/src/lib/ApiServer.ts
@@ -1,4 +1,4 @@
-/** The product's own interface of an instance: jobs, measures, status. */
+/** The HTTP API of an instance: jobs, metrics and status. */
 import {
 	checkJob,
 	digestOf,
@@ -11,44 +11,44 @@
 import type { Meter } from '@rillrudder/telemetry'
 import { formatFinding } from '@rillrudder/utils'
 import { HttpServer, type Address, type HttpAnswer, type HttpCall } from '@rillrudder/web'
-import type { Finality } from './LeaderCalls'
+import type { RetryLimits } from './LeaderCalls'
 
-/** Operators wait longer than callers do. */
-const FINALITY: Finality = { patience: 2000, limit: 5000 }
-/** Jobs in a list, where the call names no other number. */
-const DEFAULT_LIST = 100
-const MOST_LIST = 1000
-const JOB = /^\/v1\/jobs\/([0-9a-f]{16})(\/cancel)?$/
-/** How the key of a client account is shown. */
-const BEARER = /^Bearer +(\S+)$/i
-const QUEUE_JOB = /^\/v1\/queues\/([^/]+)\/jobs\/([0-9a-f]{16})$/
+/** Operators wait longer than other callers. */
+const OPERATOR_RETRY_LIMITS: RetryLimits = { leaderWait: 2000, limit: 5000 }
+/** Number of jobs in a list if the request names none. */
+const DEFAULT_LIST_SIZE = 100
+const MAX_LIST_SIZE = 1000
+const JOB_PATH = /^\/v1\/jobs\/([0-9a-f]{16})(\/cancel)?$/
+/** The authorization header that carries the key of a client account. */
+const BEARER_TOKEN = /^Bearer +(\S+)$/i
+const QUEUE_JOB_PATH = /^\/v1\/queues\/([^/]+)\/jobs\/([0-9a-f]{16})$/
 
-/** What the interface works with. @public */
-export interface ProductServerParts {
-	readonly call: (call: CellCall, finality: Finality) => Promise<CellReply>
+/** Dependencies of the API server. @public */
+export interface ApiServerParts {
+	readonly call: (call: CellCall, finality: RetryLimits) => Promise<CellReply>
 	readonly meter: Meter
-	/** Sets gauges that nobody keeps up to date between two readings. */
+	/** Updates the gauges that are only computed when metrics are read. */
 	readonly refresh: () => void
-	/** What the instance tells of itself. */
+	/** The status of the instance. */
 	readonly status: () => object
 }
 
 /**
- * The product's own interface.
+ * Serves the HTTP API of an instance.
  *
  * @public
  */
-export class ProductServer {
+export class ApiServer {
 	private readonly server = new HttpServer((call) => this.answer(call))
 
-	constructor(private readonly parts: ProductServerParts) {}
+	constructor(private readonly parts: ApiServerParts) {}
 
-	/** Listens. */
+	/** Starts to listen. */
 	listen(address: Address): Promise<void> {
 		return this.server.listen(address)
 	}
 
-	/** Takes no more calls. */
+	/** Accepts no more calls. */
 	close(): void {
 		this.server.close()
 	}
@@ -62,41 +62,46 @@
 		if (method === 'GET' && path === '/v1/status') {
 			return { status: 200, body: { content: this.parts.status() } }
 		}
-		const asked = toCall(call)
-		return 'status' in asked ? asked : toAnswer(await this.parts.call(asked, FINALITY))
+		const request = toCall(call)
+		return 'status' in request
+			? request
+			: toAnswer(await this.parts.call(request, OPERATOR_RETRY_LIMITS))
 	}
 }
 
 const TEXT = { 'content-type': 'text/plain; version=0.0.4' }
 
 function toCall({ method, path, query, headers, body }: HttpCall): CellCall | HttpAnswer {
-	const submitted = QUEUE_JOB.exec(path)
+	const submitted = QUEUE_JOB_PATH.exec(path)
 	if (method === 'POST' && submitted) {
 		const to = { queue: submitted[1], id: submitted[2], keyDigest: bearerDigest(headers) }
 		return toSubmission(to, body)
 	}
 	if (method === 'GET' && path === '/v1/accounts') return { kind: 'list-accounts' }
 	if (method === 'GET' && path === '/v1/jobs') {
-		const most = Math.min(MOST_LIST, Number(query.get('most') ?? DEFAULT_LIST) || DEFAULT_LIST)
+		const limit = Math.min(
+			MAX_LIST_SIZE,
+			Number(query.get('most') ?? DEFAULT_LIST_SIZE) || DEFAULT_LIST_SIZE
+		)
 		const queue = query.get('queue') ?? undefined
 		const state = query.get('state') ?? undefined
-		return { kind: 'list-jobs', filter: { queue, state, most } }
+		return { kind: 'list-jobs', filter: { queue, state, most: limit } }
 	}
-	const job = JOB.exec(path)
+	const job = JOB_PATH.exec(path)
 	if (method === 'GET' && job && !job[2]) return { kind: 'explain-job', id: job[1] }
 	if (method === 'POST' && job?.[2]) return { kind: 'cancel', to: { id: job[1] } }
 	return { status: 404, body: { message: `there is no ${method} ${path}` } }
 }
 
-/** @returns the digest of the key that a call shows as a bearer token; undefined for none. */
+/** @returns the digest of the bearer token of a call; undefined if it has none. */
 function bearerDigest({ authorization }: HttpCall['headers']): string | undefined {
-	const key = BEARER.exec(authorization ?? '')?.[1]
+	const key = BEARER_TOKEN.exec(authorization ?? '')?.[1]
 	return key === undefined ? undefined : digestOf(key)
 }
 
 function toSubmission(to: Destination, body: Buffer): CellCall | HttpAnswer {
 	const job = parseJob(body)
-	if (!job) return { status: 400, body: { message: 'the body is no job' } }
+	if (!job) return { status: 400, body: { message: 'the body is not a job' } }
 	const findings = checkJob(job)
 	if (findings.length === 0) return { kind: 'submit', to, job }
 	return { status: 422, body: { message: findings.map(formatFinding).join('; ') } }
@@ -111,12 +116,12 @@
 	}
 	const { spec = '', steps, repeat } = (read ?? {}) as Partial<JobRequest>
 	if (typeof spec !== 'string' || !Array.isArray(steps)) return undefined
-	const whole = steps.map((step) => completeStep(step))
-	if (whole.some((step) => step === undefined)) return undefined
-	return { spec, steps: whole as JobRequest['steps'], repeat }
+	const complete = steps.map((step) => completeStep(step))
+	if (complete.some((step) => step === undefined)) return undefined
+	return { spec, steps: complete as JobRequest['steps'], repeat }
 }
 
-/** @returns the step with what it leaves out, or undefined when a field has the wrong type. */
+/** @returns the step with defaults for missing fields; undefined if a field has the wrong type. */
 function completeStep(step: unknown): JobRequest['steps'][number] | undefined {
 	if (typeof step !== 'object' || step === null) return undefined
 	const given = step as { readonly [field: string]: unknown }
--- a/packages/member/src/lib/CoreInstance.ts
+++ b/packages/member/src/lib/CoreInstance.ts
@@ -1,4 +1,4 @@
-/** An instance of the core: a replica of the cell's group, and the controller while it leads. */
+/** An instance of the core: a replica of the cell's consensus group that runs the controller while it leads. */
 import { randomUUID } from 'node:crypto'
 import { join } from 'node:path'
 import { Replica, type Founder, type Timing } from '@rillrudder/consensus'
@@ -16,46 +16,46 @@
 import { Measure, type Log, type Meter } from '@rillrudder/telemetry'
 import { exhaustive, Random, type Clock, type Timer } from '@rillrudder/utils'
 import type { Adviser } from './Adviser'
-import { answerQuestion, AskingPeers } from './AskingPeers'
+import { answerQuestion, PeerAdvisers } from './PeerAdvisers'
 import { CarriedOrders } from './carriers/CarriedOrders'
-import type { Carrier } from './carriers/CarrierChoice'
+import type { Carrier } from './carriers/CarrierSelector'
 import { OrderCarrier } from './carriers/OrderCarrier'
 import { CallFaults } from './CallFaults'
 import { CellMachine } from './CellMachine'
-import type { Finality, LocalLeader } from './LeaderCalls'
-import { CoreNews } from './CoreNews'
-import { decodeCall } from './linkBodies'
+import type { RetryLimits, LocalLeader } from './LeaderCalls'
+import { NewsBroadcaster } from './NewsBroadcaster'
+import { decodeCall } from './messageBodies'
 import { CellLoads } from './load/CellLoads'
-import { CarrierSpread } from './load/CarrierSpread'
+import { CarrierWeights } from './load/CarrierWeights'
 import type { InstanceCapacity } from './load/InstanceCapacity'
 import { InstanceLoad } from './load/InstanceLoad'
-import { GatheredHeartbeats, HeartbeatFate } from './GatheredHeartbeats'
-import { CORE_NEWS_KEPT, NEWS_PERIOD } from './LeaderView'
-import { Leading } from './Leading'
-import { TICK_PERIOD } from './linkTiming'
+import { HeartbeatBatcher, HeartbeatHandling } from './HeartbeatBatcher'
+import { CORE_NEWS_TTL_MS, NEWS_INTERVAL_MS } from './LeaderView'
+import { LeaderSession } from './LeaderSession'
+import { TICK_INTERVAL_MS } from './linkTiming'
 import { MemberEvent } from './MemberEvent'
 import { PeerLinks } from './PeerLinks'
 
 const GROUP = 'cell'
-/** Milliseconds between two settings of the gauges. */
-const MEASURE_PERIOD = 1000
-/** Milliseconds that a planned stop waits for another instance to lead. */
-const HAND_OVER_WAIT = 1500
-/** Milliseconds that a stopping instance still passes calls on to its successor. */
-const LAST_CALLS = 300
-/** Milliseconds that a call that is passed on may take. */
-const RELAY_LIMIT = 1200
+/** Milliseconds between two updates of the gauges. */
+const GAUGE_INTERVAL_MS = 1000
+/** Milliseconds that a planned stop waits for another instance to take over leadership. */
+const HAND_OVER_TIMEOUT_MS = 1500
+/** Milliseconds for which a stopping instance still forwards calls to its successor. */
+const LAST_CALLS_MS = 300
+/** Timeout of a call that is forwarded to the leader, in milliseconds. */
+const RELAY_TIMEOUT_MS = 1200
 
-/** How long the leader is told of heartbeats that others heard; the next ones say it again. */
-const HEARD_FINALITY = { patience: 300, limit: 600 }
-/** What a worker is told whose heartbeat can't be brought to the leader for now. */
-const LEADER_SILENT: CellReply = {
+/** Retry limits for reporting batched heartbeats to the leader. Short, since the next batch reports the same workers. */
+const HEARTBEAT_RETRY_LIMITS = { leaderWait: 300, limit: 600 }
+/** Reply to a worker whose heartbeat can't be forwarded to the leader at the moment. */
+const LEADER_UNREACHABLE: CellReply = {
 	kind: 'not-run',
-	reason: 'the leader does not answer',
+	reason: 'the leader is unreachable',
 	retryAfter: 1000,
 }
 
-/** What an instance of the core is made with. @public */
+/** Settings and dependencies of a core instance. @public */
 export interface CoreParts {
 	/** Host and port for links; also its id. */
 	readonly address: string
@@ -63,12 +63,12 @@
 	readonly capacity: InstanceCapacity
 	/** Data folder. */
 	readonly data: string
-	/** Link addresses of instances to ask for admission; they may change. */
+	/** Link addresses of the instances to ask for admission; read again each time, since they may change. */
 	readonly seeds: () => readonly string[]
-	/** Whether the whole cell starts for the first time, and the seeds found it. */
-	readonly founding: boolean
+	/** Whether the cell starts for the first time, with the seeds as its founding members. */
+	readonly isFounding: boolean
 	readonly clock: Clock
-	/** When the process started, on that clock. */
+	/** When the process started, on `clock`. */
 	readonly startedAt: number
 	readonly random: Random
 	readonly timing: Timing
@@ -78,12 +78,12 @@
 	readonly adviser: Adviser
 	readonly log: Log
 	readonly meter: Meter
-	/** Told of a fault after which the process must end. */
-	readonly fail: (fault: Error) => void
+	/** Called with an error after which the process must end. */
+	readonly onFatalError: (fault: Error) => void
 }
 
 /**
- * An instance of the core.
+ * An instance of the core: replicates the cell's state, forwards calls to the leader, and leads when elected.
  *
  * @example
  * ```ts
@@ -94,60 +94,61 @@
  * @public
  */
 export class CoreInstance {
-	/** This life of the instance, unlike any other. */
-	private readonly life = randomUUID()
+	/** Unique id of this start of the instance. */
+	private readonly incarnation = randomUUID()
 	private readonly state = new CellState()
 	private readonly machine = new CellMachine(this.state)
 	private readonly links: PeerLinks
-	private readonly advisers: AskingPeers
+	private readonly advisers: PeerAdvisers
 	private readonly carrier: OrderCarrier
-	private readonly heartbeats: GatheredHeartbeats
-	private readonly news: CoreNews
+	private readonly heartbeats: HeartbeatBatcher
+	private readonly news: NewsBroadcaster
 	private readonly faults: CallFaults
 	private readonly load: InstanceLoad
 	private readonly loads: CellLoads
-	/** When each peer last said something, on the instance's clock. */
-	private readonly heardAt = new Map<string, number>()
+	/** When each peer last sent a message, on the instance's clock. */
+	private readonly lastHeardAt = new Map<string, number>()
 	private group!: Group
-	private leading: Leading | undefined
+	private session: LeaderSession | undefined
 	private timers: Timer[] = []
-	private toldLeader = ''
-	/** The members that were told last; the group replaces the list whenever it changes. */
-	private toldMembers: readonly Member[] = []
+	private loggedLeader = ''
+	/** The members that were logged last; the group replaces the list whenever it changes. */
+	private loggedMembers: readonly Member[] = []
 
 	constructor(private readonly parts: CoreParts) {
 		const { clock, address: self, adviser } = parts
-		this.load = new InstanceLoad(parts.capacity, TICK_PERIOD, clock.now())
+		this.load = new InstanceLoad(parts.capacity, TICK_INTERVAL_MS, clock.now())
 		this.loads = new CellLoads(self, this.load)
 		this.faults = new CallFaults(clock, parts.log, parts.meter)
 		this.links = new PeerLinks({
 			self,
-			newsKept: CORE_NEWS_KEPT,
+			newsTtl: CORE_NEWS_TTL_MS,
 			clock,
 			log: parts.log,
 			meter: parts.meter,
-			receive: (from, event) => this.receive(from, event),
-			lost: (peer) => this.lost(peer),
-			local: () => this.localLeader(),
+			onEvent: (from, event) => this.onEvent(from, event),
+			onPeerLost: (peer) => this.onPeerLost(peer),
+			localLeader: () => this.localLeader(),
 		})
 		const peers = (): readonly string[] => this.links.hub.connected
-		this.advisers = new AskingPeers({
+		this.advisers = new PeerAdvisers({
 			self,
 			adviser,
 			calls: this.links.calls,
 			peers,
 			standing: (id) => this.loads.standingOf(id, clock.now()),
 		})
-		this.heartbeats = new GatheredHeartbeats({
+		this.heartbeats = new HeartbeatBatcher({
 			workers: this.state.workers,
 			clock,
-			tell: (heard) => this.links.leaderCalls.call({ kind: 'heartbeats', heard }, HEARD_FINALITY),
-			mayTell: () => this.links.view.leader(clock.now()) !== undefined,
-			refusing: (active) => parts.log.warn(MemberEvent.HeartbeatsRefused, { active }),
+			report: (heard) =>
+				this.links.leaderCalls.call({ kind: 'heartbeats', heard }, HEARTBEAT_RETRY_LIMITS),
+			canReport: () => this.links.view.leader(clock.now()) !== undefined,
+			onRefusingChanged: (active) => parts.log.warn(MemberEvent.HeartbeatsRefused, { active }),
 		})
-		this.news = new CoreNews({
+		this.news = new NewsBroadcaster({
 			self,
-			life: this.life,
+			incarnation: this.incarnation,
 			clock,
 			links: this.links,
 			replica: () => this.group.replica,
@@ -163,58 +164,58 @@
 		)
 	}
 
-	/** The replica's view of the group, for the status page. */
+	/** The replica's view of the group, for the status endpoint. */
 	get status() {
 		return this.group.replica.status
 	}
 
-	/** Opens the data folder and links up. */
+	/** Opens the data folder and connects to the peers. */
 	async start(): Promise<void> {
 		this.group = await this.openGroup()
-		this.machine.applied = () => this.leading?.applied()
+		this.machine.onApplied = () => this.session?.onEntryApplied()
 		await this.links.hub.listen(this.parts.address)
 		this.dial()
 		const { clock } = this.parts
 		this.timers = [
-			clock.every(TICK_PERIOD, () => this.tick()),
-			clock.every(NEWS_PERIOD, () => this.news.tellAgain()),
-			clock.every(MEASURE_PERIOD, () => this.measure()),
+			clock.every(TICK_INTERVAL_MS, () => this.tick()),
+			clock.every(NEWS_INTERVAL_MS, () => this.news.broadcastPeriodically()),
+			clock.every(GAUGE_INTERVAL_MS, () => this.updateGauges()),
 		]
 	}
 
-	/** Brings a call to the leader, here or elsewhere. */
-	call(call: CellCall, finality: Finality): Promise<CellReply> {
-		if (call.kind !== 'heartbeat' || this.leading)
-			return this.links.leaderCalls.call(call, finality)
-		const fate = this.heartbeats.take(call.heartbeat)
-		switch (fate) {
-			case HeartbeatFate.Gathered:
+	/** Sends a call to the leader, be it this instance or another. */
+	call(call: CellCall, limits: RetryLimits): Promise<CellReply> {
+		if (call.kind !== 'heartbeat' || this.session) return this.links.leaderCalls.call(call, limits)
+		const handling = this.heartbeats.handle(call.heartbeat)
+		switch (handling) {
+			case HeartbeatHandling.Batched:
 				return Promise.resolve({ kind: 'noted' })
-			case HeartbeatFate.Refused:
-				return Promise.resolve(LEADER_SILENT)
-			case HeartbeatFate.Passed:
-				return this.links.leaderCalls.call(call, finality)
+			case HeartbeatHandling.Refused:
+				return Promise.resolve(LEADER_UNREACHABLE)
+			case HeartbeatHandling.Forwarded:
+				return this.links.leaderCalls.call(call, limits)
 			default:
-				return exhaustive(fate)
+				return exhaustive(handling)
 		}
 	}
 
-	/** Hands leadership over and stops. */
+	/** Hands leadership over, if this instance leads, and stops. */
 	async stop(): Promise<void> {
 		const { clock } = this.parts
 		const wait = (span: number) => new Promise<void>((done) => clock.after(span, done))
-		const until = clock.now() + HAND_OVER_WAIT
+		const until = clock.now() + HAND_OVER_TIMEOUT_MS
 		if (this.group.replica.leads) this.group.handOver()
-		while (this.group.replica.leads && clock.now() < until) await wait(TICK_PERIOD)
-		await wait(LAST_CALLS)
+		while (this.group.replica.leads && clock.now() < until) await wait(TICK_INTERVAL_MS)
+		await wait(LAST_CALLS_MS)
 		for (const timer of this.timers) timer.cancel()
-		this.endLeading()
+		this.endSession()
 		await this.group.stop()
 		this.links.hub.close()
 	}
 
 	private async openGroup(): Promise<Group> {
-		const { address, dataCentre, data, clock, random, timing, log, fail, startedAt } = this.parts
+		const { address, dataCentre, data, clock, random, timing, log, onFatalError, startedAt } =
+			this.parts
 		const opened = await GroupStore.open({
 			disk: new SystemDisk(),
 			folder: join(data, GROUP),
@@ -241,57 +242,57 @@
 			clock,
 			send: (to, message) =>
 				void this.links.hub.send(to, { body: { $case: 'group', value: message } }),
-			fail,
-			settled: () => this.settled(),
+			fail: onFatalError,
+			settled: () => this.onGroupSettled(),
 		})
 	}
 
 	private founders(): Founder[] {
-		if (!this.parts.founding) return []
+		if (!this.parts.isFounding) return []
 		return this.parts.seeds().map((id) => ({ id, durable: true, local: true }))
 	}
 
 	private tick(): void {
 		this.load.tick(this.parts.clock.now())
 		this.group.tick()
-		this.settled()
-		if (this.leading && this.group.mayAct) this.leading.tick()
+		this.onGroupSettled()
+		if (this.session && this.group.mayAct) this.session.tick()
 		this.dial()
 	}
 
-	/** Sets the gauges. */
-	private measure(): void {
+	/** Updates the gauges. */
+	private updateGauges(): void {
 		const { meter } = this.parts
 		const { term, members } = this.group.replica.status
 		meter.gauge(Measure.LoopDelay, this.load.loopDelay)
 		meter.gauge(Measure.Term, term)
-		meter.gauge(Measure.Leads, this.leading ? 1 : 0)
+		meter.gauge(Measure.Leads, this.session ? 1 : 0)
 		meter.gauge(Measure.Voters, members.filter((member) => member.voter).length)
-		this.leading?.measure()
+		this.session?.updateGauges()
 	}
 
-	/** Begins or ends a leadership as the group's state asks for it. */
-	private settled(): void {
+	/** Starts or ends a leader session after a change of the group's state, and logs a new leader or new members. */
+	private onGroupSettled(): void {
 		const { replica } = this.group
 		const { term, leader, members } = replica.status
-		if (this.leading && (!replica.leads || term !== this.leading.term)) this.endLeading()
-		if (!this.leading && this.group.mayAct) this.beginLeading(term)
-		if (leader !== this.toldLeader) {
-			this.toldLeader = leader
+		if (this.session && (!replica.leads || term !== this.session.term)) this.endSession()
+		if (!this.session && this.group.mayAct) this.startSession(term)
+		if (leader !== this.loggedLeader) {
+			this.loggedLeader = leader
 			this.parts.log.info(MemberEvent.LeaderChanged, { leader, term })
-			this.news.tell()
+			this.news.broadcast()
 		}
-		if (members === this.toldMembers) return
+		if (members === this.loggedMembers) return
 		const named = namesOf(members)
-		const before = namesOf(this.toldMembers)
-		this.toldMembers = members
+		const before = namesOf(this.loggedMembers)
+		this.loggedMembers = members
 		if (named !== before) this.parts.log.info(MemberEvent.MembersChanged, { members: named })
 	}
 
-	private beginLeading(term: number): void {
+	private startSession(term: number): void {
 		const { clock, random, controller: timing, policy, log, meter } = this.parts
 		const { group, state, advisers } = this
-		this.leading = new Leading({
+		this.session = new LeaderSession({
 			group,
 			state,
 			term,
@@ -304,8 +305,8 @@
 			log,
 			meter,
 		})
-		this.news.tell()
-		this.leading.flushSoon()
+		this.news.broadcast()
+		this.session.scheduleTurn()
 	}
 
 	private carriedOrders(term: number): CarriedOrders {
@@ -313,13 +314,13 @@
 		return new CarriedOrders({
 			direct,
 			term,
-			life: this.life,
+			incarnation: this.incarnation,
 			clock,
 			log,
-			linked: () => this.linkedMembers(),
-			spread: new CarrierSpread(this.loads.core, log, meter),
-			heardAt: (id) => this.heardAt.get(id) ?? Number.NEGATIVE_INFINITY,
-			workers: () => this.state.workers.size,
+			linkedCarriers: () => this.linkedMembers(),
+			weights: new CarrierWeights(this.loads.core, log, meter),
+			lastHeardAt: (id) => this.lastHeardAt.get(id) ?? Number.NEGATIVE_INFINITY,
+			workerCount: () => this.state.workers.size,
 			send: (to, value) => this.links.hub.send(to, { body: { $case: 'orderBatch', value } }),
 		})
 	}
@@ -329,54 +330,54 @@
 		return members.filter(({ id }) => id !== this.parts.address && this.links.hub.isConnected(id))
 	}
 
-	private lost(peer: string): void {
-		this.loads.lost(peer)
-		this.leading?.lost(peer)
+	private onPeerLost(peer: string): void {
+		this.loads.onLinkLost(peer)
+		this.session?.onLinkLost(peer)
 	}
 
-	private endLeading(): void {
-		this.leading?.end()
-		this.leading = undefined
+	private endSession(): void {
+		this.session?.end()
+		this.session = undefined
 	}
 
 	/** @returns this instance as the leader; undefined while it may not act as such. */
 	private localLeader(): LocalLeader | undefined {
-		const { leading, faults } = this
-		if (!leading || !this.group.mayAct) return undefined
+		const { session, faults } = this
+		if (!session || !this.group.mayAct) return undefined
 		return {
-			term: leading.term,
-			call: (call, done) => faults.handle(call, done, () => leading.call(call, done)),
+			term: session.term,
+			call: (call, done) => faults.handle(call, done, () => session.call(call, done)),
 		}
 	}
 
-	private receive(from: string, { body }: Event): void {
+	private onEvent(from: string, { body }: Event): void {
 		const now = this.parts.clock.now()
-		this.heardAt.set(from, now)
+		this.lastHeardAt.set(from, now)
 		if (!body) return
 		if (body.$case === 'group') this.group.receive(body.value)
-		else if (body.$case === 'peerCall') this.peerCalled(from, body.value)
+		else if (body.$case === 'peerCall') this.onPeerCall(from, body.value)
 		else if (body.$case === 'cellNews') {
-			this.links.view.take(from, body.value, now)
-			this.carrier.heard(from, body.value.sent)
-			this.loads.core.take(from, body.value.load, now)
-		} else if (body.$case === 'orderBatch') this.carrier.take(from, body.value)
-		else if (body.$case === 'orderResults') this.leading?.carried(body.value)
+			this.links.view.update(from, body.value, now)
+			this.carrier.onMessage(from, body.value.sent)
+			this.loads.core.update(from, body.value.load, now)
+		} else if (body.$case === 'orderBatch') this.carrier.onOrders(from, body.value)
+		else if (body.$case === 'orderResults') this.session?.onOrderResults(body.value)
 		else if (body.$case === 'peerReply') {
-			this.loads.entry.take(from, body.value.load, now)
-			this.links.calls.replied(body.value)
-			this.leading?.flushSoon()
+			this.loads.entry.update(from, body.value.load, now)
+			this.links.calls.onReply(body.value)
+			this.session?.scheduleTurn()
 		}
 	}
 
-	private peerCalled(from: string, { id, body, hops, term }: PeerCall): void {
+	private onPeerCall(from: string, { id, body, hops, term }: PeerCall): void {
 		const reply = (value: CellReply): void => this.links.calls.reply(from, id, value)
 		const call = decodeCall(body)
-		if (!call) return this.faults.unreadable(from)
+		if (!call) return this.faults.onUnreadable(from)
 		if (call.kind === 'advise') {
 			void answerQuestion(this.parts.adviser, call.question).then(reply)
 			return
 		}
-		if (this.leading) {
+		if (this.session) {
 			const leader = this.localLeader()
 			if (leader?.term === term) leader.call(call, reply)
 			else reply({ kind: 'not-leader' })
@@ -388,14 +389,14 @@
 			return
 		}
 		const to = { peer: leader, term, hops: hops + 1 }
-		this.links.calls.pass(to, body, RELAY_LIMIT, (outcome) => {
+		this.links.calls.callEncoded(to, body, RELAY_TIMEOUT_MS, (outcome) => {
 			if (outcome.kind === 'replied') reply(outcome.reply)
 			else if (outcome.kind === 'not-sent') reply({ kind: 'not-leader' })
 			else reply({ kind: 'unknown', reason: 'the leader did not answer' })
 		})
 	}
 
-	/** Every instance of the core that this one has a reason to know. */
+	/** @returns seeds and members of the core, without this instance; before it knows any member, also those that it has heard of. */
 	private peersToDial(): string[] {
 		const { address, seeds } = this.parts
 		const replica = this.group?.replica
@@ -411,7 +412,7 @@
 	}
 }
 
-/** Those without a vote are marked. */
+/** Joins the ids of members; a question mark follows those without a vote. */
 function namesOf(members: readonly Member[]): string {
 	return members.map((one) => `${one.id}${one.voter ? '' : '?'}`).join()
 }
--- a/packages/member/src/lib/LeaderCalls.test.ts
+++ b/packages/member/src/lib/LeaderCalls.test.ts
@@ -5,8 +5,8 @@
 import type { Event } from '@rillrudder/protocol'
 import { Meter } from '@rillrudder/telemetry'
 import { ManualClock } from '@rillrudder/utils'
-import { LeaderCalls, type Finality, type LocalLeader } from './LeaderCalls'
-import { decodeCall } from './linkBodies'
+import { LeaderCalls, type RetryLimits, type LocalLeader } from './LeaderCalls'
+import { decodeCall } from './messageBodies'
 import type { KnownLeader } from './LeaderView'
 import { PeerCalls } from './PeerCalls'
 
@@ -16,9 +16,9 @@
 	to: { queue: 'checks', id: '00000000000000aa' },
 	job: { spec: '', steps: [] },
 }
-const FINALITY: Finality = { patience: 800, limit: 1500 }
+const FINALITY: RetryLimits = { leaderWait: 800, limit: 1500 }
 /** Of a caller who waits longer than it takes to find a leader. */
-const PATIENT: Finality = { ...FINALITY, limitOnceSent: 2400 }
+const PATIENT: RetryLimits = { ...FINALITY, limitOnceSent: 2400 }
 
 class Subject {
 	readonly clock = new ManualClock()
@@ -37,8 +37,8 @@
 		calls: this.peers,
 		meter: new Meter(),
 		leader: () => this.leader,
-		life: 'first',
-		local: () => this.localLeader(),
+		incarnation: 'first',
+		localLeader: () => this.localLeader(),
 	})
 
 	get outcome(): string | undefined {
@@ -51,11 +51,11 @@
 
 	answer(reply: CellReply): void {
 		const last = this.sent[this.sent.length - 1]
-		this.peers.replied({ id: last.id, body: Buffer.from(JSON.stringify(reply)) })
+		this.peers.onReply({ id: last.id, body: Buffer.from(JSON.stringify(reply)) })
 	}
 
 	lose(peer: string): void {
-		this.peers.lost(peer)
+		this.peers.onLinkLost(peer)
 	}
 
 	/** Lets time pass, and promises settle. */
--- a/packages/member/src/lib/WakingOrders.ts
+++ b/packages/member/src/lib/WakingOrders.ts
@@ -1,6 +1,6 @@
 /**
- * Carries the orders of one leadership to workers, and wakes its controller after each answer so that what follows is
- * decided. Once the leadership is over its controller hears of no more answers: it would take them for news of today.
+ * Sends the orders of one leadership to workers and wakes its controller after each answer, so that it decides what
+ * follows. After the end of the leadership answers are dropped, since the controller would take them as current.
  */
 import {
 	WorkerOrders,
@@ -14,15 +14,15 @@
 } from '@rillrudder/jobs'
 
 /**
- * Orders that wake the controller.
+ * Orders whose answers wake the controller.
  *
  * @internal
  */
 export class WakingOrders extends WorkerOrders {
-	private over = false
+	private hasEnded = false
 
 	/**
-	 * @param orders - what carries the orders.
+	 * @param orders - sends the orders.
 	 * @param wake - called after each answer.
 	 */
 	constructor(
@@ -37,29 +37,29 @@
 		order: StartOrder,
 		done: (result: OrderResult) => void
 	): void {
-		this.orders.start(worker, order, this.waking(done))
+		this.orders.start(worker, order, this.withWake(done))
 	}
 
 	override stop(worker: OrderTarget, order: StopOrder, done: (result: OrderResult) => void): void {
-		this.orders.stop(worker, order, this.waking(done))
+		this.orders.stop(worker, order, this.withWake(done))
 	}
 
 	override pace(worker: OrderTarget, order: PaceOrder, done: (result: OrderResult) => void): void {
-		this.orders.pace(worker, order, this.waking(done))
+		this.orders.pace(worker, order, this.withWake(done))
 	}
 
 	override poll(worker: OrderTarget, order: PollOrder, done: (result: PollResult) => void): void {
-		this.orders.poll(worker, order, this.waking(done))
+		this.orders.poll(worker, order, this.withWake(done))
 	}
 
-	/** The leadership is over. */
+	/** Ends the leadership: answers are dropped from now on. */
 	end(): void {
-		this.over = true
+		this.hasEnded = true
 	}
 
-	private waking<Result>(done: (result: Result) => void): (result: Result) => void {
+	private withWake<Result>(done: (result: Result) => void): (result: Result) => void {
 		return (result) => {
-			if (this.over) return
+			if (this.hasEnded) return
 			done(result)
 			this.wake()
 		}
