--- a/packages/consensus/src/index.ts
+++ b/packages/consensus/src/index.ts
@@ -9,4 +9,4 @@
 	type Restored,
 } from './lib/ReplicaState'
 export { DEFAULT_TIMING, leaseSpan, type Timing } from './lib/Timing'
-export { Witness } from './lib/Witness'
+export { SafetyChecker } from './lib/SafetyChecker'
--- a/packages/consensus/src/lib/Leadership.ts
+++ b/packages/consensus/src/lib/Leadership.ts
@@ -55,7 +55,7 @@
 		state.role = Role.Leader
 		state.leader = state.options.id
 		state.knewLeader = true
-		state.options.witness?.leading(state.term, state.life)
+		state.options.safetyChecker?.onElected(state.term, state.replicaKey)
 		this.since = now
 		this.handingTo = ''
 		this.leaseGivenUp = false
@@ -338,7 +338,7 @@
 		}
 		if (this.leaseGivenUp || this.progress(this.handingTo).match < state.log.lastIndex) return
 		this.leaseGivenUp = true
-		state.options.witness?.released(state.life)
+		state.options.safetyChecker?.onLeaseReleased(state.replicaKey)
 		state.sendEarly(this.handingTo, { $case: 'timeoutNow', value: {} })
 	}
 
--- a/packages/consensus/src/lib/ReplicaState.ts
+++ b/packages/consensus/src/lib/ReplicaState.ts
@@ -5,7 +5,7 @@
 import type { Envelope, HardState, Output, Snapshot } from './Output'
 import { ReplicatedLog } from './ReplicatedLog'
 import { DEFAULT_TIMING, type Timing } from './Timing'
-import type { Witness } from './Witness'
+import type { SafetyChecker } from './SafetyChecker'
 
 /** What a replica is doing in its group. @public */
 export const Role = {
@@ -54,7 +54,7 @@
 	 */
 	readonly startedAt?: number
 	readonly random: Random
-	readonly witness?: Witness
+	readonly safetyChecker?: SafetyChecker
 }
 
 /** What was found in the data folder. @public */
@@ -126,7 +126,7 @@
 	}
 
 	/** Id and incarnation. */
-	get life(): string {
+	get replicaKey(): string {
 		return `${this.options.id}#${this.options.incarnation}`
 	}
 
@@ -190,7 +190,7 @@
 		})
 		if (index <= this.commit) return
 		for (let at = this.commit + 1; at <= index; at++) {
-			this.options.witness?.committed(this.log.at(at))
+			this.options.safetyChecker?.onCommitted(this.log.at(at))
 		}
 		this.commit = index
 	}
--- a/packages/consensus/src/lib/Witness.ts
+++ b/packages/consensus/src/lib/SafetyChecker.ts
@@ -10,7 +10,7 @@
  *
  * @public
  */
-export class Witness {
+export class SafetyChecker {
 	private readonly leaders = new Map<number, string>()
 	private readonly committedTerms: number[] = []
 	private readonly committedData: Uint8Array[] = []
@@ -24,16 +24,20 @@
 
 	/**
 	 * @param term - a term.
-	 * @param life - id and incarnation of the replica that leads it.
+	 * @param replicaKey - id and incarnation of the replica that leads it.
 	 */
-	leading(term: number, life: string): void {
+	onElected(term: number, replicaKey: string): void {
 		const known = this.leaders.get(term)
-		invariant(known === undefined || known === life, 'one leader a term', { term, known, life })
-		this.leaders.set(term, life)
+		invariant(known === undefined || known === replicaKey, 'one leader a term', {
+			term,
+			known,
+			life: replicaKey,
+		})
+		this.leaders.set(term, replicaKey)
 	}
 
 	/** @param entry - an entry that some replica takes as committed. */
-	committed(entry: Entry): void {
+	onCommitted(entry: Entry): void {
 		const position = entry.index - 1
 		const known = this.committedTerms[position]
 		if (known === undefined) {
@@ -51,19 +55,19 @@
 	}
 
 	/**
-	 * @param life - the replica that acts under a lease.
+	 * @param replicaKey - the replica that acts under a lease.
 	 * @param trueNow - time on a clock that no replica sees.
 	 * @param trueEnd - when its lease ends on that clock.
 	 */
-	lease(life: string, trueNow: number, trueEnd: number): void {
-		const free = this.leaseHolder === life || this.leaseEnd <= trueNow
-		invariant(free, 'one lease at a time', { holder: this.leaseHolder, life, trueNow })
-		this.leaseHolder = life
+	onLease(replicaKey: string, trueNow: number, trueEnd: number): void {
+		const free = this.leaseHolder === replicaKey || this.leaseEnd <= trueNow
+		invariant(free, 'one lease at a time', { holder: this.leaseHolder, life: replicaKey, trueNow })
+		this.leaseHolder = replicaKey
 		this.leaseEnd = trueEnd
 	}
 
-	/** @param life - a replica that has given its lease up. */
-	released(life: string): void {
-		if (this.leaseHolder === life) this.leaseEnd = Number.NEGATIVE_INFINITY
+	/** @param replicaKey - a replica that has given its lease up. */
+	onLeaseReleased(replicaKey: string): void {
+		if (this.leaseHolder === replicaKey) this.leaseEnd = Number.NEGATIVE_INFINITY
 	}
 }
--- a/packages/runs/src/lib/Consistency.ts
+++ b/packages/runs/src/lib/Consistency.ts
@@ -1,5 +1,5 @@
 /** What of a run's group is whole: who could be lost without losing the group, and who must vote in the end. */
-import type { ReplicaStatus, Witness } from '@rillrudder/consensus'
+import type { ReplicaStatus, SafetyChecker } from '@rillrudder/consensus'
 import { invariant } from '@rillrudder/utils'
 import { lastStored, type RunNode } from './RunNode'
 
@@ -21,7 +21,7 @@
 	 */
 	constructor(
 		private readonly nodes: ReadonlyMap<string, RunNode>,
-		private readonly witness: Witness,
+		private readonly witness: SafetyChecker,
 		private readonly open: boolean
 	) {}
 
--- a/packages/runs/src/lib/GroupRun.ts
+++ b/packages/runs/src/lib/GroupRun.ts
@@ -4,7 +4,7 @@
  */
 import {
 	DEFAULT_TIMING,
-	Witness,
+	SafetyChecker,
 	type Founder,
 	type ReplicaStatus,
 	type Snapshot,
@@ -86,7 +86,7 @@
 		},
 	}
 	private readonly random: Random
-	private readonly witness = new Witness()
+	private readonly witness = new SafetyChecker()
 	private readonly nodes = new Map<string, RunNode>()
 	private readonly clock = new ManualClock()
 	private readonly network: GroupNetwork
@@ -292,7 +292,7 @@
 		if (life + node.replica.status.term !== this.lastLeader) this.tally.elections += 1
 		this.lastLeader = life + node.replica.status.term
 		const trueEnd = this.clock.now() + (node.replica.leaseEnd(local) - local) / node.rate
-		this.witness.lease(life, this.clock.now(), trueEnd)
+		this.witness.onLease(life, this.clock.now(), trueEnd)
 	}
 
 	private deliver({ to, message }: Flight): void {
@@ -392,7 +392,7 @@
 				founders: open && (node.wiped || !self) ? [] : founders,
 				applicant: open ? applicant : undefined,
 				random: new Random(this.random.integer(1, 1_000_000_000)),
-				witness: this.witness,
+				safetyChecker: this.witness,
 			},
 			disk: durable ? node.disk : undefined,
 			now: () => node.localTime(this.clock.now()),
--- a/packages/runs/src/lib/cell/CellRun.ts
+++ b/packages/runs/src/lib/cell/CellRun.ts
@@ -3,7 +3,7 @@
  * model, with faults of every kind, alone and together. What must always hold is asserted by the program
  * itself and, where it takes more than one process to see it, here.
  */
-import { Witness } from '@rillrudder/consensus'
+import { SafetyChecker } from '@rillrudder/consensus'
 import { SEVEN_INSTANCES } from '@rillrudder/fakes'
 import { dataCentresOf, groupsOf, type Instance } from '@rillrudder/settings'
 import { invariant, ManualClock, Random } from '@rillrudder/utils'
@@ -88,7 +88,7 @@
 	readonly callers: RunCallers
 	readonly operators: RunOperators
 	readonly faults: Faults
-	readonly witnesses: ReadonlyMap<string, Witness>
+	readonly witnesses: ReadonlyMap<string, SafetyChecker>
 	private readonly shownBy = new Map<string, number>()
 	/** For each process and worker the first offer after a worker should be known to leave. */
 	private readonly lateOffers = new Map<string, number>()
@@ -101,7 +101,7 @@
 		this.workers = new RunWorkers(this.clock, this.network, this.random, (process, worker) =>
 			this.checkLeaving(process, worker)
 		)
-		this.witnesses = new Map(groupsOf(INSTANCES).map((group) => [group.name, new Witness()]))
+		this.witnesses = new Map(groupsOf(INSTANCES).map((group) => [group.name, new SafetyChecker()]))
 		for (const name of dataCentresOf(INSTANCES)) this.workers.add(name, WORKERS_EACH)
 		for (const instance of INSTANCES) this.add(instance)
 		this.callers = new RunCallers(this, options.requestRate)
--- a/packages/runs/src/lib/cell/RunControl.ts
+++ b/packages/runs/src/lib/cell/RunControl.ts
@@ -12,7 +12,7 @@
 } from '@rillrudder/cell'
 import type { StateMachine } from '@rillrudder/group'
 import { EntryKind, type Event } from '@rillrudder/protocol'
-import type { Witness } from '@rillrudder/consensus'
+import type { SafetyChecker } from '@rillrudder/consensus'
 import {
 	dataCentresOf,
 	groupsOf,
@@ -57,7 +57,7 @@
 	readonly network: RunNetwork
 	readonly workers: RunWorkers
 	readonly random: Random
-	readonly witnesses: ReadonlyMap<string, Witness>
+	readonly witnesses: ReadonlyMap<string, SafetyChecker>
 	/** Told of every revision that is shown. */
 	readonly shown: (revision: number) => void
 }
@@ -273,7 +273,7 @@
 				incarnation,
 				founders: layout.voters,
 				random: this.seeded(),
-				witness: witnesses.get(name),
+				safetyChecker: witnesses.get(name),
 			},
 			disk: kept,
 			now: () => this.clock.now(),
