--- a/apps/bench/src/lib/groupBench.ts
+++ b/apps/bench/src/lib/groupBench.ts
@@ -60,7 +60,7 @@
 	}
 
 	get leader(): Member | undefined {
-		return [...this.members.values()].find((member) => member.group.replica.leads)
+		return [...this.members.values()].find((member) => member.group.replica.isLeader)
 	}
 
 	pause(span: number): Promise<void> {
--- a/apps/control/src/lib/ControlProcess.ts
+++ b/apps/control/src/lib/ControlProcess.ts
@@ -370,7 +370,7 @@
 		const until = this.clock.now() + HAND_OVER_FOR
 		const groups = [...this.hosts.values()].map((host) => host.replicaGroup)
 		if (this.system) groups.push(this.system.replicaGroup)
-		while (this.clock.now() < until && groups.some((group) => group.replica.leads)) {
+		while (this.clock.now() < until && groups.some((group) => group.replica.isLeader)) {
 			await new Promise<void>((resolve) => this.clock.after(HAND_OVER_LOOK, () => resolve()))
 		}
 	}
--- a/apps/control/src/lib/groups/DataCentreHost.ts
+++ b/apps/control/src/lib/groups/DataCentreHost.ts
@@ -138,7 +138,7 @@
 
 	/** Hands leadership over, for a planned stop. */
 	handOver(): void {
-		this.group.handOver()
+		this.group.transferLeadership()
 	}
 
 	async stop(): Promise<void> {
--- a/apps/control/src/lib/groups/ReplicaAccess.ts
+++ b/apps/control/src/lib/groups/ReplicaAccess.ts
@@ -20,7 +20,7 @@
 	}
 
 	override get leads(): boolean {
-		return this.group.replica.leads
+		return this.group.replica.isLeader
 	}
 
 	override get mayAct(): boolean {
--- a/apps/control/src/lib/groups/SystemHost.ts
+++ b/apps/control/src/lib/groups/SystemHost.ts
@@ -64,7 +64,7 @@
 
 	/** Hands leadership over, for a planned stop. */
 	handOver(): void {
-		this.group.handOver()
+		this.group.transferLeadership()
 	}
 
 	async stop(): Promise<void> {
--- a/packages/consensus/src/lib/Leadership.ts
+++ b/packages/consensus/src/lib/Leadership.ts
@@ -83,7 +83,7 @@
 	}
 
 	/** Everything up to this index is lasting here. */
-	persisted(index: number): void {
+	onPersisted(index: number): void {
 		this.stored = Math.max(this.stored, index)
 		if (this.state.role === Role.Leader) this.advanceCommit()
 	}
@@ -110,7 +110,7 @@
 	}
 
 	/** Time may have passed that the clock did not count: the lease holds again once a majority has answered anew. */
-	doubtLease(now: number): void {
+	revalidateLease(now: number): void {
 		this.doubtedAt = now
 		this.heartbeat(now)
 	}
@@ -184,7 +184,7 @@
 	}
 
 	/** Hands leadership to a voter that has caught up; anything but the best is refused. */
-	handTo(id: string, now: number): boolean {
+	transferTo(id: string, now: number): boolean {
 		const member = this.state.memberships.find(id)
 		if (!member?.voter || id === this.state.options.id || this.handing) return false
 		this.handingTo = id
@@ -326,7 +326,7 @@
 		const self = memberships.find(options.id)
 		const best = memberships.find(this.successor(now))
 		if (!self || !best || preference(best) <= preference(self)) return
-		if (this.progress(best.id).match === this.state.log.lastIndex) this.handTo(best.id, now)
+		if (this.progress(best.id).match === this.state.log.lastIndex) this.transferTo(best.id, now)
 	}
 
 	private continueHanding(now: number): void {
--- a/packages/consensus/src/lib/Replica.ts
+++ b/packages/consensus/src/lib/Replica.ts
@@ -72,7 +72,7 @@
 		this.following = new Following(this.state, (moment) => this.election.reset(moment))
 		if (restored) {
 			this.state.restore(restored)
-			this.leadership.persisted(this.state.log.lastIndex)
+			this.leadership.onPersisted(this.state.log.lastIndex)
 		}
 		this.election.reset(options.startedAt ?? now)
 	}
@@ -85,8 +85,8 @@
 	}
 
 	/** Instances that answers to probes have named as members, perhaps long ago. */
-	get heardOf(): ReadonlySet<string> {
-		return this.state.heardOf
+	get reportedMembers(): ReadonlySet<string> {
+		return this.state.reportedMembers
 	}
 
 	/** When the leader was last heard, on the clock that this replica is driven by. */
@@ -95,7 +95,7 @@
 	}
 
 	/** Whether this replica leads. */
-	get leads(): boolean {
+	get isLeader(): boolean {
 		return this.state.role === Role.Leader
 	}
 
@@ -105,7 +105,7 @@
 	 * after every wait that comes before a start.
 	 */
 	holdsLease(now: number): boolean {
-		return this.leads && this.leadership.current && this.leadership.holdsLease(now)
+		return this.isLeader && this.leadership.current && this.leadership.holdsLease(now)
 	}
 
 	/**
@@ -113,8 +113,8 @@
 	 *
 	 * @param now - the moment.
 	 */
-	doubtLease(now: number): void {
-		if (this.leads) this.leadership.doubtLease(now)
+	revalidateLease(now: number): void {
+		if (this.isLeader) this.leadership.revalidateLease(now)
 	}
 
 	/**
@@ -133,7 +133,7 @@
 	 * @returns the index of the first, or undefined when this replica takes none now.
 	 */
 	propose(commands: readonly Uint8Array[], now: number): number | undefined {
-		if (!this.leads || commands.length === 0) return undefined
+		if (!this.isLeader || commands.length === 0) return undefined
 		return this.leadership.propose(commands, now)
 	}
 
@@ -143,8 +143,8 @@
 	 * @param index - index of its last entry.
 	 * @param term - term of that entry; an entry that was replaced meanwhile does not count.
 	 */
-	persisted(index: number, term: number): void {
-		if (this.state.log.termAt(index) === term) this.leadership.persisted(index)
+	onPersisted(index: number, term: number): void {
+		if (this.state.log.termAt(index) === term) this.leadership.onPersisted(index)
 	}
 
 	/**
@@ -153,7 +153,7 @@
 	 * @param now - the moment.
 	 */
 	tick(now: number): void {
-		if (this.leads) this.leadership.tick(now)
+		if (this.isLeader) this.leadership.tick(now)
 		else this.election.tick(now)
 		if (now >= this.probeDue && this.asksAround(now)) this.probe(now)
 	}
@@ -164,9 +164,9 @@
 	 * @param now - the moment.
 	 * @returns whether there is somebody to hand to.
 	 */
-	handOver(now: number): boolean {
-		if (!this.leads) return false
-		return this.leadership.handTo(this.leadership.successor(now), now)
+	transferLeadership(now: number): boolean {
+		if (!this.isLeader) return false
+		return this.leadership.transferTo(this.leadership.successor(now), now)
 	}
 
 	/**
@@ -234,9 +234,9 @@
 			case 'snapshotPiece':
 				return this.follow(() => this.following.piece(from, body.value, now))
 			case 'appendReply':
-				return this.leads && known && this.leadership.appendReply(known, body.value, now)
+				return this.isLeader && known && this.leadership.appendReply(known, body.value, now)
 			case 'snapshotReply':
-				return this.leads && known && this.leadership.snapshotReply(known, body.value, now)
+				return this.isLeader && known && this.leadership.snapshotReply(known, body.value, now)
 			case 'timeoutNow':
 				return this.state.leader === from && this.election.takeOver(now)
 			case 'probe':
@@ -287,7 +287,7 @@
 	/** A member of an open group may have been replaced without hearing of it. */
 	private asksAround(now: number): boolean {
 		if (!this.state.belongs) return true
-		if (!this.state.options.applicant || this.leads) return false
+		if (!this.state.options.applicant || this.isLeader) return false
 		return now - this.state.leaderHeardAt > this.state.timing.election * ASKS_AROUND
 	}
 
@@ -319,7 +319,7 @@
 	private takeProbeReply(message: GroupMessage, reply: ProbeReply, now: number): void {
 		const { from, incarnation } = message
 		if (reply.echo !== this.state.options.incarnation) return
-		for (const member of reply.members) this.state.heardOf.add(member)
+		for (const member of reply.members) this.state.reportedMembers.add(member)
 		if (reply.blank) this.blankPeers.set(from, { incarnation, dataCentre: reply.dataCentre })
 		else this.blankPeers.delete(from)
 		if (reply.founding) this.joinFounding(reply.founding)
--- a/packages/consensus/src/lib/ReplicaState.ts
+++ b/packages/consensus/src/lib/ReplicaState.ts
@@ -91,7 +91,7 @@
 	/** Whether this process has led, or followed a leader, since it started. */
 	knewLeader = false
 	/** Instances that answers to probes have named as members. */
-	readonly heardOf = new Set<string>()
+	readonly reportedMembers = new Set<string>()
 
 	private early: Envelope[] = []
 	private late: Envelope[] = []
--- a/packages/group/src/lib/Group.ts
+++ b/packages/group/src/lib/Group.ts
@@ -118,8 +118,8 @@
 	}
 
 	/** Hands leadership over, for a planned stop. */
-	handOver(): void {
-		this.post(() => void this.parts.replica.handOver(this.parts.clock.now()))
+	transferLeadership(): void {
+		this.post(() => void this.parts.replica.transferLeadership(this.parts.clock.now()))
 	}
 
 	/** Stops driving and closes the files once what is being saved is saved. */
@@ -132,7 +132,7 @@
 
 	/** The lease may have ended while the machine was suspended, which its steady clock does not tell. */
 	private noteSkips(): void {
-		if (this.skipped.noticed()) this.parts.replica.doubtLease(this.parts.clock.now())
+		if (this.skipped.noticed()) this.parts.replica.revalidateLease(this.parts.clock.now())
 	}
 
 	private post(event: GroupEvent): void {
@@ -207,7 +207,7 @@
 		for (const { late, batch } of saved) {
 			for (const { to, message } of late) this.parts.send(to, message)
 			const last = batch.entries[batch.entries.length - 1] ?? batch.snapshot
-			if (last) this.parts.replica.persisted(last.index, last.term)
+			if (last) this.parts.replica.onPersisted(last.index, last.term)
 		}
 		const output = this.parts.replica.status
 		if (output.commit > this.appliedIndex) this.post(() => undefined)
--- a/packages/member/src/lib/CoreInstance.ts
+++ b/packages/member/src/lib/CoreInstance.ts
@@ -204,8 +204,8 @@
 		const { clock } = this.parts
 		const wait = (span: number) => new Promise<void>((done) => clock.after(span, done))
 		const until = clock.now() + HAND_OVER_WAIT
-		if (this.group.replica.leads) this.group.handOver()
-		while (this.group.replica.leads && clock.now() < until) await wait(TICK_PERIOD)
+		if (this.group.replica.isLeader) this.group.transferLeadership()
+		while (this.group.replica.isLeader && clock.now() < until) await wait(TICK_PERIOD)
 		await wait(LAST_CALLS)
 		for (const timer of this.timers) timer.cancel()
 		this.endLeading()
@@ -274,7 +274,7 @@
 	private settled(): void {
 		const { replica } = this.group
 		const { term, leader, members } = replica.status
-		if (this.leading && (!replica.leads || term !== this.leading.term)) this.endLeading()
+		if (this.leading && (!replica.isLeader || term !== this.leading.term)) this.endLeading()
 		if (!this.leading && this.group.mayAct) this.beginLeading(term)
 		if (leader !== this.toldLeader) {
 			this.toldLeader = leader
@@ -400,7 +400,7 @@
 		const { address, seeds } = this.parts
 		const replica = this.group?.replica
 		const members = replica?.status.members.map((member) => member.id) ?? []
-		const heard = members.length === 0 ? [...(replica?.heardOf ?? [])] : []
+		const heard = members.length === 0 ? [...(replica?.reportedMembers ?? [])] : []
 		const known = new Set([...seeds(), ...members, ...heard])
 		known.delete(address)
 		return [...known]
--- a/packages/member/src/lib/CoreNews.test.ts
+++ b/packages/member/src/lib/CoreNews.test.ts
@@ -30,7 +30,12 @@
 		clock,
 		links: links as unknown as PeerLinks,
 		replica: () =>
-			({ leads, status, leaderHeardAt: clock.now(), holdsLease: () => true }) as unknown as Replica,
+			({
+				isLeader: leads,
+				status,
+				leaderHeardAt: clock.now(),
+				holdsLease: () => true,
+			}) as unknown as Replica,
 		load: () => LOAD as never,
 		linkedMembers: () => [{ id: MEMBER }],
 	})
--- a/packages/member/src/lib/CoreNews.ts
+++ b/packages/member/src/lib/CoreNews.ts
@@ -37,7 +37,7 @@
 	tellAgain(): void {
 		const { replica, linkedMembers } = this.parts
 		this.told += 1
-		const every = replica().leads ? LEADER_TELLS_EVERY : ENTRY_TOLD_EVERY
+		const every = replica().isLeader ? LEADER_TELLS_EVERY : ENTRY_TOLD_EVERY
 		if (this.told % every === 0) this.tell()
 		else this.tellTo(linkedMembers().map(({ id }) => id))
 	}
@@ -59,7 +59,7 @@
 		const replica = this.parts.replica()
 		const { leader, term, members } = replica.status
 		const now = this.parts.clock.now()
-		const fresh = replica.leads
+		const fresh = replica.isLeader
 			? replica.holdsLease(now)
 			: now - replica.leaderHeardAt < LEADER_FRESH
 		const ids = members.map((member) => member.id)
--- a/packages/member/src/lib/Leading.ts
+++ b/packages/member/src/lib/Leading.ts
@@ -74,7 +74,7 @@
 			proposals: this.batching,
 			log,
 			meter,
-			deposed: () => group.handOver(),
+			deposed: () => group.transferLeadership(),
 		})
 		meter.count(Measure.Leaderships)
 		state.observer = (change) => this.controller.changed(change)
--- a/packages/runs/src/lib/GroupRun.ts
+++ b/packages/runs/src/lib/GroupRun.ts
@@ -249,7 +249,7 @@
 		node.held = []
 		for (const call of held) call()
 		node.running.tick()
-		if (this.proposing && node.replica.leads && this.random.chance(0.3)) this.proposeSome(node)
+		if (this.proposing && node.replica.isLeader && this.random.chance(0.3)) this.proposeSome(node)
 		this.checkLease(node)
 		this.compact(node)
 	}
--- a/packages/runs/src/lib/RunReplica.ts
+++ b/packages/runs/src/lib/RunReplica.ts
@@ -92,7 +92,7 @@
 
 	/** Hands leadership over. @returns whether there is somebody to hand it to. */
 	handOver(): boolean {
-		const handed = this.replica.handOver(this.parts.now())
+		const handed = this.replica.transferLeadership(this.parts.now())
 		this.flush()
 		return handed
 	}
@@ -106,7 +106,7 @@
 	}
 
 	private noteSkips(): void {
-		if (this.skipped.noticed()) this.replica.doubtLease(this.parts.now())
+		if (this.skipped.noticed()) this.replica.revalidateLease(this.parts.now())
 	}
 
 	private flush(): void {
@@ -156,7 +156,7 @@
 	private saved(batch: SaveBatch, late: readonly Envelope[]): void {
 		for (const { to, message } of late) this.parts.send(to, message)
 		const last = batch.entries[batch.entries.length - 1] ?? batch.snapshot
-		if (last) this.replica.persisted(last.index, last.term)
+		if (last) this.replica.onPersisted(last.index, last.term)
 	}
 }
 
--- a/packages/runs/src/lib/cell/RunEnvironment.ts
+++ b/packages/runs/src/lib/cell/RunEnvironment.ts
@@ -23,7 +23,7 @@
 	}
 
 	override get leads(): boolean {
-		return this.running().replica.leads
+		return this.running().replica.isLeader
 	}
 
 	override get mayAct(): boolean {
--- a/packages/runs/src/lib/groupFailures.test.ts
+++ b/packages/runs/src/lib/groupFailures.test.ts
@@ -273,7 +273,7 @@
 
 test('without noticing that time was skipped, two leaders act at a time', () => {
 	const ignored = (): void => undefined
-	withBroken('Replica', 'Replica', 'doubtLease', ignored, () => {
+	withBroken('Replica', 'Replica', 'revalidateLease', ignored, () => {
 		for (let seed = 1; seed <= 8; seed++) {
 			assert.throws(() => suspendLeader(seed), /one lease at a time/)
 		}
