--- a/packages/consensus/src/index.ts
+++ b/packages/consensus/src/index.ts
@@ -6,7 +6,7 @@
 	type Applicant,
 	type Founder,
 	type ReplicaOptions,
-	type Restored,
+	type RestoredState,
 } from './lib/ReplicaState'
 export { DEFAULT_TIMING, leaseSpan, type Timing } from './lib/Timing'
 export { SafetyChecker } from './lib/SafetyChecker'
--- a/packages/consensus/src/lib/Election.test.ts
+++ b/packages/consensus/src/lib/Election.test.ts
@@ -40,7 +40,7 @@
 		body: { $case: 'voteCall', value },
 	}
 	replica.receive(message, now)
-	const answer = replica.takeOutput().late.find(({ to }) => to === from)
+	const answer = replica.takeOutput().afterSync.find(({ to }) => to === from)
 	assert.ok(answer?.message.body?.$case === 'voteReply')
 	return answer.message.body.value.granted
 }
--- a/packages/consensus/src/lib/Election.ts
+++ b/packages/consensus/src/lib/Election.ts
@@ -63,7 +63,7 @@
 			const echoed = granted ? term : this.state.term
 			const leaderless = call.unanimous && !this.isBusy(now) && this.isLeaderless(term, call)
 			const value = { pre: true, granted, leaderless }
-			this.state.sendLate(from, { $case: 'voteReply', value }, echoed)
+			this.state.sendAfterSync(from, { $case: 'voteReply', value }, echoed)
 			return
 		}
 		const free = this.state.votedFor === '' || this.state.votedFor === from
@@ -74,7 +74,7 @@
 			this.beBusy(now)
 		}
 		const value = { pre: false, granted, leaderless: false }
-		this.state.sendLate(from, { $case: 'voteReply', value })
+		this.state.sendAfterSync(from, { $case: 'voteReply', value })
 	}
 
 	/** Whether a call for a vote may make this replica enter the caller's term. */
@@ -140,7 +140,7 @@
 		const value = { pre, transfer, unanimous, lastIndex, lastTerm }
 		for (const voter of memberships.voters) {
 			if (voter.id === options.id) continue
-			this.state.sendLate(voter.id, { $case: 'voteCall', value }, pre ? term + 1 : term)
+			this.state.sendAfterSync(voter.id, { $case: 'voteCall', value }, pre ? term + 1 : term)
 		}
 	}
 
--- a/packages/consensus/src/lib/Following.ts
+++ b/packages/consensus/src/lib/Following.ts
@@ -111,7 +111,7 @@
 	}
 
 	private reply(to: string, accepted: boolean, index: number, round: number): void {
-		this.state.sendLate(to, { $case: 'appendReply', value: { accepted, index, round } })
+		this.state.sendAfterSync(to, { $case: 'appendReply', value: { accepted, index, round } })
 	}
 
 	private replyPiece(to: string, piece: SnapshotPiece, installed: boolean): void {
@@ -121,6 +121,6 @@
 			installed,
 			round: piece.round,
 		}
-		this.state.sendLate(to, { $case: 'snapshotReply', value })
+		this.state.sendAfterSync(to, { $case: 'snapshotReply', value })
 	}
 }
--- a/packages/consensus/src/lib/Leadership.ts
+++ b/packages/consensus/src/lib/Leadership.ts
@@ -232,7 +232,7 @@
 		const previousTerm = log.termAt(previousIndex) ?? 0
 		if (peer.mode === Mode.Streaming) peer.next += entries.length
 		const value = { previousIndex, previousTerm, commit: this.state.commit, entries, round }
-		this.state.sendEarly(id, { $case: 'append', value })
+		this.state.sendImmediately(id, { $case: 'append', value })
 	}
 
 	private sendSnapshot(id: string, peer: Progress, now: number): void {
@@ -255,7 +255,7 @@
 		const { index, term, membership } = snapshot
 		const round = this.rounds.begin(now)
 		const value = { index, term, membership, offset, data: Buffer.from(data), last, round }
-		this.state.sendEarly(id, { $case: 'snapshotPiece', value })
+		this.state.sendImmediately(id, { $case: 'snapshotPiece', value })
 	}
 
 	private answered(peer: Progress, round: number): void {
@@ -339,7 +339,7 @@
 		if (this.leaseGivenUp || this.progress(this.handingTo).match < state.log.lastIndex) return
 		this.leaseGivenUp = true
 		state.options.safetyChecker?.onLeaseReleased(state.replicaKey)
-		state.sendEarly(this.handingTo, { $case: 'timeoutNow', value: {} })
+		state.sendImmediately(this.handingTo, { $case: 'timeoutNow', value: {} })
 	}
 
 	private stepDownWhenCutOff(now: number): void {
--- a/packages/consensus/src/lib/Output.ts
+++ b/packages/consensus/src/lib/Output.ts
@@ -36,7 +36,7 @@
 	readonly snapshot?: Snapshot
 	/** Entries to store; the first one replaces whatever was stored at its index and after. */
 	readonly entries: Entry[]
-	readonly early: Envelope[]
-	readonly late: Envelope[]
+	readonly immediate: Envelope[]
+	readonly afterSync: Envelope[]
 	readonly committed: Entry[]
 }
--- a/packages/consensus/src/lib/Replica.ts
+++ b/packages/consensus/src/lib/Replica.ts
@@ -17,7 +17,7 @@
 import { Leadership } from './Leadership'
 import { byPreference } from './preference'
 import type { Output } from './Output'
-import { ReplicaState, Role, type ReplicaOptions, type Restored } from './ReplicaState'
+import { ReplicaState, Role, type ReplicaOptions, type RestoredState } from './ReplicaState'
 
 /** What a replica tells of itself. @public */
 export interface ReplicaStatus {
@@ -65,7 +65,7 @@
 	 * @param now - the moment of the start, milliseconds on a monotonic clock.
 	 * @param restored - what the data folder held, if anything.
 	 */
-	constructor(options: ReplicaOptions, now: number, restored?: Restored) {
+	constructor(options: ReplicaOptions, now: number, restored?: RestoredState) {
 		this.state = new ReplicaState(options, now)
 		this.leadership = new Leadership(this.state)
 		this.election = new Election(this.state, (moment) => this.leadership.begin(moment))
@@ -277,10 +277,10 @@
 		const body = message.body
 		if (body?.$case === 'append') {
 			const value = { accepted: false, index: this.state.log.lastIndex, round: body.value.round }
-			this.state.sendLate(message.from, { $case: 'appendReply', value })
+			this.state.sendAfterSync(message.from, { $case: 'appendReply', value })
 		} else if (body?.$case === 'voteCall') {
 			const value = { pre: false, granted: false, leaderless: false }
-			this.state.sendLate(message.from, { $case: 'voteReply', value })
+			this.state.sendAfterSync(message.from, { $case: 'voteReply', value })
 		}
 	}
 
@@ -298,7 +298,7 @@
 		const { durable = false, dataCentre = '' } = applicant ?? {}
 		for (const contact of contacts) {
 			if (contact === id) continue
-			this.state.sendLate(contact, { $case: 'probe', value: { durable, dataCentre } })
+			this.state.sendAfterSync(contact, { $case: 'probe', value: { durable, dataCentre } })
 		}
 		this.foundWhenAllBlank(now)
 	}
@@ -313,7 +313,7 @@
 			members: memberships.current.members.map((member) => member.id),
 			dataCentre: options.applicant?.dataCentre ?? '',
 		}
-		this.state.sendLate(message.from, { $case: 'probeReply', value })
+		this.state.sendAfterSync(message.from, { $case: 'probeReply', value })
 	}
 
 	private takeProbeReply(message: GroupMessage, reply: ProbeReply, now: number): void {
--- a/packages/consensus/src/lib/ReplicaState.ts
+++ b/packages/consensus/src/lib/ReplicaState.ts
@@ -58,7 +58,7 @@
 }
 
 /** What was found in the data folder. @public */
-export interface Restored {
+export interface RestoredState {
 	readonly hardState: HardState
 	readonly snapshot?: Snapshot
 	readonly entries: readonly Entry[]
@@ -68,7 +68,7 @@
 const COMMIT_STORED_EVERY = 50
 
 /** The body of a message. @public */
-export type Body = NonNullable<GroupMessage['body']>
+export type MessageBody = NonNullable<GroupMessage['body']>
 
 /**
  * The state that the parts of a replica share.
@@ -93,8 +93,8 @@
 	/** Instances that answers to probes have named as members. */
 	readonly reportedMembers = new Set<string>()
 
-	private early: Envelope[] = []
-	private late: Envelope[] = []
+	private immediate: Envelope[] = []
+	private afterSync: Envelope[] = []
 	private unstored: Entry[] = []
 	private installed: Snapshot | undefined
 	private hardStateChanged = false
@@ -131,7 +131,7 @@
 	}
 
 	/** Takes up what the data folder held. */
-	restore(restored: Restored): void {
+	restore(restored: RestoredState): void {
 		this.term = restored.hardState.term
 		this.votedFor = restored.hardState.votedFor
 		if (restored.snapshot) this.takeSnapshot(restored.snapshot)
@@ -196,13 +196,13 @@
 	}
 
 	/** Sends at once. */
-	sendEarly(to: string, body: Body): void {
-		this.early.push({ to, message: this.seal(body, this.term) })
+	sendImmediately(to: string, body: MessageBody): void {
+		this.immediate.push({ to, message: this.seal(body, this.term) })
 	}
 
 	/** Sends once everything gathered so far is lasting. */
-	sendLate(to: string, body: Body, term = this.term): void {
-		this.late.push({ to, message: this.seal(body, term) })
+	sendAfterSync(to: string, body: MessageBody, term = this.term): void {
+		this.afterSync.push({ to, message: this.seal(body, term) })
 	}
 
 	/** Hands the gathered effects over. */
@@ -213,12 +213,12 @@
 			hardState: this.takeHardState(),
 			snapshot: this.installed,
 			entries: this.unstored,
-			early: this.early,
-			late: this.late,
+			immediate: this.immediate,
+			afterSync: this.afterSync,
 			committed,
 		}
-		this.early = []
-		this.late = []
+		this.immediate = []
+		this.afterSync = []
 		this.unstored = []
 		this.installed = undefined
 		this.hardStateChanged = false
@@ -248,7 +248,7 @@
 		this.applied = snapshot.index
 	}
 
-	private seal(body: Body, term: number): GroupMessage {
+	private seal(body: MessageBody, term: number): GroupMessage {
 		const { group, id, incarnation } = this.options
 		return { group, from: id, incarnation, term, body }
 	}
--- a/packages/group/src/lib/Group.ts
+++ b/packages/group/src/lib/Group.ts
@@ -38,7 +38,7 @@
 
 interface Unsaved {
 	readonly batch: Batch
-	readonly late: Output['late']
+	readonly late: Output['afterSync']
 }
 
 type GroupEvent = () => void
@@ -150,8 +150,8 @@
 
 	private flush(): void {
 		const output = this.parts.replica.takeOutput()
-		for (const { to, message } of output.early) this.parts.send(to, message)
-		this.keep({ batch: output, late: output.late })
+		for (const { to, message } of output.immediate) this.parts.send(to, message)
+		this.keep({ batch: output, late: output.afterSync })
 		if (output.snapshot) {
 			this.parts.machine.restore(output.snapshot.data)
 			this.appliedIndex = output.snapshot.index
--- a/packages/runs/src/lib/RunReplica.ts
+++ b/packages/runs/src/lib/RunReplica.ts
@@ -111,9 +111,9 @@
 
 	private flush(): void {
 		const output = this.replica.takeOutput()
-		for (const { to, message } of output.early) this.parts.send(to, message)
+		for (const { to, message } of output.immediate) this.parts.send(to, message)
 		if (output.snapshot) this.restore(output.snapshot)
-		const { hardState, snapshot, entries, late } = output
+		const { hardState, snapshot, entries, afterSync: late } = output
 		const empty = !hardState && !snapshot && entries.length === 0 && late.length === 0
 		if (!empty) this.save({ hardState, snapshot, entries }, late)
 		for (const entry of output.committed) {
--- a/packages/runs/src/lib/groupFailures.test.ts
+++ b/packages/runs/src/lib/groupFailures.test.ts
@@ -113,7 +113,7 @@
 	const call = { group: 'run', from: 'c', incarnation: 'life-c', term: 3 }
 	// Long after its start, so that only the lack of a vote speaks against it.
 	replica.receive({ ...call, body: { $case: 'voteCall', value } }, 60_000)
-	const [answer] = replica.takeOutput().late
+	const [answer] = replica.takeOutput().afterSync
 	const { body } = answer.message
 	assert.ok(body?.$case === 'voteReply')
 	return body.value.granted
--- a/packages/store/src/lib/GroupStore.ts
+++ b/packages/store/src/lib/GroupStore.ts
@@ -7,7 +7,7 @@
  */
 import { join } from 'node:path'
 import { VError } from 'verror'
-import type { HardState, Restored, Snapshot } from '@rillrudder/consensus'
+import type { HardState, RestoredState, Snapshot } from '@rillrudder/consensus'
 import { StoredRecord, type Entry, type StoreHeader } from '@rillrudder/protocol'
 import type { AppendFile, Disk } from './Disk'
 import { decodeRecords, encodeRecord, Ending } from './recordCodec'
@@ -32,7 +32,7 @@
 	readonly store: GroupStore
 	readonly incarnation: string
 	/** Absent when there was nothing, or nothing that can be trusted. */
-	readonly restored?: Restored
+	readonly restored?: RestoredState
 	readonly ending: Ending
 }
 
@@ -201,7 +201,7 @@
 
 interface Read {
 	readonly header?: StoreHeader
-	readonly restored: Restored
+	readonly restored: RestoredState
 	readonly snapshotFound: boolean
 	/** Whether entries are missing between the snapshot and the log. */
 	readonly gap: boolean
