--- a/apps/control/src/lib/groups/openGroup.ts
+++ b/apps/control/src/lib/groups/openGroup.ts
@@ -59,5 +59,14 @@
 	const { name } = layout
 	const send = (to: string, message: GroupMessage): void =>
 		void parts.send(to, { body: { $case: 'group', value: message } })
-	return new Group({ name, replica, store: opened?.store, machine, clock, send, fail, settled })
+	return new Group({
+		name,
+		replica,
+		store: opened?.store,
+		machine,
+		clock,
+		send,
+		fail,
+		onBatchHandled: settled,
+	})
 }
--- a/packages/consensus/src/index.ts
+++ b/packages/consensus/src/index.ts
@@ -8,5 +8,5 @@
 	type ReplicaOptions,
 	type RestoredState,
 } from './lib/ReplicaState'
-export { DEFAULT_TIMING, leaseSpan, type Timing } from './lib/Timing'
+export { DEFAULT_TIMING, leaseDuration, type Timing } from './lib/Timing'
 export { SafetyChecker } from './lib/SafetyChecker'
--- a/packages/consensus/src/lib/Election.test.ts
+++ b/packages/consensus/src/lib/Election.test.ts
@@ -5,7 +5,7 @@
 import { Replica } from './Replica'
 
 const IDS = ['a', 'b', 'c', 'd', 'e']
-const TIMING = { heartbeat: 50, election: 300, spread: 0.5, drift: 0.05 }
+const TIMING = { heartbeatInterval: 50, electionTimeout: 300, spread: 0.5, drift: 0.05 }
 /** Long after the start, so that no promise of an earlier life holds. */
 const NOW = 60_000
 
@@ -49,7 +49,7 @@
 	const replica = voter()
 	assert.equal(asks(replica, 'b', 2, false, NOW), true)
 	assert.equal(asks(replica, 'c', 3, true, NOW + 20), false)
-	assert.equal(asks(replica, 'c', 3, true, NOW + TIMING.election), true)
+	assert.equal(asks(replica, 'c', 3, true, NOW + TIMING.electionTimeout), true)
 })
 
 test('a vote is given once a term', () => {
--- a/packages/consensus/src/lib/Election.ts
+++ b/packages/consensus/src/lib/Election.ts
@@ -3,7 +3,7 @@
 import { Role, type ReplicaState } from './ReplicaState'
 import { Unanimity } from './Unanimity'
 
-/** Share of `Timing.election` in which a vote is decided: two trips and two syncs, with room for slow ones. */
+/** Share of `Timing.electionTimeout` in which a vote is decided: two trips and two syncs, with room for slow ones. */
 const BUSY = 0.5
 const DISTANT_PENALTY = 2
 const DISKLESS_PENALTY = 0.5
@@ -40,7 +40,8 @@
 	/** Waits a randomised time from now before asking for votes. */
 	reset(now: number): void {
 		const { timing, options } = this.state
-		const wait = timing.election * (1 + options.random.fraction() * timing.spread + this.penalty())
+		const wait =
+			timing.electionTimeout * (1 + options.random.fraction() * timing.spread + this.penalty())
 		this.deadline = now + wait
 	}
 
@@ -119,7 +120,7 @@
 
 	/** A vote that was just given, or asked for, is not disturbed by another election. */
 	private beBusy(now: number): void {
-		this.busyUntil = now + this.state.timing.election * BUSY
+		this.busyUntil = now + this.state.timing.electionTimeout * BUSY
 	}
 
 	private isBusy(now: number): boolean {
@@ -173,7 +174,7 @@
 	/** A leader counts itself as fresh: only its own lease decides when it gives way. */
 	private leaderIsFresh(now: number): boolean {
 		if (this.state.role === Role.Leader) return true
-		return now - this.state.leaderHeardAt < this.state.timing.election
+		return now - this.state.leaderHeardAt < this.state.timing.electionTimeout
 	}
 
 	private penalty(): number {
--- a/packages/consensus/src/lib/Leadership.ts
+++ b/packages/consensus/src/lib/Leadership.ts
@@ -10,7 +10,7 @@
 } from '@rillrudder/protocol'
 import { HeartbeatRounds } from './HeartbeatRounds'
 import { majorityValue } from './MembershipHistory'
-import { leaseSpan } from './Timing'
+import { leaseDuration } from './Timing'
 import { byPreference, preference } from './preference'
 import { Mode, Progress } from './Progress'
 import { nextSeatChange, type Seat } from './roster'
@@ -21,7 +21,7 @@
 const MOST_BYTES = 128 * 1024
 const MOST_AHEAD = 8192
 const PIECE_BYTES = 64 * 1024
-/** Spans of `Timing.election` for which a leader leads before it gives way to a preferred one. */
+/** Spans of `Timing.electionTimeout` for which a leader leads before it gives way to a preferred one. */
 const SETTLED = 3
 
 /**
@@ -117,7 +117,7 @@
 
 	/** When the lease ends unless it is renewed. */
 	leaseEnd(now: number): number {
-		return this.confirmedAt(now) + leaseSpan(this.state.timing)
+		return this.confirmedAt(now) + leaseDuration(this.state.timing)
 	}
 
 	/** When the latest heartbeat was sent that a majority has answered. */
@@ -201,7 +201,7 @@
 	}
 
 	private heartbeat(now: number): void {
-		this.heartbeatDue = now + this.state.timing.heartbeat
+		this.heartbeatDue = now + this.state.timing.heartbeatInterval
 		this.replicate(now, true)
 	}
 
@@ -239,7 +239,7 @@
 		if (peer.mode !== Mode.Snapshot) {
 			peer.mode = Mode.Snapshot
 			peer.snapshotOffset = 0
-		} else if (now - peer.snapshotSentAt < this.state.timing.election) {
+		} else if (now - peer.snapshotSentAt < this.state.timing.electionTimeout) {
 			return
 		}
 		this.sendPiece(id, peer, now)
@@ -322,7 +322,7 @@
 
 	private preferBetterLeader(now: number): void {
 		const { timing, options, memberships } = this.state
-		if (now - this.since < timing.election * SETTLED) return
+		if (now - this.since < timing.electionTimeout * SETTLED) return
 		const self = memberships.find(options.id)
 		const best = memberships.find(this.successor(now))
 		if (!self || !best || preference(best) <= preference(self)) return
@@ -331,7 +331,7 @@
 
 	private continueHanding(now: number): void {
 		const { state } = this
-		if (now - this.handingSince > state.timing.election) {
+		if (now - this.handingSince > state.timing.electionTimeout) {
 			// A call to take over may still be on its way, so the lease can't be taken up again.
 			this.stepDown()
 			return
@@ -343,8 +343,8 @@
 	}
 
 	private stepDownWhenCutOff(now: number): void {
-		if (now - this.since < this.state.timing.election * SETTLED) return
-		if (now - this.leaseEnd(now) > this.state.timing.election) this.stepDown()
+		if (now - this.since < this.state.timing.electionTimeout * SETTLED) return
+		if (now - this.leaseEnd(now) > this.state.timing.electionTimeout) this.stepDown()
 	}
 
 	private stepDown(): void {
@@ -357,7 +357,7 @@
 		const { memberships, options, timing } = this.state
 		return memberships.voters.filter((voter) => {
 			const answered = this.peers.get(voter.id)?.answeredSince ?? Number.NEGATIVE_INFINITY
-			return voter.id !== options.id && now - answered < timing.election
+			return voter.id !== options.id && now - answered < timing.electionTimeout
 		})
 	}
 
--- a/packages/consensus/src/lib/Replica.ts
+++ b/packages/consensus/src/lib/Replica.ts
@@ -29,7 +29,7 @@
 	readonly members: readonly Member[]
 }
 
-/** Spans of `Timing.election` without a leader after which a member of an open group asks around. */
+/** Spans of `Timing.electionTimeout` without a leader after which a member of an open group asks around. */
 const ASKS_AROUND = 3
 
 /** A founder that has no membership yet. */
@@ -288,11 +288,11 @@
 	private asksAround(now: number): boolean {
 		if (!this.state.belongs) return true
 		if (!this.state.options.applicant || this.isLeader) return false
-		return now - this.state.leaderHeardAt > this.state.timing.election * ASKS_AROUND
+		return now - this.state.leaderHeardAt > this.state.timing.electionTimeout * ASKS_AROUND
 	}
 
 	private probe(now: number): void {
-		this.probeDue = now + this.state.timing.election
+		this.probeDue = now + this.state.timing.electionTimeout
 		const { applicant, founders, id } = this.state.options
 		const contacts = applicant?.contacts() ?? founders.map((founder) => founder.id)
 		const { durable = false, dataCentre = '' } = applicant ?? {}
--- a/packages/consensus/src/lib/Timing.ts
+++ b/packages/consensus/src/lib/Timing.ts
@@ -3,12 +3,12 @@
 /** Spans of one group; every replica of the group is given the same. @public */
 export interface Timing {
 	/** Between two heartbeats of the leader. */
-	readonly heartbeat: number
+	readonly heartbeatInterval: number
 	/**
 	 * A replica that heard from its leader this recently gives nobody its vote. Followers wait for
 	 * between one and `1 + spread` of these before they ask for votes.
 	 */
-	readonly election: number
+	readonly electionTimeout: number
 	/** Spread of the waits before an election, as a share of `election`: far more than a vote takes. */
 	readonly spread: number
 	/**
@@ -19,13 +19,18 @@
 }
 
 /** Spans for data centres a few milliseconds apart. @public */
-export const DEFAULT_TIMING: Timing = { heartbeat: 100, election: 600, spread: 1, drift: 0.1 }
+export const DEFAULT_TIMING: Timing = {
+	heartbeatInterval: 100,
+	electionTimeout: 600,
+	spread: 1,
+	drift: 0.1,
+}
 
 /**
  * @param timing - the group's spans.
  * @returns how long a lease lasts from the moment the heartbeat that renews it was sent.
  * @public
  */
-export function leaseSpan(timing: Timing): number {
-	return timing.election * (1 - 2 * timing.drift)
+export function leaseDuration(timing: Timing): number {
+	return timing.electionTimeout * (1 - 2 * timing.drift)
 }
--- a/packages/consensus/src/lib/Unanimity.ts
+++ b/packages/consensus/src/lib/Unanimity.ts
@@ -5,7 +5,7 @@
  */
 import type { ReplicaState } from './ReplicaState'
 
-/** Spans of `Timing.heartbeat` between two questions, more or less at random so that two do not meet. */
+/** Spans of `Timing.heartbeatInterval` between two questions, more or less at random so that two do not meet. */
 const LEAST_PAUSE = 0.5
 const MOST_PAUSE = 2
 
@@ -26,7 +26,7 @@
 		const { options, knewLeader, timing, term } = this.state
 		if (!options.applicant || knewLeader || now < this.due) return false
 		const spread = (MOST_PAUSE - LEAST_PAUSE) * options.random.fraction()
-		this.due = now + timing.heartbeat * (LEAST_PAUSE + spread)
+		this.due = now + timing.heartbeatInterval * (LEAST_PAUSE + spread)
 		this.term = term
 		this.leaderless = new Set([options.id])
 		return true
--- a/packages/group/src/lib/Group.test.ts
+++ b/packages/group/src/lib/Group.test.ts
@@ -7,7 +7,7 @@
 
 const SELF = 'a'
 const COMMAND = new Uint8Array(1024)
-const TIMING = { heartbeat: 50, election: 300, spread: 0.5, drift: 0.05 }
+const TIMING = { heartbeatInterval: 50, electionTimeout: 300, spread: 0.5, drift: 0.05 }
 
 /** Counts what it is given; its snapshot has a size of its own. */
 class Counter extends StateMachine {
--- a/packages/group/src/lib/Group.ts
+++ b/packages/group/src/lib/Group.ts
@@ -19,7 +19,7 @@
 const LOG_SHARE = 0.5
 
 /** What a group is driven with. @public */
-export interface GroupParts {
+export interface GroupOptions {
 	readonly name: string
 	readonly replica: Replica
 	/** Absent on an instance without a disk. */
@@ -31,7 +31,7 @@
 	/** Told of a fault after which this group can't go on; the process must end. */
 	readonly fail: (fault: Error) => void
 	/** Told after every batch of events, when state and leadership may have changed. */
-	readonly settled?: () => void
+	readonly onBatchHandled?: () => void
 	/** Entries applied between two snapshots; absent to go by their bytes. */
 	readonly compactEvery?: number
 }
@@ -60,7 +60,7 @@
 	private readonly skipped: SkippedTime
 
 	/** @param parts - what to drive, and with what. */
-	constructor(private readonly parts: GroupParts) {
+	constructor(private readonly parts: GroupOptions) {
 		const { replica } = parts
 		this.skipped = new SkippedTime(parts.clock)
 		this.appliedIndex = replica.snapshot?.index ?? 0
@@ -145,7 +145,7 @@
 		for (const event of batch) event()
 		this.flush()
 		this.compact()
-		this.parts.settled?.()
+		this.parts.onBatchHandled?.()
 	}
 
 	private flush(): void {
--- a/packages/member/src/lib/CoreInstance.ts
+++ b/packages/member/src/lib/CoreInstance.ts
@@ -242,7 +242,7 @@
 			send: (to, message) =>
 				void this.links.hub.send(to, { body: { $case: 'group', value: message } }),
 			fail,
-			settled: () => this.settled(),
+			onBatchHandled: () => this.settled(),
 		})
 	}
 
