--- a/packages/consensus/src/lib/Election.ts
+++ b/packages/consensus/src/lib/Election.ts
@@ -1,7 +1,7 @@
 /** Pre-votes, votes and the timeouts that start them. */
 import type { Member, VoteCall, VoteReply } from '@rillrudder/protocol'
 import { Role, type ReplicaState } from './ReplicaState'
-import { Unanimity } from './Unanimity'
+import { LeaderlessPoll } from './LeaderlessPoll'
 
 /** Share of `Timing.electionTimeout` in which a vote is decided: two trips and two syncs, with room for slow ones. */
 const BUSY = 0.5
@@ -22,7 +22,7 @@
 export class Election {
 	private grants = new Set<string>()
 	private deadline = 0
-	private readonly unanimity: Unanimity
+	private readonly leaderlessPoll: LeaderlessPoll
 	/** Until when an election that this replica takes part in may still be decided. */
 	private busyUntil = Number.NEGATIVE_INFINITY
 
@@ -34,7 +34,7 @@
 		private readonly state: ReplicaState,
 		private readonly lead: (now: number) => void
 	) {
-		this.unanimity = new Unanimity(state)
+		this.leaderlessPoll = new LeaderlessPoll(state)
 	}
 
 	/** Waits a randomised time from now before asking for votes. */
@@ -49,7 +49,8 @@
 	tick(now: number): void {
 		if (this.state.role === Role.Leader || !this.state.votes) return
 		if (now >= this.deadline) this.prepare(now)
-		else if (!this.isBusy(now) && this.unanimity.isDue(now)) this.call(true, { unanimous: true })
+		else if (!this.isBusy(now) && this.leaderlessPoll.startIfDue(now))
+			this.call(true, { unanimous: true })
 	}
 
 	/** Starts an election at once because the leader asked for it. */
@@ -86,7 +87,7 @@
 
 	/** Counts an answer. */
 	count(from: Member, term: number, reply: VoteReply, now: number): void {
-		if (reply.leaderless && !this.isBusy(now) && this.unanimity.count(from.id)) {
+		if (reply.leaderless && !this.isBusy(now) && this.leaderlessPoll.recordLeaderless(from.id)) {
 			this.campaign(now, { unanimous: true })
 			return
 		}
--- a/packages/consensus/src/lib/Following.ts
+++ b/packages/consensus/src/lib/FollowerRole.ts
@@ -8,7 +8,7 @@
  *
  * @internal
  */
-export class Following {
+export class FollowerRole {
 	private pieces: Uint8Array[] = []
 	private piecesIndex = 0
 	private piecesLength = 0
--- a/packages/consensus/src/lib/HeartbeatRounds.ts
+++ b/packages/consensus/src/lib/HeartbeatRounds.ts
@@ -19,7 +19,7 @@
 	 * @param now - the moment before the round's first message is sent.
 	 * @returns the number of the new round.
 	 */
-	begin(now: number): number {
+	start(now: number): number {
 		this.round += 1
 		this.sentAt.set(this.round, now)
 		this.sentAt.delete(this.round - ROUNDS_KEPT)
--- a/packages/consensus/src/lib/Unanimity.ts
+++ b/packages/consensus/src/lib/LeaderlessPoll.ts
@@ -6,34 +6,34 @@
 import type { ReplicaState } from './ReplicaState'
 
 /** Spans of `Timing.heartbeatInterval` between two questions, more or less at random so that two do not meet. */
-const LEAST_PAUSE = 0.5
-const MOST_PAUSE = 2
+const MIN_INTERVAL = 0.5
+const MAX_INTERVAL = 2
 
 /**
  * Counts the voters that know of no leader.
  *
  * @internal
  */
-export class Unanimity {
+export class LeaderlessPoll {
 	private leaderless = new Set<string>()
 	private term = 0
-	private due = 0
+	private nextPollAt = 0
 
 	constructor(private readonly state: ReplicaState) {}
 
 	/** Whether all voters are to be asked now; from then on answers count anew. */
-	isDue(now: number): boolean {
+	startIfDue(now: number): boolean {
 		const { options, knewLeader, timing, term } = this.state
-		if (!options.applicant || knewLeader || now < this.due) return false
-		const spread = (MOST_PAUSE - LEAST_PAUSE) * options.random.fraction()
-		this.due = now + timing.heartbeatInterval * (LEAST_PAUSE + spread)
+		if (!options.applicant || knewLeader || now < this.nextPollAt) return false
+		const spread = (MAX_INTERVAL - MIN_INTERVAL) * options.random.fraction()
+		this.nextPollAt = now + timing.heartbeatInterval * (MIN_INTERVAL + spread)
 		this.term = term
 		this.leaderless = new Set([options.id])
 		return true
 	}
 
 	/** @returns whether with this voter all have said that they know of no leader. */
-	count(voter: string): boolean {
+	recordLeaderless(voter: string): boolean {
 		const { knewLeader, term, memberships } = this.state
 		if (knewLeader || term !== this.term) return false
 		this.leaderless.add(voter)
--- a/packages/consensus/src/lib/Leadership.ts
+++ b/packages/consensus/src/lib/Leadership.ts
@@ -11,9 +11,9 @@
 import { HeartbeatRounds } from './HeartbeatRounds'
 import { majorityValue } from './MembershipHistory'
 import { leaseDuration } from './Timing'
-import { byPreference, preference } from './preference'
-import { Mode, Progress } from './Progress'
-import { nextSeatChange, type Seat } from './roster'
+import { byPreference, preferenceOf } from './preference'
+import { ReplicationMode, Progress } from './Progress'
+import { nextMembershipChange, type MemberHealth } from './nextMembershipChange'
 import { Role, type ReplicaState } from './ReplicaState'
 
 const MOST_ENTRIES = 512
@@ -125,7 +125,7 @@
 		const { voters } = this.state.memberships
 		const self = this.state.options.id
 		const answered = voters.map(({ id }) =>
-			id === self ? now : (this.peers.get(id)?.answeredSince ?? Number.NEGATIVE_INFINITY)
+			id === self ? now : (this.peers.get(id)?.answeredSentAt ?? Number.NEGATIVE_INFINITY)
 		)
 		return answered.length === 0 ? Number.NEGATIVE_INFINITY : majorityValue(answered)
 	}
@@ -140,12 +140,12 @@
 		const peer = this.progress(from.id)
 		this.answered(peer, reply.round)
 		if (reply.accepted) {
-			const caughtUp = peer.mode === Mode.Streaming
-			peer.matched(reply.index)
+			const caughtUp = peer.mode === ReplicationMode.Streaming
+			peer.onAccepted(reply.index)
 			this.advanceCommit()
 			if (!caughtUp || peer.next <= this.state.log.lastIndex) this.replicateTo(from.id, now)
 		} else if (reply.index < peer.next - 1) {
-			peer.rejected(reply.index)
+			peer.onRejected(reply.index)
 			this.replicateTo(from.id, now)
 		}
 	}
@@ -154,9 +154,9 @@
 	snapshotReply(from: Member, reply: SnapshotReply, now: number): void {
 		const peer = this.progress(from.id)
 		this.answered(peer, reply.round)
-		if (peer.mode !== Mode.Snapshot) return
+		if (peer.mode !== ReplicationMode.Snapshot) return
 		if (reply.installed) {
-			peer.matched(reply.index)
+			peer.onAccepted(reply.index)
 			this.replicateTo(from.id, now)
 		} else if (reply.index === this.state.snapshot?.index) {
 			peer.snapshotOffset = reply.offset
@@ -206,17 +206,17 @@
 	}
 
 	private replicate(now: number, always = false): void {
-		const round = this.rounds.begin(now)
+		const round = this.rounds.start(now)
 		for (const member of this.state.memberships.current.members) {
 			if (member.id === this.state.options.id) continue
 			const peer = this.progress(member.id)
-			const news = peer.mode === Mode.Streaming && peer.next <= this.state.log.lastIndex
+			const news = peer.mode === ReplicationMode.Streaming && peer.next <= this.state.log.lastIndex
 			if (always || news) this.send(member.id, peer, round, now)
 		}
 	}
 
 	private replicateTo(id: string, now: number): void {
-		this.send(id, this.progress(id), this.rounds.begin(now), now)
+		this.send(id, this.progress(id), this.rounds.start(now), now)
 	}
 
 	private send(id: string, peer: Progress, round: number, now: number): void {
@@ -226,18 +226,18 @@
 			return
 		}
 		const ahead = peer.next - peer.match > MOST_AHEAD
-		const most = ahead ? 0 : peer.mode === Mode.Probing ? 1 : MOST_ENTRIES
+		const most = ahead ? 0 : peer.mode === ReplicationMode.Probing ? 1 : MOST_ENTRIES
 		const entries = log.slice(peer.next, most, MOST_BYTES)
 		const previousIndex = peer.next - 1
 		const previousTerm = log.termAt(previousIndex) ?? 0
-		if (peer.mode === Mode.Streaming) peer.next += entries.length
+		if (peer.mode === ReplicationMode.Streaming) peer.next += entries.length
 		const value = { previousIndex, previousTerm, commit: this.state.commit, entries, round }
 		this.state.sendImmediately(id, { $case: 'append', value })
 	}
 
 	private sendSnapshot(id: string, peer: Progress, now: number): void {
-		if (peer.mode !== Mode.Snapshot) {
-			peer.mode = Mode.Snapshot
+		if (peer.mode !== ReplicationMode.Snapshot) {
+			peer.mode = ReplicationMode.Snapshot
 			peer.snapshotOffset = 0
 		} else if (now - peer.snapshotSentAt < this.state.timing.electionTimeout) {
 			return
@@ -253,14 +253,14 @@
 		const last = offset + data.length === snapshot.data.length
 		peer.snapshotSentAt = now
 		const { index, term, membership } = snapshot
-		const round = this.rounds.begin(now)
+		const round = this.rounds.start(now)
 		const value = { index, term, membership, offset, data: Buffer.from(data), last, round }
 		this.state.sendImmediately(id, { $case: 'snapshotPiece', value })
 	}
 
 	private answered(peer: Progress, round: number): void {
 		const sent = this.rounds.sendTime(round)
-		if (sent !== undefined) peer.answeredSince = Math.max(peer.answeredSince, sent)
+		if (sent !== undefined) peer.answeredSentAt = Math.max(peer.answeredSentAt, sent)
 	}
 
 	private advanceCommit(): void {
@@ -294,16 +294,16 @@
 		if (!this.mayChangeMembership()) return
 		const self = this.state.options.id
 		const seats = this.state.memberships.current.members.map((member) => this.seat(member, now))
-		const change = nextSeatChange(seats, self)
+		const change = nextMembershipChange(seats, self)
 		if (change?.kind === 'set') this.changeMembership(change.member)
 		if (change?.kind === 'drop') this.dropMember(change.id)
 	}
 
-	private seat(member: Member, now: number): Seat {
-		if (member.id === this.state.options.id) return { member, silence: 0, caughtUp: true }
-		const { answeredSince, match } = this.progress(member.id)
+	private seat(member: Member, now: number): MemberHealth {
+		if (member.id === this.state.options.id) return { member, sinceContactMs: 0, caughtUp: true }
+		const { answeredSentAt: answeredSince, match } = this.progress(member.id)
 		const silence = now - Math.max(answeredSince, this.since)
-		return { member, silence, caughtUp: match >= this.state.commit }
+		return { member, sinceContactMs: silence, caughtUp: match >= this.state.commit }
 	}
 
 	private dropMember(id: string): void {
@@ -325,7 +325,7 @@
 		if (now - this.since < timing.electionTimeout * SETTLED) return
 		const self = memberships.find(options.id)
 		const best = memberships.find(this.successor(now))
-		if (!self || !best || preference(best) <= preference(self)) return
+		if (!self || !best || preferenceOf(best) <= preferenceOf(self)) return
 		if (this.progress(best.id).match === this.state.log.lastIndex) this.transferTo(best.id, now)
 	}
 
@@ -356,7 +356,7 @@
 	private freshVoters(now: number): Member[] {
 		const { memberships, options, timing } = this.state
 		return memberships.voters.filter((voter) => {
-			const answered = this.peers.get(voter.id)?.answeredSince ?? Number.NEGATIVE_INFINITY
+			const answered = this.peers.get(voter.id)?.answeredSentAt ?? Number.NEGATIVE_INFINITY
 			return voter.id !== options.id && now - answered < timing.electionTimeout
 		})
 	}
--- a/packages/consensus/src/lib/MembershipHistory.ts
+++ b/packages/consensus/src/lib/MembershipHistory.ts
@@ -7,7 +7,7 @@
 	readonly membership: Membership
 }
 
-const NOBODY: Membership = { members: [] }
+const EMPTY_MEMBERSHIP: Membership = { members: [] }
 
 /**
  * The memberships that a replica knows; the newest is in force from the moment it is appended.
@@ -19,7 +19,9 @@
 
 	/** The membership in force. */
 	get current(): Membership {
-		return this.changes.length === 0 ? NOBODY : this.changes[this.changes.length - 1].membership
+		return this.changes.length === 0
+			? EMPTY_MEMBERSHIP
+			: this.changes[this.changes.length - 1].membership
 	}
 
 	/** The index that brought the membership in force; 0 when there is none. */
@@ -45,7 +47,7 @@
 	 * @returns the membership in force at that index.
 	 */
 	asOf(index: number): Membership {
-		let found = NOBODY
+		let found = EMPTY_MEMBERSHIP
 		for (const change of this.changes) if (change.index <= index) found = change.membership
 		return found
 	}
--- a/packages/consensus/src/lib/Replica.ts
+++ b/packages/consensus/src/lib/Replica.ts
@@ -13,7 +13,7 @@
 } from '@rillrudder/protocol'
 import { exhaustive } from '@rillrudder/utils'
 import { Election } from './Election'
-import { Following } from './Following'
+import { FollowerRole } from './FollowerRole'
 import { Leadership } from './Leadership'
 import { byPreference } from './preference'
 import type { Output } from './Output'
@@ -55,7 +55,7 @@
 export class Replica {
 	private readonly state: ReplicaState
 	private readonly election: Election
-	private readonly following: Following
+	private readonly following: FollowerRole
 	private readonly leadership: Leadership
 	private readonly blankPeers = new Map<string, BlankPeer>()
 	private probeDue = 0
@@ -69,7 +69,7 @@
 		this.state = new ReplicaState(options, now)
 		this.leadership = new Leadership(this.state)
 		this.election = new Election(this.state, (moment) => this.leadership.begin(moment))
-		this.following = new Following(this.state, (moment) => this.election.reset(moment))
+		this.following = new FollowerRole(this.state, (moment) => this.election.reset(moment))
 		if (restored) {
 			this.state.restore(restored)
 			this.leadership.onPersisted(this.state.log.lastIndex)
--- a/packages/consensus/src/lib/ReplicatedLog.ts
+++ b/packages/consensus/src/lib/ReplicatedLog.ts
@@ -55,16 +55,16 @@
 
 	/**
 	 * @param from - first index wanted, held.
-	 * @param most - how many entries at most.
-	 * @param mostBytes - stops after the entry that passes this many bytes.
+	 * @param maxEntries - how many entries at most.
+	 * @param maxBytes - stops after the entry that passes this many bytes.
 	 * @returns the entries from there.
 	 */
-	slice(from: number, most: number, mostBytes: number): Entry[] {
+	slice(from: number, maxEntries: number, maxBytes: number): Entry[] {
 		const start = from - this.baseIndex - 1
-		const end = Math.min(this.entries.length, start + most)
+		const end = Math.min(this.entries.length, start + maxEntries)
 		let bytes = 0
 		let next = start
-		while (next < end && bytes < mostBytes) bytes += this.entries[next++].data.length
+		while (next < end && bytes < maxBytes) bytes += this.entries[next++].data.length
 		return this.entries.slice(start, next)
 	}
 
