--- a/packages/consensus/src/index.ts
+++ b/packages/consensus/src/index.ts
@@ -1,4 +1,4 @@
-/** The replicated log as a pure state machine. */
+/** Consensus on a replicated log, as a pure state machine. */
 export type { Envelope, HardState, Output, Snapshot } from './lib/Output'
 export { Replica, type ReplicaStatus } from './lib/Replica'
 export {
--- a/packages/consensus/src/lib/Election.test.ts
+++ b/packages/consensus/src/lib/Election.test.ts
@@ -6,10 +6,10 @@
 
 const IDS = ['a', 'b', 'c', 'd', 'e']
 const TIMING = { heartbeatInterval: 50, electionTimeout: 300, spread: 0.5, drift: 0.05 }
-/** Long after the start, so that no promise of an earlier life holds. */
+/** Long after the start, so that no lease acknowledged by an earlier incarnation holds. */
 const NOW = 60_000
 
-/** A voter of five that was restarted long ago. */
+/** One of five voters, restarted long ago. */
 function voter(): Replica {
 	const random = new Random(1)
 	const options = { group: 'g', id: 'a', incarnation: 'a', founders: [], timing: TIMING, random }
@@ -29,8 +29,14 @@
 	})
 }
 
-/** @returns whether the replica grants a vote, or with `pre` its support for one. */
-function asks(replica: Replica, from: string, term: number, pre: boolean, now: number): boolean {
+/** @returns whether the replica grants the vote, or the pre-vote when `pre` is set. */
+function requestVote(
+	replica: Replica,
+	from: string,
+	term: number,
+	pre: boolean,
+	now: number
+): boolean {
 	const value: VoteCall = { pre, lastIndex: 9, lastTerm: 1, transfer: false, unanimous: false }
 	const message: GroupMessage = {
 		group: 'g',
@@ -45,16 +51,16 @@
 	return answer.message.body.value.granted
 }
 
-test('while a vote that was given may still decide its term, the next term gets no support', () => {
+test('while a granted vote may still decide its term, no pre-vote is granted for the next term', () => {
 	const replica = voter()
-	assert.equal(asks(replica, 'b', 2, false, NOW), true)
-	assert.equal(asks(replica, 'c', 3, true, NOW + 20), false)
-	assert.equal(asks(replica, 'c', 3, true, NOW + TIMING.electionTimeout), true)
+	assert.equal(requestVote(replica, 'b', 2, false, NOW), true)
+	assert.equal(requestVote(replica, 'c', 3, true, NOW + 20), false)
+	assert.equal(requestVote(replica, 'c', 3, true, NOW + TIMING.electionTimeout), true)
 })
 
-test('a vote is given once a term', () => {
+test('a replica grants one vote per term', () => {
 	const replica = voter()
-	assert.equal(asks(replica, 'b', 2, false, NOW), true)
-	assert.equal(asks(replica, 'c', 2, false, NOW + 20), false)
-	assert.equal(asks(replica, 'b', 2, false, NOW + 40), true)
+	assert.equal(requestVote(replica, 'b', 2, false, NOW), true)
+	assert.equal(requestVote(replica, 'c', 2, false, NOW + 20), false)
+	assert.equal(requestVote(replica, 'b', 2, false, NOW + 40), true)
 })
--- a/packages/consensus/src/lib/FollowerRole.ts
+++ b/packages/consensus/src/lib/FollowerRole.ts
@@ -1,10 +1,10 @@
-/** A follower's part: taking entries and snapshots from the leader. */
+/** The follower role: stores entries and snapshots from the leader. */
 import type { Append, Entry, SnapshotPiece } from '@rillrudder/protocol'
 import { invariant } from '@rillrudder/utils'
 import { Role, type ReplicaState } from './ReplicaState'
 
 /**
- * The part of a replica that follows a leader.
+ * Handles what the leader sends and replies to it.
  *
  * @internal
  */
@@ -15,54 +15,54 @@
 
 	constructor(
 		private readonly state: ReplicaState,
-		private readonly resetElection: (now: number) => void
+		private readonly resetElectionTimeout: (now: number) => void
 	) {}
 
-	/** Takes entries; answers once they are lasting. */
-	append(from: string, append: Append, now: number): void {
-		this.hear(from, now)
+	/** Appends the leader's entries; the reply is sent once they are on disk. */
+	onAppend(from: string, append: Append, now: number): void {
+		this.acceptLeader(from, now)
 		const { log } = this.state
 		const round = append.round
 		if (append.previousIndex > log.lastIndex) {
-			this.reply(from, false, log.lastIndex, round)
+			this.replyToAppend(from, false, log.lastIndex, round)
 			return
 		}
 		const known = log.termAt(append.previousIndex)
 		const compacted = append.previousIndex < log.firstIndex - 1
 		if (!compacted && known !== append.previousTerm) {
-			this.reply(from, false, this.beforeTerm(append.previousIndex), round)
+			this.replyToAppend(from, false, this.lastIndexBeforeTermOf(append.previousIndex), round)
 			return
 		}
 		const last = append.previousIndex + append.entries.length
-		for (const entry of append.entries) this.take(entry)
+		for (const entry of append.entries) this.storeEntry(entry)
 		this.state.commitTo(Math.max(this.state.commit, Math.min(append.commit, last)))
-		this.reply(from, true, last, round)
+		this.replyToAppend(from, true, last, round)
 	}
 
-	/** Takes a piece of a snapshot; installs the snapshot when it is whole. */
-	piece(from: string, piece: SnapshotPiece, now: number): void {
-		this.hear(from, now)
+	/** Stores a piece of a snapshot and installs the snapshot once it is complete. */
+	onSnapshotPiece(from: string, piece: SnapshotPiece, now: number): void {
+		this.acceptLeader(from, now)
 		if (piece.index <= this.state.commit) {
-			this.replyPiece(from, piece, true)
+			this.replyToPiece(from, piece, true)
 			return
 		}
-		if (piece.offset === 0 || piece.index !== this.piecesIndex) this.begin(piece.index)
+		if (piece.offset === 0 || piece.index !== this.piecesIndex) this.startSnapshot(piece.index)
 		if (piece.offset === this.piecesLength) {
 			this.pieces.push(piece.data)
 			this.piecesLength += piece.data.length
 			if (piece.last) {
-				this.install(piece)
-				this.replyPiece(from, piece, true)
+				this.installSnapshot(piece)
+				this.replyToPiece(from, piece, true)
 				return
 			}
 		}
-		this.replyPiece(from, piece, false)
+		this.replyToPiece(from, piece, false)
 	}
 
-	private hear(from: string, now: number): void {
+	private acceptLeader(from: string, now: number): void {
 		const { state } = this
-		invariant(state.role !== Role.Leader, 'one leader a term', { term: state.term, from })
-		invariant(state.leader === '' || state.leader === from, 'one leader a term', {
+		invariant(state.role !== Role.Leader, 'one leader per term', { term: state.term, from })
+		invariant(state.leader === '' || state.leader === from, 'one leader per term', {
 			term: state.term,
 			known: state.leader,
 			from,
@@ -70,11 +70,11 @@
 		state.role = Role.Follower
 		state.leader = from
 		state.leaderHeardAt = now
-		state.knewLeader = true
-		this.resetElection(now)
+		state.hasKnownLeader = true
+		this.resetElectionTimeout(now)
 	}
 
-	private take(entry: Entry): void {
+	private storeEntry(entry: Entry): void {
 		const { log } = this.state
 		if (entry.index < log.firstIndex) return
 		if (entry.index <= log.lastIndex) {
@@ -84,8 +84,8 @@
 		this.state.append(entry)
 	}
 
-	/** Steps back over a whole term at a time, so that a long divergence costs few messages. */
-	private beforeTerm(index: number): number {
+	/** Skips a whole term at a time, so that a long divergence is resolved in few messages. */
+	private lastIndexBeforeTermOf(index: number): number {
 		const { log } = this.state
 		const term = log.termAt(index)
 		let at = index
@@ -93,28 +93,28 @@
 		return at
 	}
 
-	private begin(index: number): void {
+	private startSnapshot(index: number): void {
 		this.pieces = []
 		this.piecesIndex = index
 		this.piecesLength = 0
 	}
 
-	private install(piece: SnapshotPiece): void {
-		invariant(piece.membership !== undefined, 'a snapshot names its membership')
+	private installSnapshot(piece: SnapshotPiece): void {
+		invariant(piece.membership !== undefined, 'a snapshot contains its membership')
 		this.state.install({
 			index: piece.index,
 			term: piece.term,
 			membership: piece.membership,
 			data: Buffer.concat(this.pieces),
 		})
-		this.begin(0)
+		this.startSnapshot(0)
 	}
 
-	private reply(to: string, accepted: boolean, index: number, round: number): void {
+	private replyToAppend(to: string, accepted: boolean, index: number, round: number): void {
 		this.state.sendAfterSync(to, { $case: 'appendReply', value: { accepted, index, round } })
 	}
 
-	private replyPiece(to: string, piece: SnapshotPiece, installed: boolean): void {
+	private replyToPiece(to: string, piece: SnapshotPiece, installed: boolean): void {
 		const value = {
 			index: piece.index,
 			offset: this.piecesIndex === piece.index ? this.piecesLength : 0,
--- a/packages/consensus/src/lib/HeartbeatRounds.ts
+++ b/packages/consensus/src/lib/HeartbeatRounds.ts
@@ -1,13 +1,13 @@
 /**
- * When a leader sent each of its rounds of heartbeats. Its lease is measured from there, since the follower that answered
- * cannot have heard it earlier.
+ * Send times of a leader's heartbeat rounds. The lease is measured from the send time, since the
+ * follower that answered cannot have received the heartbeat earlier.
  */
 
-/** Rounds that may still be answered; at one every 50 ms those of 12 s. */
+/** Rounds whose send time is kept for late answers: 12 s at one round every 50 ms. */
 const ROUNDS_KEPT = 256
 
 /**
- * The rounds of heartbeats of a leadership.
+ * The heartbeat rounds of one leadership.
  *
  * @public
  */
@@ -16,7 +16,9 @@
 	private readonly sentAt = new Map<number, number>()
 
 	/**
-	 * @param now - the moment before the round's first message is sent.
+	 * Starts a round.
+	 *
+	 * @param now - the time before the round's first message is sent.
 	 * @returns the number of the new round.
 	 */
 	start(now: number): number {
@@ -28,7 +30,7 @@
 
 	/**
 	 * @param round - a round that a peer answered.
-	 * @returns when it was sent; undefined when that is no longer known.
+	 * @returns when it was sent; undefined when the send time is no longer kept.
 	 */
 	sendTime(round: number): number | undefined {
 		return this.sentAt.get(round)
--- a/packages/consensus/src/lib/LeaderlessPoll.ts
+++ b/packages/consensus/src/lib/LeaderlessPoll.ts
@@ -1,16 +1,19 @@
 /**
- * The quick way to a leader after all have started anew. A voter that restarted must assume that it has
- * just promised a leader its time, and wait; but when every voter says that its process has known no
- * leader since it started, the leader that was promised is gone with its process, and its lease too.
+ * Elects a leader quickly after all voters have restarted. A restarted voter must assume that it has
+ * just acknowledged a leader's lease, and wait. When every voter reports that its process has known no
+ * leader since it started, the earlier leader's process, and with it the lease, no longer exists.
  */
 import type { ReplicaState } from './ReplicaState'
 
-/** Spans of `Timing.heartbeatInterval` between two questions, more or less at random so that two do not meet. */
+/**
+ * Bounds of the time between two polls, in multiples of `Timing.heartbeatInterval`. It is random, so
+ * that the polls of two voters do not collide.
+ */
 const MIN_INTERVAL = 0.5
 const MAX_INTERVAL = 2
 
 /**
- * Counts the voters that know of no leader.
+ * Counts the voters that have known no leader since they started.
  *
  * @internal
  */
@@ -21,10 +24,14 @@
 
 	constructor(private readonly state: ReplicaState) {}
 
-	/** Whether all voters are to be asked now; from then on answers count anew. */
+	/**
+	 * Starts a new poll when one is due; replies to earlier polls no longer count.
+	 *
+	 * @returns whether it did.
+	 */
 	startIfDue(now: number): boolean {
-		const { options, knewLeader, timing, term } = this.state
-		if (!options.applicant || knewLeader || now < this.nextPollAt) return false
+		const { options, hasKnownLeader, timing, term } = this.state
+		if (!options.applicant || hasKnownLeader || now < this.nextPollAt) return false
 		const spread = (MAX_INTERVAL - MIN_INTERVAL) * options.random.fraction()
 		this.nextPollAt = now + timing.heartbeatInterval * (MIN_INTERVAL + spread)
 		this.term = term
@@ -32,10 +39,10 @@
 		return true
 	}
 
-	/** @returns whether with this voter all have said that they know of no leader. */
+	/** @returns whether all voters, with this one, have reported that they know no leader. */
 	recordLeaderless(voter: string): boolean {
-		const { knewLeader, term, memberships } = this.state
-		if (knewLeader || term !== this.term) return false
+		const { hasKnownLeader, term, memberships } = this.state
+		if (hasKnownLeader || term !== this.term) return false
 		this.leaderless.add(voter)
 		return memberships.voters.every(({ id }) => this.leaderless.has(id))
 	}
--- a/packages/consensus/src/lib/Leadership.ts
+++ b/packages/consensus/src/lib/Leadership.ts
@@ -1,4 +1,4 @@
-/** A leader's part: replication, commitment, the lease, repair of the membership, handing over. */
+/** The leader role: replication, commit, the lease, membership changes and leadership transfer. */
 import { invariant } from '@rillrudder/utils'
 import {
 	EntryKind,
@@ -16,102 +16,113 @@
 import { nextMembershipChange, type MemberHealth } from './nextMembershipChange'
 import { Role, type ReplicaState } from './ReplicaState'
 
-const MOST_ENTRIES = 512
-/** Bytes of one message; a follower that is far behind is sent the next one when it has answered. */
-const MOST_BYTES = 128 * 1024
-const MOST_AHEAD = 8192
-const PIECE_BYTES = 64 * 1024
-/** Spans of `Timing.electionTimeout` for which a leader leads before it gives way to a preferred one. */
-const SETTLED = 3
+const MAX_ENTRIES_PER_MESSAGE = 512
+/**
+ * Limit of one message's entries; a follower that is far behind gets the next message after its
+ * answer.
+ */
+const MAX_BYTES_PER_MESSAGE = 128 * 1024
+const MAX_UNACKNOWLEDGED_ENTRIES = 8192
+const SNAPSHOT_PIECE_BYTES = 64 * 1024
+/**
+ * Election timeouts that pass before a leader transfers to a preferred one, or steps down without a
+ * majority.
+ */
+const SETTLING_ELECTION_TIMEOUTS = 3
 
 /**
- * The part of a replica that leads a term.
+ * Leads a group for one term.
  *
  * @internal
  */
 export class Leadership {
 	private readonly rounds = new HeartbeatRounds()
 	private readonly peers = new Map<string, Progress>()
-	private stored = 0
-	private since = 0
-	private heartbeatDue = 0
+	private persistedIndex = 0
+	private startedAt = 0
+	private nextHeartbeatAt = 0
 	private firstIndexOfTerm = 0
-	private handingTo = ''
-	private handingSince = 0
-	private leaseGivenUp = false
-	/** Answers to what was sent before this moment do not count for the lease. */
-	private doubtedAt = Number.NEGATIVE_INFINITY
+	private transferTarget = ''
+	private transferStartedAt = 0
+	private hasReleasedLease = false
+	/** Answers to messages sent before this time do not count for the lease. */
+	private leaseDoubtedAt = Number.NEGATIVE_INFINITY
 
 	constructor(private readonly state: ReplicaState) {}
 
-	/** Whether leadership is being handed over, so that nothing new is taken. */
-	get handing(): boolean {
-		return this.handingTo !== ''
+	/** Whether leadership is being transferred, so that proposals are refused. */
+	get isTransferring(): boolean {
+		return this.transferTarget !== ''
 	}
 
-	/** Starts to lead the term that was won. */
-	begin(now: number): void {
+	/** Becomes leader of the current term. */
+	start(now: number): void {
 		const { state } = this
 		state.role = Role.Leader
 		state.leader = state.options.id
-		state.knewLeader = true
+		state.hasKnownLeader = true
 		state.options.safetyChecker?.onElected(state.term, state.replicaKey)
-		this.since = now
-		this.handingTo = ''
-		this.leaseGivenUp = false
+		this.startedAt = now
+		this.transferTarget = ''
+		this.hasReleasedLease = false
 		this.peers.clear()
-		this.stored = Math.min(this.stored, state.log.lastIndex)
+		this.persistedIndex = Math.min(this.persistedIndex, state.log.lastIndex)
 		this.firstIndexOfTerm = state.log.lastIndex + 1
-		this.appendOwn(EntryKind.ENTRY_KIND_BLANK, new Uint8Array(0))
+		this.appendNew(EntryKind.ENTRY_KIND_BLANK, new Uint8Array(0))
 		this.heartbeat(now)
 	}
 
-	/** Founds the group: the membership is its first entry. */
-	found(members: Member[]): void {
-		this.appendOwn(EntryKind.ENTRY_KIND_MEMBERSHIP, Membership.encode({ members }).finish())
+	/** Founds the group: its first entry is the membership. */
+	foundGroup(members: Member[]): void {
+		this.appendNew(EntryKind.ENTRY_KIND_MEMBERSHIP, Membership.encode({ members }).finish())
 	}
 
 	/**
-	 * @returns the index of the first of the entries, or undefined when none are taken now.
+	 * Appends commands to the log and replicates them.
+	 *
+	 * @returns the index of the first entry, or undefined while leadership is being transferred.
 	 */
 	propose(commands: readonly Uint8Array[], now: number): number | undefined {
-		if (this.handing) return undefined
+		if (this.isTransferring) return undefined
 		const first = this.state.log.lastIndex + 1
-		for (const command of commands) this.appendOwn(EntryKind.ENTRY_KIND_COMMAND, command)
+		for (const command of commands) this.appendNew(EntryKind.ENTRY_KIND_COMMAND, command)
 		this.replicate(now)
 		return first
 	}
 
-	/** Everything up to this index is lasting here. */
+	/** Notes that all entries up to this index are on this replica's disk. */
 	onPersisted(index: number): void {
-		this.stored = Math.max(this.stored, index)
+		this.persistedIndex = Math.max(this.persistedIndex, index)
 		if (this.state.role === Role.Leader) this.advanceCommit()
 	}
 
-	/** What was stored above this index has been replaced. */
-	truncated(index: number): void {
-		this.stored = Math.min(this.stored, index)
+	/** Notes that the entries above this index have been replaced. */
+	onTruncated(index: number): void {
+		this.persistedIndex = Math.min(this.persistedIndex, index)
 	}
 
-	/** Heartbeats, repair, and giving way. */
+	/** Sends heartbeats, changes the membership, and transfers or gives up leadership when due. */
 	tick(now: number): void {
-		if (now >= this.heartbeatDue) this.heartbeat(now)
-		if (this.handing) this.continueHanding(now)
-		else this.preferBetterLeader(now)
+		if (now >= this.nextHeartbeatAt) this.heartbeat(now)
+		if (this.isTransferring) this.continueTransfer(now)
+		else this.transferToPreferred(now)
 		if (this.state.options.applicant) this.reviewMembers(now)
 		else this.promoteCaughtUp()
-		this.stepDownWhenCutOff(now)
+		this.stepDownIfPartitioned(now)
 	}
 
 	/** Whether no other leader can have been elected yet. */
 	holdsLease(now: number): boolean {
-		if (this.leaseGivenUp) return false
-		return this.confirmedAt(now) >= this.doubtedAt && now < this.leaseEnd(now)
+		if (this.hasReleasedLease) return false
+		return this.confirmedAt(now) >= this.leaseDoubtedAt && now < this.leaseEnd(now)
 	}
 
-	/** Time may have passed that the clock did not count: the lease holds again once a majority has answered anew. */
+	/**
+	 * Suspends the lease until a majority has answered again, as time may have passed that the clock did
+	 * not count.
+	 */
 	revalidateLease(now: number): void {
-		this.doubtedAt = now
+		this.leaseDoubtedAt = now
 		this.heartbeat(now)
 	}
 
@@ -120,7 +131,7 @@
 		return this.confirmedAt(now) + leaseDuration(this.state.timing)
 	}
 
-	/** When the latest heartbeat was sent that a majority has answered. */
+	/** The send time of the latest heartbeat that a majority has answered. */
 	private confirmedAt(now: number): number {
 		const { voters } = this.state.memberships
 		const self = this.state.options.id
@@ -131,14 +142,14 @@
 	}
 
 	/** Whether an entry of this term is committed, so that the state is the group's latest. */
-	get current(): boolean {
+	get hasCommittedInTerm(): boolean {
 		return this.state.commit >= this.firstIndexOfTerm
 	}
 
-	/** Takes an answer to an append. */
-	appendReply(from: Member, reply: AppendReply, now: number): void {
+	/** Handles the answer to an append. */
+	onAppendReply(from: Member, reply: AppendReply, now: number): void {
 		const peer = this.progress(from.id)
-		this.answered(peer, reply.round)
+		this.recordAnswer(peer, reply.round)
 		if (reply.accepted) {
 			const caughtUp = peer.mode === ReplicationMode.Streaming
 			peer.onAccepted(reply.index)
@@ -150,10 +161,10 @@
 		}
 	}
 
-	/** Takes an answer to a piece of a snapshot. */
-	snapshotReply(from: Member, reply: SnapshotReply, now: number): void {
+	/** Handles the answer to a piece of a snapshot. */
+	onSnapshotReply(from: Member, reply: SnapshotReply, now: number): void {
 		const peer = this.progress(from.id)
-		this.answered(peer, reply.round)
+		this.recordAnswer(peer, reply.round)
 		if (peer.mode !== ReplicationMode.Snapshot) return
 		if (reply.installed) {
 			peer.onAccepted(reply.index)
@@ -164,18 +175,18 @@
 		}
 	}
 
-	/** Takes a life into the group, or back into it, without a vote until it has caught up. */
+	/** Admits an incarnation of an instance as a learner; it becomes a voter once it has caught up. */
 	admit(id: string, incarnation: string, probe: Probe): void {
 		const known = this.state.memberships.find(id)
-		if (known?.incarnation === incarnation || !this.mayChangeMembership()) return
-		const terms = this.termsFor(id, probe)
-		if (!terms) return
-		this.changeMembership({ id, incarnation, voter: false, ...terms })
+		if (known?.incarnation === incarnation || !this.canChangeMembership()) return
+		const fields = this.admissionFieldsFor(id, probe)
+		if (!fields) return
+		this.setMember({ id, incarnation, voter: false, ...fields })
 		this.peers.delete(id)
 	}
 
-	/** @returns what an instance is admitted as; undefined when it is not. */
-	private termsFor(id: string, probe: Probe) {
+	/** @returns the member fields for an applying instance; undefined when it is not admitted. */
+	private admissionFieldsFor(id: string, probe: Probe) {
 		const { applicant, founders } = this.state.options
 		const { durable, dataCentre } = probe
 		if (applicant) return durable ? { durable, local: true, dataCentre } : undefined
@@ -183,35 +194,40 @@
 		return founder && { durable: founder.durable, local: founder.local, dataCentre: '' }
 	}
 
-	/** Hands leadership to a voter that has caught up; anything but the best is refused. */
+	/**
+	 * Starts to transfer leadership to another voter; it takes over once it has caught up.
+	 *
+	 * @returns whether the transfer has started.
+	 */
 	transferTo(id: string, now: number): boolean {
 		const member = this.state.memberships.find(id)
-		if (!member?.voter || id === this.state.options.id || this.handing) return false
-		this.handingTo = id
-		this.handingSince = now
+		if (!member?.voter || id === this.state.options.id || this.isTransferring) return false
+		this.transferTarget = id
+		this.transferStartedAt = now
 		this.replicate(now)
-		this.continueHanding(now)
+		this.continueTransfer(now)
 		return true
 	}
 
-	/** The voter that should take over from this one on a planned stop; empty when there is none. */
-	successor(now: number): string {
-		const fresh = this.freshVoters(now)
-		return fresh.sort(byPreference)[0]?.id ?? ''
+	/** @returns the reachable voter that is preferred as the next leader; empty when there is none. */
+	findSuccessor(now: number): string {
+		const recent = this.recentlyAnsweringVoters(now)
+		return recent.sort(byPreference)[0]?.id ?? ''
 	}
 
 	private heartbeat(now: number): void {
-		this.heartbeatDue = now + this.state.timing.heartbeatInterval
+		this.nextHeartbeatAt = now + this.state.timing.heartbeatInterval
 		this.replicate(now, true)
 	}
 
-	private replicate(now: number, always = false): void {
+	private replicate(now: number, isHeartbeat = false): void {
 		const round = this.rounds.start(now)
 		for (const member of this.state.memberships.current.members) {
 			if (member.id === this.state.options.id) continue
 			const peer = this.progress(member.id)
-			const news = peer.mode === ReplicationMode.Streaming && peer.next <= this.state.log.lastIndex
-			if (always || news) this.send(member.id, peer, round, now)
+			const hasNewEntries =
+				peer.mode === ReplicationMode.Streaming && peer.next <= this.state.log.lastIndex
+			if (isHeartbeat || hasNewEntries) this.send(member.id, peer, round, now)
 		}
 	}
 
@@ -225,9 +241,13 @@
 			this.sendSnapshot(id, peer, now)
 			return
 		}
-		const ahead = peer.next - peer.match > MOST_AHEAD
-		const most = ahead ? 0 : peer.mode === ReplicationMode.Probing ? 1 : MOST_ENTRIES
-		const entries = log.slice(peer.next, most, MOST_BYTES)
+		const isWindowFull = peer.next - peer.match > MAX_UNACKNOWLEDGED_ENTRIES
+		const maxEntries = isWindowFull
+			? 0
+			: peer.mode === ReplicationMode.Probing
+				? 1
+				: MAX_ENTRIES_PER_MESSAGE
+		const entries = log.slice(peer.next, maxEntries, MAX_BYTES_PER_MESSAGE)
 		const previousIndex = peer.next - 1
 		const previousTerm = log.termAt(previousIndex) ?? 0
 		if (peer.mode === ReplicationMode.Streaming) peer.next += entries.length
@@ -249,7 +269,7 @@
 		const { snapshot } = this.state
 		invariant(snapshot !== undefined, 'a compacted log has a snapshot')
 		const offset = Math.min(peer.snapshotOffset, snapshot.data.length)
-		const data = snapshot.data.subarray(offset, offset + PIECE_BYTES)
+		const data = snapshot.data.subarray(offset, offset + SNAPSHOT_PIECE_BYTES)
 		const last = offset + data.length === snapshot.data.length
 		peer.snapshotSentAt = now
 		const { index, term, membership } = snapshot
@@ -258,7 +278,7 @@
 		this.state.sendImmediately(id, { $case: 'snapshotPiece', value })
 	}
 
-	private answered(peer: Progress, round: number): void {
+	private recordAnswer(peer: Progress, round: number): void {
 		const sent = this.rounds.sendTime(round)
 		if (sent !== undefined) peer.answeredSentAt = Math.max(peer.answeredSentAt, sent)
 	}
@@ -266,7 +286,7 @@
 	private advanceCommit(): void {
 		const { log, memberships, options } = this.state
 		const reached = memberships.voters.map((voter) =>
-			voter.id === options.id ? this.stored : this.progress(voter.id).match
+			voter.id === options.id ? this.persistedIndex : this.progress(voter.id).match
 		)
 		if (reached.length === 0) return
 		const index = majorityValue(reached)
@@ -274,86 +294,94 @@
 		this.state.commitTo(index)
 	}
 
-	private appendOwn(kind: EntryKind, data: Uint8Array): void {
+	private appendNew(kind: EntryKind, data: Uint8Array): void {
 		const { log, term } = this.state
 		this.state.append({ index: log.lastIndex + 1, term, kind, data: data as Buffer })
 	}
 
-	private mayChangeMembership(): boolean {
-		return this.current && !this.handing && this.state.memberships.currentIndex <= this.state.commit
+	private canChangeMembership(): boolean {
+		return (
+			this.hasCommittedInTerm &&
+			!this.isTransferring &&
+			this.state.memberships.currentIndex <= this.state.commit
+		)
 	}
 
-	private changeMembership(changed: Member): void {
+	private setMember(changed: Member): void {
 		const others = this.state.memberships.current.members.filter((one) => one.id !== changed.id)
 		const data = Membership.encode({ members: [...others, changed] }).finish()
-		this.appendOwn(EntryKind.ENTRY_KIND_MEMBERSHIP, data)
+		this.appendNew(EntryKind.ENTRY_KIND_MEMBERSHIP, data)
 	}
 
-	/** Keeps the voters of an open membership as many and as alive as they should be. */
+	/** Keeps an open membership at the right number of reachable voters, one change at a time. */
 	private reviewMembers(now: number): void {
-		if (!this.mayChangeMembership()) return
+		if (!this.canChangeMembership()) return
 		const self = this.state.options.id
-		const seats = this.state.memberships.current.members.map((member) => this.seat(member, now))
-		const change = nextMembershipChange(seats, self)
-		if (change?.kind === 'set') this.changeMembership(change.member)
+		const members = this.state.memberships.current.members.map((member) =>
+			this.healthOf(member, now)
+		)
+		const change = nextMembershipChange(members, self)
+		if (change?.kind === 'set') this.setMember(change.member)
 		if (change?.kind === 'drop') this.dropMember(change.id)
 	}
 
-	private seat(member: Member, now: number): MemberHealth {
+	private healthOf(member: Member, now: number): MemberHealth {
 		if (member.id === this.state.options.id) return { member, sinceContactMs: 0, caughtUp: true }
 		const { answeredSentAt: answeredSince, match } = this.progress(member.id)
-		const silence = now - Math.max(answeredSince, this.since)
-		return { member, sinceContactMs: silence, caughtUp: match >= this.state.commit }
+		const sinceContactMs = now - Math.max(answeredSince, this.startedAt)
+		return { member, sinceContactMs, caughtUp: match >= this.state.commit }
 	}
 
 	private dropMember(id: string): void {
 		const members = this.state.memberships.current.members.filter((one) => one.id !== id)
-		this.appendOwn(EntryKind.ENTRY_KIND_MEMBERSHIP, Membership.encode({ members }).finish())
+		this.appendNew(EntryKind.ENTRY_KIND_MEMBERSHIP, Membership.encode({ members }).finish())
 		this.peers.delete(id)
 	}
 
 	private promoteCaughtUp(): void {
-		if (!this.mayChangeMembership()) return
+		if (!this.canChangeMembership()) return
 		const ready = this.state.memberships.current.members.find(
 			(member) => !member.voter && this.progress(member.id).match >= this.state.commit
 		)
-		if (ready) this.changeMembership({ ...ready, voter: true })
+		if (ready) this.setMember({ ...ready, voter: true })
 	}
 
-	private preferBetterLeader(now: number): void {
+	private transferToPreferred(now: number): void {
 		const { timing, options, memberships } = this.state
-		if (now - this.since < timing.electionTimeout * SETTLED) return
+		if (now - this.startedAt < timing.electionTimeout * SETTLING_ELECTION_TIMEOUTS) return
 		const self = memberships.find(options.id)
-		const best = memberships.find(this.successor(now))
+		const best = memberships.find(this.findSuccessor(now))
 		if (!self || !best || preferenceOf(best) <= preferenceOf(self)) return
 		if (this.progress(best.id).match === this.state.log.lastIndex) this.transferTo(best.id, now)
 	}
 
-	private continueHanding(now: number): void {
+	private continueTransfer(now: number): void {
 		const { state } = this
-		if (now - this.handingSince > state.timing.electionTimeout) {
-			// A call to take over may still be on its way, so the lease can't be taken up again.
+		if (now - this.transferStartedAt > state.timing.electionTimeout) {
+			// The request to take over may still be in transit, so the lease must not be resumed.
 			this.stepDown()
 			return
 		}
-		if (this.leaseGivenUp || this.progress(this.handingTo).match < state.log.lastIndex) return
-		this.leaseGivenUp = true
+		if (this.hasReleasedLease || this.progress(this.transferTarget).match < state.log.lastIndex)
+			return
+		this.hasReleasedLease = true
 		state.options.safetyChecker?.onLeaseReleased(state.replicaKey)
-		state.sendImmediately(this.handingTo, { $case: 'timeoutNow', value: {} })
+		state.sendImmediately(this.transferTarget, { $case: 'timeoutNow', value: {} })
 	}
 
-	private stepDownWhenCutOff(now: number): void {
-		if (now - this.since < this.state.timing.electionTimeout * SETTLED) return
+	private stepDownIfPartitioned(now: number): void {
+		if (now - this.startedAt < this.state.timing.electionTimeout * SETTLING_ELECTION_TIMEOUTS)
+			return
 		if (now - this.leaseEnd(now) > this.state.timing.electionTimeout) this.stepDown()
 	}
 
 	private stepDown(): void {
 		this.state.role = Role.Follower
 		this.state.leader = ''
-		this.handingTo = ''
+		this.transferTarget = ''
 	}
 
-	private freshVoters(now: number): Member[] {
+	private recentlyAnsweringVoters(now: number): Member[] {
 		const { memberships, options, timing } = this.state
 		return memberships.voters.filter((voter) => {
 			const answered = this.peers.get(voter.id)?.answeredSentAt ?? Number.NEGATIVE_INFINITY
--- a/packages/consensus/src/lib/MembershipHistory.ts
+++ b/packages/consensus/src/lib/MembershipHistory.ts
@@ -1,7 +1,7 @@
-/** Who belongs to a group, as of each index that changed it; a dropped entry takes its change along. */
+/** The memberships of a group by log index; truncating the log also drops its membership changes. */
 import type { Member, Membership } from '@rillrudder/protocol'
 
-/** A membership and the index that brought it. @public */
+/** A membership and the index of the entry that set it. @public */
 export interface MembershipAt {
 	readonly index: number
 	readonly membership: Membership
@@ -10,7 +10,7 @@
 const EMPTY_MEMBERSHIP: Membership = { members: [] }
 
 /**
- * The memberships that a replica knows; the newest is in force from the moment it is appended.
+ * The memberships that a replica knows. The newest is in force as soon as it is appended.
  *
  * @public
  */
@@ -24,7 +24,7 @@
 			: this.changes[this.changes.length - 1].membership
 	}
 
-	/** The index that brought the membership in force; 0 when there is none. */
+	/** The index of the entry that set the membership in force; 0 when there is none. */
 	get currentIndex(): number {
 		return this.changes.length === 0 ? 0 : this.changes[this.changes.length - 1].index
 	}
@@ -35,8 +35,8 @@
 	}
 
 	/**
-	 * @param id - an instance.
-	 * @returns its membership, if it has one.
+	 * @param id - id of an instance.
+	 * @returns the member of that id in the membership in force, if any.
 	 */
 	find(id: string): Member | undefined {
 		return this.current.members.find((member) => member.id === id)
@@ -62,14 +62,14 @@
 		this.changes = this.changes.filter((change) => change.index <= index)
 	}
 
-	/** @param change - the only change that is known from now on. */
+	/** @param change - replaces all known changes. */
 	reset(change: MembershipAt): void {
 		this.changes = [change]
 	}
 }
 
 /**
- * @param values - one value a voter.
+ * @param values - one value per voter.
  * @returns the largest value that a majority has reached.
  * @internal
  */
--- a/packages/consensus/src/lib/Output.ts
+++ b/packages/consensus/src/lib/Output.ts
@@ -1,16 +1,16 @@
-/** What a replica asks its driver to do, in the order in which it must be done. */
+/** The effects that a replica asks its driver to carry out, in the required order. */
 import type { Entry, GroupMessage, Membership } from '@rillrudder/protocol'
 
-/** What must survive a restart besides the entries. @public */
+/** The state besides the entries that must survive a restart. @public */
 export interface HardState {
 	readonly term: number
-	/** Who got this replica's vote in that term; empty for nobody. */
+	/** The candidate that got this replica's vote in that term; empty for none. */
 	readonly votedFor: string
-	/** An index known to be committed then; a lower bound, absent in records of earlier versions. */
+	/** Lower bound of the commit index; absent in records of earlier versions. */
 	readonly commit?: number
 }
 
-/** The state up to an index, in place of the entries up to it. @public */
+/** The state up to an index, which replaces the entries up to it. @public */
 export interface Snapshot {
 	readonly index: number
 	readonly term: number
@@ -18,23 +18,23 @@
 	readonly data: Uint8Array
 }
 
-/** A message and the instance it is for. @public */
+/** A message and its recipient. @public */
 export interface Envelope {
 	readonly to: string
 	readonly message: GroupMessage
 }
 
 /**
- * One step's effects. The driver sends `early` at once; makes `hardState`, `snapshot` and `entries`
- * lasting with one sync; then sends `late` and calls `Replica.persisted`. It applies `committed` in
- * order, after restoring `snapshot` where there is one.
+ * The effects of one step. The driver sends `immediate` at once; writes `hardState`, `snapshot` and
+ * `entries` to disk with one sync; then sends `afterSync` and calls `Replica.onPersisted`. It applies
+ * `committed` in order, after restoring `snapshot` where there is one.
  *
  * @public
  */
 export interface Output {
 	readonly hardState?: HardState
 	readonly snapshot?: Snapshot
-	/** Entries to store; the first one replaces whatever was stored at its index and after. */
+	/** Entries to store; the first one replaces whatever is stored from its index on. */
 	readonly entries: Entry[]
 	readonly immediate: Envelope[]
 	readonly afterSync: Envelope[]
--- a/packages/consensus/src/lib/Progress.ts
+++ b/packages/consensus/src/lib/Progress.ts
@@ -1,27 +1,27 @@
-/** What a leader knows of one peer. */
+/** Replication progress of one peer, as its leader sees it. */
 
-/** How entries reach the peer. @public */
+/** How entries are replicated to a peer. @public */
 export const ReplicationMode = {
-	/** Where its log matches is not known: one message at a time. */
+	/** The last matching index is unknown: one message at a time. */
 	Probing: 'probing',
-	/** Entries are sent ahead of the answers. */
+	/** Entries are pipelined without waiting for the answers. */
 	Streaming: 'streaming',
-	/** It is so far behind that it is sent the snapshot. */
+	/** The entries it needs are compacted, so it is sent the snapshot. */
 	Snapshot: 'snapshot',
 } as const
-/** One of the ways. @public */
+/** A replication mode. @public */
 export type ReplicationMode = (typeof ReplicationMode)[keyof typeof ReplicationMode]
 
 /**
- * What a leader knows of one peer.
+ * Replication progress of one peer.
  *
  * @public
  */
 export class Progress {
-	/** Last index known to be lasting at the peer. */
+	/** Last index known to be on the peer's disk. */
 	match = 0
 	mode: ReplicationMode = ReplicationMode.Probing
-	/** Offset of the next piece of the snapshot. */
+	/** Byte offset of the next piece of the snapshot. */
 	snapshotOffset = 0
 	/** When a piece of the snapshot was last sent. */
 	snapshotSentAt = Number.NEGATIVE_INFINITY
@@ -31,7 +31,7 @@
 	/** @param next - the index to send next. */
 	constructor(public next: number) {}
 
-	/** @param index - the peer's log matches up to here. */
+	/** @param index - the last index up to which the peer's log matches. */
 	onAccepted(index: number): void {
 		this.match = Math.max(this.match, index)
 		this.next = Math.max(this.next, this.match + 1)
--- a/packages/consensus/src/lib/Replica.ts
+++ b/packages/consensus/src/lib/Replica.ts
@@ -1,6 +1,6 @@
 /**
- * One replica of a group, as a pure state machine: messages, moments and proposals go in, effects
- * come out. It owns no socket, timer or file.
+ * One replica of a group, as a pure state machine: messages, times and proposals go in, effects come
+ * out. It owns no socket, timer or file.
  */
 import {
 	EntryKind,
@@ -19,7 +19,7 @@
 import type { Output } from './Output'
 import { ReplicaState, Role, type ReplicaOptions, type RestoredState } from './ReplicaState'
 
-/** What a replica tells of itself. @public */
+/** The status of a replica. @public */
 export interface ReplicaStatus {
 	readonly role: Role
 	readonly term: number
@@ -29,17 +29,17 @@
 	readonly members: readonly Member[]
 }
 
-/** Spans of `Timing.electionTimeout` without a leader after which a member of an open group asks around. */
-const ASKS_AROUND = 3
+/** Election timeouts without a leader after which a member of an open group sends probes. */
+const PROBE_AFTER_ELECTION_TIMEOUTS = 3
 
-/** A founder that has no membership yet. */
+/** A founder that has reported that it has no membership yet. */
 interface BlankPeer {
 	readonly incarnation: string
 	readonly dataCentre: string
 }
 
-/** Entries kept behind a snapshot, so that a replica a little behind needs no snapshot. */
-const KEPT_BEHIND_SNAPSHOT = 1000
+/** Entries kept below a snapshot, so that a replica slightly behind needs no snapshot. */
+const ENTRIES_KEPT_BEHIND_SNAPSHOT = 1000
 
 /**
  * One replica of a group.
@@ -55,82 +55,83 @@
 export class Replica {
 	private readonly state: ReplicaState
 	private readonly election: Election
-	private readonly following: FollowerRole
+	private readonly follower: FollowerRole
 	private readonly leadership: Leadership
 	private readonly blankPeers = new Map<string, BlankPeer>()
-	private probeDue = 0
+	private nextProbeAt = 0
 
 	/**
-	 * @param options - identity, founders, spans and randomness.
-	 * @param now - the moment of the start, milliseconds on a monotonic clock.
-	 * @param restored - what the data folder held, if anything.
+	 * @param options - identity, founders, timing and randomness.
+	 * @param now - the start time, milliseconds on a monotonic clock.
+	 * @param restored - the state read from the data folder, if any.
 	 */
 	constructor(options: ReplicaOptions, now: number, restored?: RestoredState) {
 		this.state = new ReplicaState(options, now)
 		this.leadership = new Leadership(this.state)
-		this.election = new Election(this.state, (moment) => this.leadership.begin(moment))
-		this.following = new FollowerRole(this.state, (moment) => this.election.reset(moment))
+		this.election = new Election(this.state, (at) => this.leadership.start(at))
+		this.follower = new FollowerRole(this.state, (at) => this.election.resetTimeout(at))
 		if (restored) {
 			this.state.restore(restored)
 			this.leadership.onPersisted(this.state.log.lastIndex)
 		}
-		this.election.reset(options.startedAt ?? now)
+		this.election.resetTimeout(options.startedAt ?? now)
 	}
 
-	/** What this replica knows of its group. */
+	/** The group's status as this replica knows it. */
 	get status(): ReplicaStatus {
 		const { role, term, leader, commit, log, memberships } = this.state
 		const members = memberships.current.members
 		return { role, term, leader, commit, lastIndex: log.lastIndex, members }
 	}
 
-	/** Instances that answers to probes have named as members, perhaps long ago. */
+	/** Members that replies to probes have named since the start; some may have left since. */
 	get reportedMembers(): ReadonlySet<string> {
 		return this.state.reportedMembers
 	}
 
-	/** When the leader was last heard, on the clock that this replica is driven by. */
+	/** When the leader was last heard from, on the clock that this replica is driven by. */
 	get leaderHeardAt(): number {
 		return this.state.leaderHeardAt
 	}
 
-	/** Whether this replica leads. */
+	/** Whether this replica is the leader. */
 	get isLeader(): boolean {
 		return this.state.role === Role.Leader
 	}
 
 	/**
-	 * @param now - the moment.
-	 * @returns whether it leads, its state is the group's latest, and no other can lead yet. Ask again
-	 * after every wait that comes before a start.
+	 * @param now - the current time.
+	 * @returns whether this replica leads, its state is the group's latest, and no other can lead yet.
+	 * To be checked again after every wait that precedes a start.
 	 */
 	holdsLease(now: number): boolean {
-		return this.isLeader && this.leadership.current && this.leadership.holdsLease(now)
+		return this.isLeader && this.leadership.hasCommittedInTerm && this.leadership.holdsLease(now)
 	}
 
 	/**
-	 * More time may have passed than the clock shows: a leader asks the others again before it acts.
+	 * Makes a leader confirm its lease with a majority again, because more time may have passed than the
+	 * clock shows.
 	 *
-	 * @param now - the moment.
+	 * @param now - the current time.
 	 */
 	revalidateLease(now: number): void {
 		if (this.isLeader) this.leadership.revalidateLease(now)
 	}
 
 	/**
-	 * @param now - the moment.
-	 * @returns when the lease ends unless renewed; only of use while `holdsLease`.
+	 * @param now - the current time.
+	 * @returns when the lease ends unless renewed; meaningful only while `holdsLease`.
 	 */
 	leaseEnd(now: number): number {
 		return this.leadership.leaseEnd(now)
 	}
 
 	/**
-	 * Adds commands to the log, when this replica leads.
+	 * Appends commands to the log when this replica leads.
 	 *
 	 * @param commands - encoded commands, kept in this order.
-	 * @param now - the moment.
-	 * @returns the index of the first, or undefined when this replica takes none now.
+	 * @param now - the current time.
+	 * @returns the index of the first, or undefined when this replica accepts none now.
 	 */
 	propose(commands: readonly Uint8Array[], now: number): number | undefined {
 		if (!this.isLeader || commands.length === 0) return undefined
@@ -138,39 +139,39 @@
 	}
 
 	/**
-	 * Tells that an output has been stored.
+	 * Reports that an output is on disk.
 	 *
 	 * @param index - index of its last entry.
-	 * @param term - term of that entry; an entry that was replaced meanwhile does not count.
+	 * @param term - term of that entry; an entry that was replaced in the meantime does not count.
 	 */
 	onPersisted(index: number, term: number): void {
 		if (this.state.log.termAt(index) === term) this.leadership.onPersisted(index)
 	}
 
 	/**
-	 * Lets time pass.
+	 * Handles the timeouts that are due.
 	 *
-	 * @param now - the moment.
+	 * @param now - the current time.
 	 */
 	tick(now: number): void {
 		if (this.isLeader) this.leadership.tick(now)
 		else this.election.tick(now)
-		if (now >= this.probeDue && this.asksAround(now)) this.probe(now)
+		if (now >= this.nextProbeAt && this.shouldProbe(now)) this.probe(now)
 	}
 
 	/**
-	 * Hands leadership over, for a planned stop.
+	 * Transfers leadership for a planned stop.
 	 *
-	 * @param now - the moment.
-	 * @returns whether there is somebody to hand to.
+	 * @param now - the current time.
+	 * @returns whether a transfer has started.
 	 */
 	transferLeadership(now: number): boolean {
 		if (!this.isLeader) return false
-		return this.leadership.transferTo(this.leadership.successor(now), now)
+		return this.leadership.transferTo(this.leadership.findSuccessor(now), now)
 	}
 
 	/**
-	 * Replaces the beginning of the log by a snapshot of the state.
+	 * Replaces a prefix of the log by a snapshot of the state.
 	 *
 	 * @param index - the last applied index that the data covers.
 	 * @param data - the encoded state.
@@ -180,42 +181,42 @@
 		const term = log.termAt(index)
 		if (term === undefined || index <= (this.state.snapshot?.index ?? 0)) return
 		this.state.snapshot = { index, term, membership: memberships.asOf(index), data }
-		log.compactTo(Math.max(log.firstIndex - 1, index - KEPT_BEHIND_SNAPSHOT))
+		log.compactTo(Math.max(log.firstIndex - 1, index - ENTRIES_KEPT_BEHIND_SNAPSHOT))
 	}
 
-	/** The newest snapshot, for storing. */
+	/** The newest snapshot. */
 	get snapshot(): ReplicaState['snapshot'] {
 		return this.state.snapshot
 	}
 
-	/** The entries above the newest snapshot, for storing the two together. */
+	/** The entries above the newest snapshot, to be stored together with it. */
 	entriesAfterSnapshot(): Entry[] {
 		const { log, snapshot } = this.state
 		return log.slice((snapshot?.index ?? 0) + 1, Number.MAX_SAFE_INTEGER, Number.MAX_SAFE_INTEGER)
 	}
 
 	/**
-	 * Takes a message from another replica of the group.
+	 * Handles a message from another replica of the group.
 	 *
 	 * @param message - the message.
-	 * @param now - the moment it is handled.
+	 * @param now - the current time.
 	 */
 	receive(message: GroupMessage, now: number): void {
 		const body = message.body
 		if (!body) return
 		if (body.$case === 'probe') {
-			this.answerProbe(message, body.value, now)
+			this.onProbe(message, body.value, now)
 			return
 		}
 		if (body.$case === 'probeReply') {
-			this.takeProbeReply(message, body.value, now)
+			this.onProbeReply(message, body.value, now)
 			return
 		}
-		if (!this.admitTerm(message, now)) return
+		if (!this.acceptTerm(message, now)) return
 		this.dispatch(message, body, now)
 	}
 
-	/** Hands over the effects of all steps since the last call. */
+	/** @returns the effects of all steps since the last call. */
 	takeOutput(): Output {
 		return this.state.takeOutput()
 	}
@@ -226,17 +227,17 @@
 		const known = member?.incarnation === message.incarnation ? member : undefined
 		switch (body.$case) {
 			case 'voteCall':
-				return this.election.answer(from, term, body.value, now)
+				return this.election.onVoteCall(from, term, body.value, now)
 			case 'voteReply':
-				return known && this.election.count(known, term, body.value, now)
+				return known && this.election.onVoteReply(known, term, body.value, now)
 			case 'append':
-				return this.follow(() => this.following.append(from, body.value, now))
+				return this.trackTruncation(() => this.follower.onAppend(from, body.value, now))
 			case 'snapshotPiece':
-				return this.follow(() => this.following.piece(from, body.value, now))
+				return this.trackTruncation(() => this.follower.onSnapshotPiece(from, body.value, now))
 			case 'appendReply':
-				return this.isLeader && known && this.leadership.appendReply(known, body.value, now)
+				return this.isLeader && known && this.leadership.onAppendReply(known, body.value, now)
 			case 'snapshotReply':
-				return this.isLeader && known && this.leadership.snapshotReply(known, body.value, now)
+				return this.isLeader && known && this.leadership.onSnapshotReply(known, body.value, now)
 			case 'timeoutNow':
 				return this.state.leader === from && this.election.takeOver(now)
 			case 'probe':
@@ -247,33 +248,33 @@
 		}
 	}
 
-	/** Keeps the leader's idea of what is stored in step with entries that were replaced. */
-	private follow(step: () => void): void {
+	/** Runs a step and lowers the persisted index when the step replaced entries of the log. */
+	private trackTruncation(step: () => void): void {
 		const before = this.state.log.lastIndex
 		const beforeTerm = this.state.log.lastTerm
 		step()
-		if (this.state.log.termAt(before) !== beforeTerm) this.leadership.truncated(this.state.commit)
+		if (this.state.log.termAt(before) !== beforeTerm) this.leadership.onTruncated(this.state.commit)
 	}
 
-	/** @returns whether the message is of the current term, or may be handled all the same. */
-	private admitTerm(message: GroupMessage, now: number): boolean {
+	/** @returns whether the message may be handled, after entering its term when that is later. */
+	private acceptTerm(message: GroupMessage, now: number): boolean {
 		const body = message.body
 		const preVote = body?.$case === 'voteCall' && body.value.pre
 		const preReply =
 			body?.$case === 'voteReply' && body.value.pre && (body.value.granted || body.value.leaderless)
 		if (preVote || preReply) return true
 		if (message.term < this.state.term) {
-			this.answerStale(message)
+			this.replyToStale(message)
 			return false
 		}
 		if (message.term === this.state.term) return true
-		if (body?.$case === 'voteCall' && !this.election.mayDisturb(body.value, now)) return false
+		if (body?.$case === 'voteCall' && !this.election.shouldEnterTerm(body.value, now)) return false
 		this.state.enterTerm(message.term)
 		return true
 	}
 
-	/** Lets a leader or candidate of an old term learn of the newer one. */
-	private answerStale(message: GroupMessage): void {
+	/** Replies to a leader or candidate of an earlier term, so that it learns the current term. */
+	private replyToStale(message: GroupMessage): void {
 		const body = message.body
 		if (body?.$case === 'append') {
 			const value = { accepted: false, index: this.state.log.lastIndex, round: body.value.round }
@@ -284,15 +285,18 @@
 		}
 	}
 
-	/** A member of an open group may have been replaced without hearing of it. */
-	private asksAround(now: number): boolean {
-		if (!this.state.belongs) return true
+	/** A member of an open group probes too: it may have been replaced without being notified. */
+	private shouldProbe(now: number): boolean {
+		if (!this.state.isMember) return true
 		if (!this.state.options.applicant || this.isLeader) return false
-		return now - this.state.leaderHeardAt > this.state.timing.electionTimeout * ASKS_AROUND
+		return (
+			now - this.state.leaderHeardAt >
+			this.state.timing.electionTimeout * PROBE_AFTER_ELECTION_TIMEOUTS
+		)
 	}
 
 	private probe(now: number): void {
-		this.probeDue = now + this.state.timing.electionTimeout
+		this.nextProbeAt = now + this.state.timing.electionTimeout
 		const { applicant, founders, id } = this.state.options
 		const contacts = applicant?.contacts() ?? founders.map((founder) => founder.id)
 		const { durable = false, dataCentre = '' } = applicant ?? {}
@@ -300,42 +304,45 @@
 			if (contact === id) continue
 			this.state.sendAfterSync(contact, { $case: 'probe', value: { durable, dataCentre } })
 		}
-		this.foundWhenAllBlank(now)
+		this.foundGroupIfAllBlank(now)
 	}
 
-	private answerProbe(message: GroupMessage, probe: Probe, now: number): void {
+	private onProbe(message: GroupMessage, probe: Probe, now: number): void {
 		if (this.holdsLease(now)) this.leadership.admit(message.from, message.incarnation, probe)
-		const { blank, term, options, memberships } = this.state
+		const { isBlank, term, options, memberships } = this.state
 		const value = {
 			echo: message.incarnation,
-			blank: blank && term === 0,
-			founding: this.foundingFor(message),
+			blank: isBlank && term === 0,
+			founding: this.foundingMembershipFor(message),
 			members: memberships.current.members.map((member) => member.id),
 			dataCentre: options.applicant?.dataCentre ?? '',
 		}
 		this.state.sendAfterSync(message.from, { $case: 'probeReply', value })
 	}
 
-	private takeProbeReply(message: GroupMessage, reply: ProbeReply, now: number): void {
+	private onProbeReply(message: GroupMessage, reply: ProbeReply, now: number): void {
 		const { from, incarnation } = message
 		if (reply.echo !== this.state.options.incarnation) return
 		for (const member of reply.members) this.state.reportedMembers.add(member)
 		if (reply.blank) this.blankPeers.set(from, { incarnation, dataCentre: reply.dataCentre })
 		else this.blankPeers.delete(from)
-		if (reply.founding) this.joinFounding(reply.founding)
-		else this.foundWhenAllBlank(now)
+		if (reply.founding) this.adoptFounding(reply.founding)
+		else this.foundGroupIfAllBlank(now)
 	}
 
-	/** The founding membership, if the life that asks is named in it and nothing has changed since. */
-	private foundingFor(message: GroupMessage): Membership | undefined {
+	/** The founding membership, if it names the probing incarnation and has not changed since. */
+	private foundingMembershipFor(message: GroupMessage): Membership | undefined {
 		const { memberships } = this.state
-		const named = memberships.find(message.from)?.incarnation === message.incarnation
-		return named && memberships.currentIndex === 1 ? memberships.current : undefined
+		const isNamed = memberships.find(message.from)?.incarnation === message.incarnation
+		return isNamed && memberships.currentIndex === 1 ? memberships.current : undefined
 	}
 
-	/** A founder that went down right after founding may have told nobody: take it up from the probe. */
-	private joinFounding(membership: Membership): void {
-		if (!this.state.blank || this.state.log.lastIndex > 0) return
+	/**
+	 * Adopts the founding membership from a probe reply, as its founder may have failed before
+	 * replicating it.
+	 */
+	private adoptFounding(membership: Membership): void {
+		if (!this.state.isBlank || this.state.log.lastIndex > 0) return
 		if (this.state.term === 0) this.state.enterTerm(1)
 		const data = Membership.encode(membership).finish() as Buffer
 		const kind = EntryKind.ENTRY_KIND_MEMBERSHIP
@@ -343,25 +350,25 @@
 	}
 
 	/**
-	 * Only the founder that is preferred as leader founds, and only when every founder has told this very
-	 * life of it that it has no membership; so a group is founded once.
+	 * Founds the group, only on the founder that is preferred as leader, and only when every founder has
+	 * reported to this incarnation that it has no membership; so a group is founded once.
 	 */
-	private foundWhenAllBlank(now: number): void {
+	private foundGroupIfAllBlank(now: number): void {
 		const { founders, id, incarnation, applicant } = this.state.options
-		if (!this.state.blank || this.state.term !== 0) return
+		if (!this.state.isBlank || this.state.term !== 0) return
 		const [first] = [...founders].sort(byPreference)
 		if (first?.id !== id) return
 		const self = { incarnation, dataCentre: applicant?.dataCentre ?? '' }
-		const lives = new Map(this.blankPeers).set(id, self)
+		const incarnations = new Map(this.blankPeers).set(id, self)
 		const members: Member[] = []
 		for (const founder of founders) {
-			const life = lives.get(founder.id)
-			if (!life) return
-			members.push({ ...founder, ...life, voter: true })
+			const peer = incarnations.get(founder.id)
+			if (!peer) return
+			members.push({ ...founder, ...peer, voter: true })
 		}
 		this.state.enterTerm(1)
 		this.state.vote(id)
-		this.leadership.found(members)
-		this.leadership.begin(now)
+		this.leadership.foundGroup(members)
+		this.leadership.start(now)
 	}
 }
--- a/packages/consensus/src/lib/ReplicaState.ts
+++ b/packages/consensus/src/lib/ReplicaState.ts
@@ -1,4 +1,4 @@
-/** The state that the parts of a replica share, and the effects they gather. */
+/** The state shared by the roles of a replica, and the effects they collect. */
 import { invariant, type Random } from '@rillrudder/utils'
 import { EntryKind, Membership, type Entry, type GroupMessage } from '@rillrudder/protocol'
 import { MembershipHistory } from './MembershipHistory'
@@ -7,17 +7,17 @@
 import { DEFAULT_TIMING, type Timing } from './Timing'
 import type { SafetyChecker } from './SafetyChecker'
 
-/** What a replica is doing in its group. @public */
+/** The role of a replica in its group. @public */
 export const Role = {
 	Follower: 'follower',
 	PreCandidate: 'pre-candidate',
 	Candidate: 'candidate',
 	Leader: 'leader',
 } as const
-/** One of the roles. @public */
+/** A role. @public */
 export type Role = (typeof Role)[keyof typeof Role]
 
-/** A voter that the group starts with. @public */
+/** A voter of the initial membership. @public */
 export interface Founder {
 	readonly id: string
 	/** Whether it keeps its log on a disk. */
@@ -26,52 +26,54 @@
 	readonly local: boolean
 }
 
-/** What an instance of a group with an open membership tells of itself. @public */
+/** How an instance applies to a group with an open membership. @public */
 export interface Applicant {
 	/** Whether it keeps its log on a disk; only such instances are admitted. */
 	readonly durable: boolean
 	readonly dataCentre: string
-	/** The instances to ask for admission; they may change from call to call. */
+	/** Returns the instances to ask for admission; they may change from call to call. */
 	readonly contacts: () => readonly string[]
 }
 
-/** What a replica is told when it is made. @public */
+/** Options of a replica. @public */
 export interface ReplicaOptions {
 	readonly group: string
 	readonly id: string
 	/**
-	 * The life of this replica: kept with the log on a disk, new at every start without one. Votes
-	 * and acknowledgements count only from the life that the membership names.
+	 * The incarnation of this replica: stored with the log on a disk, new at every start without one.
+	 * Votes and acknowledgements count only from the incarnation that the membership names.
 	 */
 	readonly incarnation: string
 	readonly founders: readonly Founder[]
-	/** Set for an open membership, which instances join and leave; without it the founders stay. */
+	/**
+	 * Set for an open membership, which instances join and leave; without it the founders are fixed.
+	 */
 	readonly applicant?: Applicant
 	readonly timing?: Timing
 	/**
-	 * When this process started, on the clock that the replica is driven by: a promise to an earlier
-	 * leader was made before. By default the moment at which the replica is made.
+	 * When this process started, on the clock that the replica is driven by; an earlier leader's lease
+	 * was acknowledged before. Defaults to the time of construction.
 	 */
 	readonly startedAt?: number
 	readonly random: Random
 	readonly safetyChecker?: SafetyChecker
 }
 
-/** What was found in the data folder. @public */
+/** The state read from the data folder. @public */
 export interface RestoredState {
 	readonly hardState: HardState
 	readonly snapshot?: Snapshot
 	readonly entries: readonly Entry[]
 }
 
-/** Entries committed between two times that the commit index is stored. */
-const COMMIT_STORED_EVERY = 50
+/** Number of entries committed between two stores of the commit index. */
+const COMMIT_STORE_INTERVAL = 50
 
 /** The body of a message. @public */
 export type MessageBody = NonNullable<GroupMessage['body']>
 
 /**
- * The state that the parts of a replica share.
+ * The state shared by the roles of a replica.
  *
  * @internal
  */
@@ -86,19 +88,22 @@
 	commit = 0
 	applied = 0
 	snapshot: Snapshot | undefined
-	/** When a leader was last heard. A fresh start counts: what was promised before is forgotten. */
+	/**
+	 * When a leader was last heard from. A start counts too, as leases acknowledged before it are
+	 * unknown.
+	 */
 	leaderHeardAt: number
 	/** Whether this process has led, or followed a leader, since it started. */
-	knewLeader = false
-	/** Instances that answers to probes have named as members. */
+	hasKnownLeader = false
+	/** Members that replies to probes have named. */
 	readonly reportedMembers = new Set<string>()
 
 	private immediate: Envelope[] = []
 	private afterSync: Envelope[] = []
-	private unstored: Entry[] = []
-	private installed: Snapshot | undefined
+	private unpersisted: Entry[] = []
+	private installedSnapshot: Snapshot | undefined
 	private hardStateChanged = false
-	private commitStored = 0
+	private storedCommit = 0
 
 	constructor(
 		readonly options: ReplicaOptions,
@@ -108,20 +113,20 @@
 		this.leaderHeardAt = options.startedAt ?? now
 	}
 
-	/** Whether the membership in force gives this very life a vote. */
-	get votes(): boolean {
+	/** Whether this incarnation is a voter in the membership in force. */
+	get isVoter(): boolean {
 		const self = this.memberships.find(this.options.id)
 		return self !== undefined && self.voter && self.incarnation === this.options.incarnation
 	}
 
-	/** Whether the membership in force names this very life, with a vote or without. */
-	get belongs(): boolean {
+	/** Whether this incarnation is a member, voter or learner, in the membership in force. */
+	get isMember(): boolean {
 		const { id, incarnation } = this.options
 		return this.memberships.find(id)?.incarnation === incarnation
 	}
 
 	/** Whether no membership is known. */
-	get blank(): boolean {
+	get isBlank(): boolean {
 		return this.memberships.current.members.length === 0
 	}
 
@@ -130,19 +135,19 @@
 		return `${this.options.id}#${this.options.incarnation}`
 	}
 
-	/** Takes up what the data folder held. */
+	/** Restores the state read from the data folder. */
 	restore(restored: RestoredState): void {
 		this.term = restored.hardState.term
 		this.votedFor = restored.hardState.votedFor
-		if (restored.snapshot) this.takeSnapshot(restored.snapshot)
-		for (const entry of restored.entries) this.keep(entry)
+		if (restored.snapshot) this.resetToSnapshot(restored.snapshot)
+		for (const entry of restored.entries) this.appendToLog(entry)
 		const known = Math.min(restored.hardState.commit ?? 0, this.log.lastIndex)
 		if (known > this.commit) this.commit = known
 	}
 
-	/** Moves to a later term, as a follower that has given nobody its vote. */
+	/** Enters a later term as a follower that has not voted. */
 	enterTerm(term: number): void {
-		invariant(term > this.term, 'terms only grow', { from: this.term, to: term })
+		invariant(term > this.term, 'terms only increase', { from: this.term, to: term })
 		this.term = term
 		this.votedFor = ''
 		this.leader = ''
@@ -150,9 +155,9 @@
 		this.hardStateChanged = true
 	}
 
-	/** Gives this term's vote. */
+	/** Grants this term's vote. */
 	vote(candidate: string): void {
-		invariant(this.votedFor === '' || this.votedFor === candidate, 'one vote a term', {
+		invariant(this.votedFor === '' || this.votedFor === candidate, 'one vote per term', {
 			term: this.term,
 			votedFor: this.votedFor,
 			candidate,
@@ -161,30 +166,33 @@
 		this.hardStateChanged = true
 	}
 
-	/** Adds an entry to the log and to what must be stored. */
+	/** Adds an entry to the log and to the entries to be stored. */
 	append(entry: Entry): void {
-		this.keep(entry)
-		this.unstored.push(entry)
+		this.appendToLog(entry)
+		this.unpersisted.push(entry)
 	}
 
-	/** Drops entries that another leader's entries replace. */
+	/** Drops the entries after an index, which another leader's entries replace. */
 	truncateAfter(index: number): void {
-		invariant(index >= this.commit, 'committed entries stay', { index, commit: this.commit })
+		invariant(index >= this.commit, 'committed entries are never truncated', {
+			index,
+			commit: this.commit,
+		})
 		this.log.truncateAfter(index)
 		this.memberships.truncateAfter(index)
-		this.unstored = this.unstored.filter((entry) => entry.index <= index)
+		this.unpersisted = this.unpersisted.filter((entry) => entry.index <= index)
 	}
 
-	/** Replaces the log by a snapshot that reaches further than what was applied. */
+	/** Replaces the log by a snapshot that is newer than the applied state. */
 	install(snapshot: Snapshot): void {
-		this.takeSnapshot(snapshot)
-		this.unstored = []
-		this.installed = snapshot
+		this.resetToSnapshot(snapshot)
+		this.unpersisted = []
+		this.installedSnapshot = snapshot
 	}
 
 	/** Marks entries up to an index as committed. */
 	commitTo(index: number): void {
-		invariant(index <= this.log.lastIndex, 'only held entries are committed', {
+		invariant(index <= this.log.lastIndex, 'only entries in the log are committed', {
 			index,
 			last: this.log.lastIndex,
 		})
@@ -195,52 +203,52 @@
 		this.commit = index
 	}
 
-	/** Sends at once. */
+	/** Queues a message to be sent at once. */
 	sendImmediately(to: string, body: MessageBody): void {
-		this.immediate.push({ to, message: this.seal(body, this.term) })
+		this.immediate.push({ to, message: this.toMessage(body, this.term) })
 	}
 
-	/** Sends once everything gathered so far is lasting. */
+	/** Queues a message to be sent once all collected changes are on disk. */
 	sendAfterSync(to: string, body: MessageBody, term = this.term): void {
-		this.afterSync.push({ to, message: this.seal(body, term) })
+		this.afterSync.push({ to, message: this.toMessage(body, term) })
 	}
 
-	/** Hands the gathered effects over. */
+	/** @returns the collected effects, and clears them. */
 	takeOutput(): Output {
 		const committed: Entry[] = []
 		while (this.applied < this.commit) committed.push(this.log.at(++this.applied))
 		const output: Output = {
 			hardState: this.takeHardState(),
-			snapshot: this.installed,
-			entries: this.unstored,
+			snapshot: this.installedSnapshot,
+			entries: this.unpersisted,
 			immediate: this.immediate,
 			afterSync: this.afterSync,
 			committed,
 		}
 		this.immediate = []
 		this.afterSync = []
-		this.unstored = []
-		this.installed = undefined
+		this.unpersisted = []
+		this.installedSnapshot = undefined
 		this.hardStateChanged = false
 		return output
 	}
 
-	/** The commit index is stored now and then, with what is stored anyway. */
+	/** The commit index is stored from time to time, together with entries that are stored anyway. */
 	private takeHardState(): HardState | undefined {
 		const { term, votedFor, commit } = this
-		const due = this.unstored.length > 0 && commit - this.commitStored >= COMMIT_STORED_EVERY
+		const due = this.unpersisted.length > 0 && commit - this.storedCommit >= COMMIT_STORE_INTERVAL
 		if (!this.hardStateChanged && !due) return undefined
-		this.commitStored = commit
+		this.storedCommit = commit
 		return { term, votedFor, commit }
 	}
 
-	private keep(entry: Entry): void {
+	private appendToLog(entry: Entry): void {
 		this.log.append(entry)
 		if (entry.kind !== EntryKind.ENTRY_KIND_MEMBERSHIP) return
 		this.memberships.add({ index: entry.index, membership: Membership.decode(entry.data) })
 	}
 
-	private takeSnapshot(snapshot: Snapshot): void {
+	private resetToSnapshot(snapshot: Snapshot): void {
 		this.snapshot = snapshot
 		this.log.reset(snapshot.index, snapshot.term)
 		this.memberships.reset({ index: snapshot.index, membership: snapshot.membership })
@@ -248,7 +256,7 @@
 		this.applied = snapshot.index
 	}
 
-	private seal(body: MessageBody, term: number): GroupMessage {
+	private toMessage(body: MessageBody, term: number): GroupMessage {
 		const { group, id, incarnation } = this.options
 		return { group, from: id, incarnation, term, body }
 	}
--- a/packages/consensus/src/lib/ReplicatedLog.ts
+++ b/packages/consensus/src/lib/ReplicatedLog.ts
@@ -1,9 +1,9 @@
-/** The entries a replica holds in memory, above the index its snapshot reaches. */
+/** The log entries that a replica holds in memory, above the last compacted index. */
 import { invariant } from '@rillrudder/utils'
 import type { Entry } from '@rillrudder/protocol'
 
 /**
- * A log whose beginning may have been compacted away.
+ * A log whose prefix may have been compacted.
  *
  * @public
  */
@@ -11,7 +11,7 @@
 	private entries: Entry[] = []
 
 	/**
-	 * @param baseIndex - the last index that was compacted away.
+	 * @param baseIndex - the last compacted index.
 	 * @param baseTerm - the term of that index.
 	 */
 	constructor(
@@ -19,7 +19,7 @@
 		private baseTerm = 0
 	) {}
 
-	/** The first index that is still held, if any is. */
+	/** The first index that is not compacted; it may not exist yet. */
 	get firstIndex(): number {
 		return this.baseIndex + 1
 	}
@@ -36,7 +36,7 @@
 
 	/**
 	 * @param index - any index.
-	 * @returns its term, or undefined when it is not known here.
+	 * @returns its term, or undefined when it is compacted or not in the log.
 	 */
 	termAt(index: number): number | undefined {
 		if (index === this.baseIndex) return this.baseTerm
@@ -49,14 +49,17 @@
 	 */
 	at(index: number): Entry {
 		const entry = this.entries[index - this.baseIndex - 1]
-		invariant(entry !== undefined, 'only held entries are read', { index, base: this.baseIndex })
+		invariant(entry !== undefined, 'only entries in the log are read', {
+			index,
+			base: this.baseIndex,
+		})
 		return entry
 	}
 
 	/**
 	 * @param from - first index wanted, held.
-	 * @param maxEntries - how many entries at most.
-	 * @param maxBytes - stops after the entry that passes this many bytes.
+	 * @param maxEntries - the maximum number of entries.
+	 * @param maxBytes - stops after the entry that reaches this many bytes.
 	 * @returns the entries from there.
 	 */
 	slice(from: number, maxEntries: number, maxBytes: number): Entry[] {
@@ -92,9 +95,9 @@
 	}
 
 	/**
-	 * Forgets everything in favour of a snapshot.
+	 * Replaces all entries by a snapshot.
 	 *
-	 * @param index - the index that the snapshot reaches.
+	 * @param index - the last index that the snapshot covers.
 	 * @param term - its term.
 	 */
 	reset(index: number, term: number): void {
--- a/packages/consensus/src/lib/SafetyChecker.ts
+++ b/packages/consensus/src/lib/SafetyChecker.ts
@@ -1,12 +1,13 @@
 /**
- * What must hold between the replicas of a group, checked as it happens. A process on its own sees
- * only its own replica; randomised runs give all replicas of a group one witness.
+ * Checks the safety properties that hold across the replicas of a group. A process sees only its own
+ * replica; randomised runs share one checker between all replicas of a group.
  */
 import { invariant } from '@rillrudder/utils'
 import type { Entry } from '@rillrudder/protocol'
 
 /**
- * Checks one leader a term, that a committed index never gets another entry, and one lease at a time.
+ * Checks that a term has one leader, that a committed entry never changes, and that one replica at a
+ * time holds the lease.
  *
  * @public
  */
@@ -17,18 +18,18 @@
 	private leaseHolder = ''
 	private leaseEnd = Number.NEGATIVE_INFINITY
 
-	/** How many indexes have been seen committed. */
+	/** The number of indexes that have been committed on some replica. */
 	get committedCount(): number {
 		return this.committedTerms.length
 	}
 
 	/**
-	 * @param term - a term.
-	 * @param replicaKey - id and incarnation of the replica that leads it.
+	 * @param term - the term that was won.
+	 * @param replicaKey - id and incarnation of its leader.
 	 */
 	onElected(term: number, replicaKey: string): void {
 		const known = this.leaders.get(term)
-		invariant(known === undefined || known === replicaKey, 'one leader a term', {
+		invariant(known === undefined || known === replicaKey, 'one leader per term', {
 			term,
 			known,
 			life: replicaKey,
@@ -36,7 +37,7 @@
 		this.leaders.set(term, replicaKey)
 	}
 
-	/** @param entry - an entry that some replica takes as committed. */
+	/** @param entry - an entry that some replica regards as committed. */
 	onCommitted(entry: Entry): void {
 		const position = entry.index - 1
 		const known = this.committedTerms[position]
@@ -56,8 +57,8 @@
 
 	/**
 	 * @param replicaKey - the replica that acts under a lease.
-	 * @param trueNow - time on a clock that no replica sees.
-	 * @param trueEnd - when its lease ends on that clock.
+	 * @param trueNow - reference time, which no replica can read.
+	 * @param trueEnd - when its lease ends in reference time.
 	 */
 	onLease(replicaKey: string, trueNow: number, trueEnd: number): void {
 		const free = this.leaseHolder === replicaKey || this.leaseEnd <= trueNow
@@ -66,7 +67,7 @@
 		this.leaseEnd = trueEnd
 	}
 
-	/** @param replicaKey - a replica that has given its lease up. */
+	/** @param replicaKey - the replica that has released its lease. */
 	onLeaseReleased(replicaKey: string): void {
 		if (this.leaseHolder === replicaKey) this.leaseEnd = Number.NEGATIVE_INFINITY
 	}
--- a/packages/consensus/src/lib/Timing.ts
+++ b/packages/consensus/src/lib/Timing.ts
@@ -1,24 +1,27 @@
-/** The spans that a group's safety and speed rest on, in milliseconds. */
+/** The timing of a group, on which its safety and speed depend, in milliseconds. */
 
-/** Spans of one group; every replica of the group is given the same. @public */
+/** Timing of one group; all its replicas must use the same. @public */
 export interface Timing {
-	/** Between two heartbeats of the leader. */
+	/** Time between two heartbeats of the leader. */
 	readonly heartbeatInterval: number
 	/**
-	 * A replica that heard from its leader this recently gives nobody its vote. Followers wait for
-	 * between one and `1 + spread` of these before they ask for votes.
+	 * A replica that heard from its leader within this time grants no vote. Followers wait between 1
+	 * and `1 + spread` times this long before they ask for votes.
 	 */
 	readonly electionTimeout: number
-	/** Spread of the waits before an election, as a share of `election`: far more than a vote takes. */
+	/**
+	 * Random part of the wait before an election, as a share of `electionTimeout`. It is far longer than
+	 * a vote takes, so that two candidates rarely collide.
+	 */
 	readonly spread: number
 	/**
-	 * How far two clocks may run apart, as a share. A lease is shortened by twice this share: the
+	 * Maximum clock drift, as a share. A lease is shortened by twice this share: the
 	 * leader's clock may be slow by it while a follower's is fast by it.
 	 */
 	readonly drift: number
 }
 
-/** Spans for data centres a few milliseconds apart. @public */
+/** Timing for data centres a few milliseconds apart. @public */
 export const DEFAULT_TIMING: Timing = {
 	heartbeatInterval: 100,
 	electionTimeout: 600,
@@ -27,8 +30,8 @@
 }
 
 /**
- * @param timing - the group's spans.
- * @returns how long a lease lasts from the moment the heartbeat that renews it was sent.
+ * @param timing - the group's timing.
+ * @returns how long a lease lasts after the heartbeat that renews it was sent.
  * @public
  */
 export function leaseDuration(timing: Timing): number {
--- a/packages/consensus/src/lib/nextMembershipChange.ts
+++ b/packages/consensus/src/lib/nextMembershipChange.ts
@@ -1,24 +1,30 @@
-/** Decides the next change of an open membership: who votes, who is replaced, who is forgotten. */
+/** Decides the next change of an open membership: who votes, who is replaced, who is removed. */
 import type { Member } from '@rillrudder/protocol'
 
-/** Voters of a group that has fewer members with disks than `LARGE`; bears the loss of one. */
+/**
+ * Voters of a group with fewer than `LARGE_GROUP_MEMBERS` members with disks; tolerates the loss of
+ * one.
+ */
 const SMALL_GROUP_VOTERS = 3
-/** Voters of a larger group; bears the loss of two. */
+/** Voters of a larger group; tolerates the loss of two. */
 const LARGE_GROUP_VOTERS = 5
-/** Members with disks from which a group takes `MANY_VOTERS`. */
+/** Number of members with disks from which a group has `LARGE_GROUP_VOTERS` voters. */
 const LARGE_GROUP_MEMBERS = 5
 /**
- * Milliseconds of silence after which a voter may be replaced: longer than a restart takes, shorter
- * than the span in which a second loss is to be expected.
+ * Milliseconds without an answer after which a voter may be replaced: longer than a restart takes,
+ * shorter than the time within which a second loss is to be expected.
  */
 export const VOTER_TIMEOUT_MS = 3000
-/** Milliseconds of silence after which a learner is forgotten; it applies again when it is back. */
+/**
+ * Milliseconds without an answer after which a learner is removed; it applies again when it is
+ * back.
+ */
 export const LEARNER_TIMEOUT_MS = 60_000
 
-/** A member as its leader sees it. @internal */
+/** A member and its state as the leader sees it. @internal */
 export interface MemberHealth {
 	readonly member: Member
-	/** Milliseconds since it was last heard of; 0 for the leader itself. */
+	/** Milliseconds since its last answer; 0 for the leader itself. */
 	readonly sinceContactMs: number
 	/** Whether its log has reached the commit index. */
 	readonly caughtUp: boolean
@@ -31,7 +37,7 @@
 /**
  * @param members - all members.
  * @param leader - the leader's id; it is never dropped.
- * @returns the change to make next, or undefined when all is as it should be.
+ * @returns the change to make next, or undefined when none is needed.
  * @internal
  */
 export function nextMembershipChange(
@@ -55,7 +61,10 @@
 	return expired && { kind: 'drop', id: expired.member.id }
 }
 
-/** A silent voter goes; if all are heard of, one of the fullest data centre becomes a learner. */
+/**
+ * Removes an unreachable voter; if there is none, demotes a voter of the data centre with the most
+ * voters.
+ */
 function reduceVoters(
 	voters: readonly MemberHealth[],
 	leader: string
@@ -71,7 +80,7 @@
 	return fullest && { kind: 'set', member: { ...fullest.member, voter: false } }
 }
 
-/** The learner whose data centre has the fewest voters that are heard of. */
+/** @returns the caught-up learner whose data centre has the fewest reachable voters. */
 function bestLearner(
 	members: readonly MemberHealth[],
 	voters: readonly MemberHealth[]
--- a/packages/runs/src/lib/groupFailures.test.ts
+++ b/packages/runs/src/lib/groupFailures.test.ts
@@ -122,7 +122,7 @@
 test('a life that has forgotten its votes gives none; if it did, it could vote twice in a term', () => {
 	assert.equal(voteOfNewLife(), false)
 	const broken = () => true
-	withBroken('ReplicaState', 'ReplicaState', 'belongs', broken, () => {
+	withBroken('ReplicaState', 'ReplicaState', 'isMember', broken, () => {
 		assert.equal(voteOfNewLife(), true)
 	})
 })
@@ -142,7 +142,7 @@
 		const election = this as { campaign(now: unknown, reason: object): void }
 		return election.campaign(now, {})
 	}
-	withBroken('Election', 'Election', 'prepare', broken, () => {
+	withBroken('Election', 'Election', 'startPreVote', broken, () => {
 		const run = group(5)
 		const { term } = run.statusOf('a')
 		run.cut('a', 'c', 4000)
