--- a/packages/consensus/src/lib/Leadership.ts
+++ b/packages/consensus/src/lib/Leadership.ts
@@ -142,7 +142,7 @@
 	}
 
 	/** Whether an entry of this term is committed, so that the state is the group's latest. */
-	get hasCommittedInTerm(): boolean {
+	get isCurrent(): boolean {
 		return this.state.commit >= this.firstIndexOfTerm
 	}
 
@@ -301,7 +301,7 @@
 
 	private canChangeMembership(): boolean {
 		return (
-			this.hasCommittedInTerm &&
+			this.isCurrent &&
 			!this.isTransferring &&
 			this.state.memberships.currentIndex <= this.state.commit
 		)
--- a/packages/consensus/src/lib/Replica.ts
+++ b/packages/consensus/src/lib/Replica.ts
@@ -30,7 +30,7 @@
 }
 
 /** Election timeouts without a leader after which a member of an open group sends probes. */
-const PROBE_AFTER_ELECTION_TIMEOUTS = 3
+const PROBE_AFTER_TIMEOUTS = 3
 
 /** A founder that has reported that it has no membership yet. */
 interface BlankPeer {
@@ -105,7 +105,7 @@
 	 * To be checked again after every wait that precedes a start.
 	 */
 	holdsLease(now: number): boolean {
-		return this.isLeader && this.leadership.hasCommittedInTerm && this.leadership.holdsLease(now)
+		return this.isLeader && this.leadership.isCurrent && this.leadership.holdsLease(now)
 	}
 
 	/**
@@ -289,10 +289,7 @@
 	private shouldProbe(now: number): boolean {
 		if (!this.state.isMember) return true
 		if (!this.state.options.applicant || this.isLeader) return false
-		return (
-			now - this.state.leaderHeardAt >
-			this.state.timing.electionTimeout * PROBE_AFTER_ELECTION_TIMEOUTS
-		)
+		return now - this.state.leaderHeardAt > this.state.timing.electionTimeout * PROBE_AFTER_TIMEOUTS
 	}
 
 	private probe(now: number): void {
