--- a/packages/group/src/index.ts
+++ b/packages/group/src/index.ts
@@ -1,3 +1,3 @@
-/** Drives a replica: its events, its files and its messages. */
+/** Drives a replica: its events, files and messages. */
 export { Group, type GroupOptions } from './lib/Group'
 export { StateMachine } from './lib/StateMachine'
--- a/packages/group/src/lib/Group.test.ts
+++ b/packages/group/src/lib/Group.test.ts
@@ -9,7 +9,7 @@
 const COMMAND = new Uint8Array(1024)
 const TIMING = { heartbeatInterval: 50, electionTimeout: 300, spread: 0.5, drift: 0.05 }
 
-/** Counts what it is given; its snapshot has a size of its own. */
+/** Counts applied commands and snapshots; its snapshots have a fixed size. */
 class Counter extends StateMachine {
 	commands = 0
 	snapshots = 0
@@ -32,8 +32,8 @@
 	}
 }
 
-/** @returns how many snapshots a lone leader makes over so many commands of 1 KiB. */
-async function snapshotsOver(commands: number, snapshotBytes: number): Promise<number> {
+/** @returns how many snapshots a single-member group takes over a number of 1 KiB commands. */
+async function countSnapshots(commands: number, snapshotBytes: number): Promise<number> {
 	const clock = new ManualClock()
 	const founders = [{ id: SELF, durable: true, local: true }]
 	const random = new Random(1)
@@ -49,26 +49,26 @@
 			throw fault
 		},
 	})
-	const settle = () => new Promise((resolve) => setImmediate(resolve))
+	const nextTurn = () => new Promise((resolve) => setImmediate(resolve))
 	while (!group.mayAct) {
 		clock.advance(20)
 		group.tick()
-		await settle()
+		await nextTurn()
 	}
-	for (let sent = 0; sent < commands; sent++) {
+	for (let proposed = 0; proposed < commands; proposed++) {
 		assert.ok(group.propose([COMMAND]))
-		if (sent % 50 === 0) await settle()
+		if (proposed % 50 === 0) await nextTurn()
 	}
-	await settle()
+	await nextTurn()
 	assert.equal(machine.commands, commands)
 	await group.stop()
 	return machine.snapshots
 }
 
-test('a snapshot is made once the log has grown to a share of it, and not for a short log', async () => {
-	assert.equal(await snapshotsOver(200, 1000), 0)
-	const small = await snapshotsOver(2000, 1000)
+test('a snapshot is taken once the log reaches a share of its size, and never for a short log', async () => {
+	assert.equal(await countSnapshots(200, 1000), 0)
+	const small = await countSnapshots(2000, 1000)
 	assert.ok(small >= 6 && small <= 8, `${small} snapshots of 1 KB`)
-	const large = await snapshotsOver(2000, 1024 * 1024)
+	const large = await countSnapshots(2000, 1024 * 1024)
 	assert.ok(large >= 3 && large <= 5, `${large} snapshots of 1 MiB`)
 })
--- a/packages/group/src/lib/Group.ts
+++ b/packages/group/src/lib/Group.ts
@@ -1,6 +1,6 @@
 /**
- * Drives one replica: carries messages, moments and proposals into it, and its effects out to the
- * data folder, the other replicas and the state machine.
+ * Drives one replica: passes messages, ticks and proposals to it, and its effects to the data folder,
+ * the other replicas and the state machine.
  */
 import type { Output, Replica } from '@rillrudder/consensus'
 import { EntryKind, type Entry, type GroupMessage } from '@rillrudder/protocol'
@@ -8,17 +8,18 @@
 import { Mailbox, SkippedTime, type Clock } from '@rillrudder/utils'
 import type { StateMachine } from './StateMachine'
 
-/** Entries after which a snapshot is made in any case; bounds the log in memory. */
-const MOST_ENTRIES = 20_000
-/** Bytes of log below which no snapshot is made; to replay them takes about 10 ms. */
-const LEAST_LOG_BYTES = 256 * 1024
+/** Entries after which a snapshot is always taken; bounds the log in memory. */
+const MAX_LOG_ENTRIES = 20_000
+/** Bytes of log below which no snapshot is taken; replaying them takes about 10 ms. */
+const MIN_LOG_BYTES = 256 * 1024
 /**
- * Bytes of log, as a share of the snapshot's, after which the next one is made. To replay a byte of log takes
- * three times as long as to restore one of a snapshot, so a restart takes about twice the time of a restore.
+ * Bytes of log, as a share of the last snapshot's, after which the next one is taken. Replaying a byte
+ * of log takes three times as long as restoring a byte of snapshot, so a restart takes about twice the
+ * time of a restore.
  */
-const LOG_SHARE = 0.5
+const LOG_TO_SNAPSHOT_RATIO = 0.5
 
-/** What a group is driven with. @public */
+/** Options and dependencies of a group. @public */
 export interface GroupOptions {
 	readonly name: string
 	readonly replica: Replica
@@ -26,229 +27,235 @@
 	readonly store?: GroupStore
 	readonly machine: StateMachine
 	readonly clock: Clock
-	/** Carries a message to another instance; it may be lost. */
+	/** Sends a message to another instance; it may be lost. */
 	readonly send: (to: string, message: GroupMessage) => void
-	/** Told of a fault after which this group can't go on; the process must end. */
+	/** Called on a fault after which this group can't continue; the process must exit. */
 	readonly fail: (fault: Error) => void
-	/** Told after every batch of events, when state and leadership may have changed. */
+	/** Called after every batch of events, when state and leadership may have changed. */
 	readonly onBatchHandled?: () => void
-	/** Entries applied between two snapshots; absent to go by their bytes. */
+	/** Entries applied between two snapshots; by default their number and size decide. */
 	readonly compactEvery?: number
 }
 
-interface Unsaved {
+interface PendingSave {
 	readonly batch: Batch
-	readonly late: Output['afterSync']
+	readonly afterSync: Output['afterSync']
 }
 
 type GroupEvent = () => void
 
 /**
- * One replica at work.
+ * Drives one replica.
  *
  * @public
  */
 export class Group {
 	private readonly mailbox = new Mailbox<GroupEvent>()
-	private unsaved: Unsaved[] = []
-	private saving = false
+	private pendingSaves: PendingSave[] = []
+	private isSaving = false
 	private appliedIndex: number
 	private snapshotIndex: number
-	/** Bytes of the commands applied since the snapshot. */
+	/** Bytes of the commands applied since the last snapshot. */
 	private logBytes = 0
-	private stopped = false
-	private readonly skipped: SkippedTime
+	private isStopped = false
+	private readonly skippedTime: SkippedTime
 
-	/** @param parts - what to drive, and with what. */
-	constructor(private readonly parts: GroupOptions) {
-		const { replica } = parts
-		this.skipped = new SkippedTime(parts.clock)
+	/** @param options - the replica and its dependencies. */
+	constructor(private readonly options: GroupOptions) {
+		const { replica } = options
+		this.skippedTime = new SkippedTime(options.clock)
 		this.appliedIndex = replica.snapshot?.index ?? 0
 		this.snapshotIndex = this.appliedIndex
-		if (replica.snapshot) parts.machine.restore(replica.snapshot.data)
-		this.mailbox.serve(parts.name, (batch) => this.handle(batch), parts.fail)
+		if (replica.snapshot) options.machine.restore(replica.snapshot.data)
+		this.mailbox.serve(options.name, (batch) => this.handleEvents(batch), options.fail)
 	}
 
-	/** The replica, to read from. */
+	/** The replica, for reading only. */
 	get replica(): Replica {
-		return this.parts.replica
+		return this.options.replica
 	}
 
 	/** The name of the group. */
 	get name(): string {
-		return this.parts.name
+		return this.options.name
 	}
 
-	/** Index of the last command that the state machine has seen. */
+	/** Index of the last entry that has been applied. */
 	get applied(): number {
 		return this.appliedIndex
 	}
 
-	/** Whether this replica may act for its group at this very moment. */
+	/**
+	 * Whether this replica may act for its group now: it holds the lease and has applied all commits.
+	 */
 	get mayAct(): boolean {
-		const { replica, clock } = this.parts
-		this.noteSkips()
+		const { replica, clock } = this.options
+		this.checkSkippedTime()
 		return replica.holdsLease(clock.now()) && this.appliedIndex === replica.status.commit
 	}
 
 	/**
-	 * Takes a message from another replica.
+	 * Handles a message from another replica.
 	 *
 	 * @param message - the message.
 	 */
 	receive(message: GroupMessage): void {
-		this.post(() => this.parts.replica.receive(message, this.parts.clock.now()))
+		this.post(() => this.options.replica.receive(message, this.options.clock.now()))
 	}
 
 	/**
-	 * Adds commands to the log at once, when this replica leads.
+	 * Appends commands to the log at once when this replica leads.
 	 *
 	 * @param commands - encoded commands.
-	 * @returns whether they were taken; they count only once they are applied.
+	 * @returns whether they were accepted; they take effect only once they are applied.
 	 */
 	propose(commands: readonly Uint8Array[]): boolean {
-		const index = this.parts.replica.propose(commands, this.parts.clock.now())
+		const index = this.options.replica.propose(commands, this.options.clock.now())
 		if (index !== undefined) this.flush()
 		return index !== undefined
 	}
 
-	/** Lets time pass; to be called every few tens of milliseconds. */
+	/** Handles the timeouts that are due; to be called every few tens of milliseconds. */
 	tick(): void {
-		this.post(() => this.parts.replica.tick(this.parts.clock.now()))
+		this.post(() => this.options.replica.tick(this.options.clock.now()))
 	}
 
-	/** Hands leadership over, for a planned stop. */
+	/** Transfers leadership for a planned stop. */
 	transferLeadership(): void {
-		this.post(() => void this.parts.replica.transferLeadership(this.parts.clock.now()))
+		this.post(() => void this.options.replica.transferLeadership(this.options.clock.now()))
 	}
 
-	/** Stops driving and closes the files once what is being saved is saved. */
+	/** Stops the replica and closes its files once running saves have finished. */
 	async stop(): Promise<void> {
-		this.stopped = true
+		this.isStopped = true
 		this.mailbox.close()
-		while (this.saving) await new Promise((resolve) => this.parts.clock.after(1, () => resolve(0)))
-		await this.parts.store?.close()
+		while (this.isSaving)
+			await new Promise((resolve) => this.options.clock.after(1, () => resolve(0)))
+		await this.options.store?.close()
 	}
 
-	/** The lease may have ended while the machine was suspended, which its steady clock does not tell. */
-	private noteSkips(): void {
-		if (this.skipped.noticed()) this.parts.replica.revalidateLease(this.parts.clock.now())
+	/**
+	 * The lease may have ended while the machine was suspended, which its monotonic clock does not
+	 * show.
+	 */
+	private checkSkippedTime(): void {
+		if (this.skippedTime.noticed()) this.options.replica.revalidateLease(this.options.clock.now())
 	}
 
 	private post(event: GroupEvent): void {
 		this.mailbox.post(event)
 	}
 
-	private handle(batch: GroupEvent[]): void {
-		if (this.stopped) return
-		this.noteSkips()
+	private handleEvents(batch: GroupEvent[]): void {
+		if (this.isStopped) return
+		this.checkSkippedTime()
 		for (const event of batch) event()
 		this.flush()
 		this.compact()
-		this.parts.onBatchHandled?.()
+		this.options.onBatchHandled?.()
 	}
 
 	private flush(): void {
-		const output = this.parts.replica.takeOutput()
-		for (const { to, message } of output.immediate) this.parts.send(to, message)
-		this.keep({ batch: output, late: output.afterSync })
+		const output = this.options.replica.takeOutput()
+		for (const { to, message } of output.immediate) this.options.send(to, message)
+		this.enqueueSave({ batch: output, afterSync: output.afterSync })
 		if (output.snapshot) {
-			this.parts.machine.restore(output.snapshot.data)
+			this.options.machine.restore(output.snapshot.data)
 			this.appliedIndex = output.snapshot.index
-			this.noteSnapshot()
+			this.onSnapshot()
 		}
 		for (const entry of output.committed) this.apply(entry)
 	}
 
-	/** Stores what must be stored; what needs no storing is done at once, unless a save comes first. */
-	private keep(step: Unsaved): void {
-		const { store } = this.parts
-		const idle = !this.saving && this.unsaved.length === 0
-		if (!store || (idle && nothingToStore(step.batch))) {
-			this.savedAll([step])
+	/** Queues a save; an empty batch completes at once unless an earlier save is pending. */
+	private enqueueSave(step: PendingSave): void {
+		const { store } = this.options
+		const idle = !this.isSaving && this.pendingSaves.length === 0
+		if (!store || (idle && isEmpty(step.batch))) {
+			this.onSaved([step])
 			return
 		}
-		this.unsaved.push(step)
-		if (!this.saving) void this.save(store)
+		this.pendingSaves.push(step)
+		if (!this.isSaving) void this.save(store)
 	}
 
 	private apply(entry: Entry): void {
 		if (entry.kind === EntryKind.ENTRY_KIND_COMMAND) {
-			this.parts.machine.apply(entry.data, entry.index)
+			this.options.machine.apply(entry.data, entry.index)
 			this.logBytes += entry.data.length
 		}
 		this.appliedIndex = entry.index
 	}
 
-	private takeUnsaved(): Unsaved[] {
-		const taken = this.unsaved
-		this.unsaved = []
+	private takePendingSaves(): PendingSave[] {
+		const taken = this.pendingSaves
+		this.pendingSaves = []
 		return taken
 	}
 
-	/** One sync for everything that gathered while the last one was under way. */
+	/** Saves with one sync all batches that were queued during the previous save. */
 	private async save(store: GroupStore): Promise<void> {
-		this.saving = true
+		this.isSaving = true
 		try {
-			while (this.unsaved.length > 0) {
-				const taken = this.takeUnsaved()
-				await store.save(merge(taken))
-				this.post(() => this.savedAll(taken))
+			while (this.pendingSaves.length > 0) {
+				const taken = this.takePendingSaves()
+				await store.save(mergeBatches(taken))
+				this.post(() => this.onSaved(taken))
 			}
 		} catch (fault) {
-			this.parts.fail(fault as Error)
+			this.options.fail(fault as Error)
 			return
 		} finally {
-			this.saving = false
+			this.isSaving = false
 		}
 	}
 
-	private savedAll(saved: Unsaved[]): void {
-		for (const { late, batch } of saved) {
-			for (const { to, message } of late) this.parts.send(to, message)
+	private onSaved(saved: PendingSave[]): void {
+		for (const { afterSync, batch } of saved) {
+			for (const { to, message } of afterSync) this.options.send(to, message)
 			const last = batch.entries[batch.entries.length - 1] ?? batch.snapshot
-			if (last) this.parts.replica.onPersisted(last.index, last.term)
+			if (last) this.options.replica.onPersisted(last.index, last.term)
 		}
-		const output = this.parts.replica.status
+		const output = this.options.replica.status
 		if (output.commit > this.appliedIndex) this.post(() => undefined)
 	}
 
-	private noteSnapshot(): void {
+	private onSnapshot(): void {
 		this.snapshotIndex = this.appliedIndex
 		this.logBytes = 0
 	}
 
-	private get compactionDue(): boolean {
-		const { compactEvery, replica } = this.parts
+	private get isCompactionDue(): boolean {
+		const { compactEvery, replica } = this.options
 		const entries = this.appliedIndex - this.snapshotIndex
 		if (compactEvery !== undefined) return entries >= compactEvery
-		if (entries >= MOST_ENTRIES) return true
+		if (entries >= MAX_LOG_ENTRIES) return true
 		const snapshotBytes = replica.snapshot?.data.length ?? 0
-		return this.logBytes >= Math.max(LEAST_LOG_BYTES, snapshotBytes * LOG_SHARE)
+		return this.logBytes >= Math.max(MIN_LOG_BYTES, snapshotBytes * LOG_TO_SNAPSHOT_RATIO)
 	}
 
 	private compact(): void {
-		if (!this.compactionDue) return
-		const { replica, machine } = this.parts
-		this.noteSnapshot()
+		if (!this.isCompactionDue) return
+		const { replica, machine } = this.options
+		this.onSnapshot()
 		replica.compact(this.appliedIndex, machine.snapshot())
 		const { snapshot } = replica
-		if (!snapshot || !this.parts.store) return
+		if (!snapshot || !this.options.store) return
 		const entries = replica.entriesAfterSnapshot()
-		this.keep({ batch: { snapshot, entries }, late: [] })
+		this.enqueueSave({ batch: { snapshot, entries }, afterSync: [] })
 	}
 }
 
-function nothingToStore(batch: Batch): boolean {
+function isEmpty(batch: Batch): boolean {
 	return !batch.hardState && !batch.snapshot && batch.entries.length === 0
 }
 
-/** Puts batches together; a snapshot replaces the entries before it. */
-function merge(parts: Unsaved[]): Batch {
+/** Merges batches in order; a snapshot replaces the entries before it. */
+function mergeBatches(saves: PendingSave[]): Batch {
 	let hardState: Batch['hardState']
 	let snapshot: Batch['snapshot']
 	let entries: Entry[] = []
-	for (const { batch } of parts) {
+	for (const { batch } of saves) {
 		hardState = batch.hardState ?? hardState
 		if (batch.snapshot) {
 			snapshot = batch.snapshot
--- a/packages/group/src/lib/StateMachine.ts
+++ b/packages/group/src/lib/StateMachine.ts
@@ -1,7 +1,7 @@
-/** What a group's committed entries are applied to. */
+/** The state machine to which a group's committed entries are applied. */
 
 /**
- * A deterministic state: the same entries give the same state on every replica.
+ * A deterministic state machine: the same entries give the same state on every replica.
  *
  * @public
  */
@@ -17,6 +17,6 @@
 	/** @returns the encoded state, as of the last applied command. */
 	abstract snapshot(): Uint8Array
 
-	/** @param data - a state that `snapshot` made, here or on another replica. */
+	/** @param data - a state encoded by `snapshot`, here or on another replica. */
 	abstract restore(data: Uint8Array): void
 }
