--- a/packages/consensus/src/lib/Election.ts
+++ b/packages/consensus/src/lib/Election.ts
@@ -91,7 +91,7 @@
 		return call.transfer || !this.hasRecentLeader(now)
 	}
 
-	/** Counts a reply to a vote request, and campaigns or takes the lead on a majority. */
+	/** Counts a reply to a vote request, and campaigns or becomes leader on a majority. */
 	onVoteReply(from: Member, term: number, reply: VoteReply, now: number): void {
 		if (
 			reply.leaderless &&
@@ -167,7 +167,8 @@
 		if (!this.state.isMember) return false
 		const isExempt = call.transfer || (call.unanimous && !call.pre && !this.state.hasKnownLeader)
 		if (!isExempt && this.hasRecentLeader(now)) return false
-		// While a vote that was just granted may still decide its term, supporting the next term would undo it.
+		// While a vote that was just granted may still decide its term, supporting the next term would
+		// undo it.
 		if (call.pre && (term <= this.state.term || this.isUndecided(now))) return false
 		return this.isUpToDate(call)
 	}
--- a/packages/consensus/src/lib/Leadership.ts
+++ b/packages/consensus/src/lib/Leadership.ts
@@ -327,8 +327,8 @@
 
 	private healthOf(member: Member, now: number): MemberHealth {
 		if (member.id === this.state.options.id) return { member, sinceContactMs: 0, caughtUp: true }
-		const { answeredSentAt: answeredSince, match } = this.progress(member.id)
-		const sinceContactMs = now - Math.max(answeredSince, this.startedAt)
+		const { answeredSentAt, match } = this.progress(member.id)
+		const sinceContactMs = now - Math.max(answeredSentAt, this.startedAt)
 		return { member, sinceContactMs, caughtUp: match >= this.state.commit }
 	}
 
--- a/packages/consensus/src/lib/Replica.ts
+++ b/packages/consensus/src/lib/Replica.ts
@@ -356,10 +356,10 @@
 		const [first] = [...founders].sort(byPreference)
 		if (first?.id !== id) return
 		const self = { incarnation, dataCentre: applicant?.dataCentre ?? '' }
-		const incarnations = new Map(this.blankPeers).set(id, self)
+		const peersById = new Map(this.blankPeers).set(id, self)
 		const members: Member[] = []
 		for (const founder of founders) {
-			const peer = incarnations.get(founder.id)
+			const peer = peersById.get(founder.id)
 			if (!peer) return
 			members.push({ ...founder, ...peer, voter: true })
 		}
--- a/packages/runs/src/lib/RunReplica.ts
+++ b/packages/runs/src/lib/RunReplica.ts
@@ -113,9 +113,9 @@
 		const output = this.replica.takeOutput()
 		for (const { to, message } of output.immediate) this.parts.send(to, message)
 		if (output.snapshot) this.restore(output.snapshot)
-		const { hardState, snapshot, entries, afterSync: late } = output
-		const empty = !hardState && !snapshot && entries.length === 0 && late.length === 0
-		if (!empty) this.save({ hardState, snapshot, entries }, late)
+		const { hardState, snapshot, entries, afterSync } = output
+		const empty = !hardState && !snapshot && entries.length === 0 && afterSync.length === 0
+		if (!empty) this.save({ hardState, snapshot, entries }, afterSync)
 		for (const entry of output.committed) {
 			this.applied = entry.index
 			this.parts.apply(entry)
