--- a/packages/consensus/src/index.ts
+++ b/packages/consensus/src/index.ts
@@ -1,4 +1,4 @@
-/** The replicated log as a pure state machine. */
+/** Consensus on a replicated log, as a pure state machine. */
 export type { Envelope, HardState, Output, Snapshot } from './lib/Output'
 export { Replica, type ReplicaStatus } from './lib/Replica'
 export {
@@ -6,7 +6,7 @@
 	type Applicant,
 	type Founder,
 	type ReplicaOptions,
-	type Restored,
+	type RestoredState,
 } from './lib/ReplicaState'
-export { DEFAULT_TIMING, leaseSpan, type Timing } from './lib/Timing'
-export { Witness } from './lib/Witness'
+export { DEFAULT_TIMING, leaseDuration, type Timing } from './lib/Timing'
+export { SafetyChecker } from './lib/SafetyChecker'
--- a/packages/consensus/src/lib/MembershipHistory.ts
+++ b/packages/consensus/src/lib/MembershipHistory.ts
@@ -1,16 +1,16 @@
-/** Who belongs to a group, as of each index that changed it; a dropped entry takes its change along. */
+/** The memberships of a group by log index; truncating the log also drops its membership changes. */
 import type { Member, Membership } from '@rillrudder/protocol'
 
-/** A membership and the index that brought it. @public */
+/** A membership and the index of the entry that set it. @public */
 export interface MembershipAt {
 	readonly index: number
 	readonly membership: Membership
 }
 
-const NOBODY: Membership = { members: [] }
+const EMPTY_MEMBERSHIP: Membership = { members: [] }
 
 /**
- * The memberships that a replica knows; the newest is in force from the moment it is appended.
+ * The memberships that a replica knows. The newest is in force as soon as it is appended.
  *
  * @public
  */
@@ -19,10 +19,12 @@
 
 	/** The membership in force. */
 	get current(): Membership {
-		return this.changes.length === 0 ? NOBODY : this.changes[this.changes.length - 1].membership
+		return this.changes.length === 0
+			? EMPTY_MEMBERSHIP
+			: this.changes[this.changes.length - 1].membership
 	}
 
-	/** The index that brought the membership in force; 0 when there is none. */
+	/** The index of the entry that set the membership in force; 0 when there is none. */
 	get currentIndex(): number {
 		return this.changes.length === 0 ? 0 : this.changes[this.changes.length - 1].index
 	}
@@ -33,8 +35,8 @@
 	}
 
 	/**
-	 * @param id - an instance.
-	 * @returns its membership, if it has one.
+	 * @param id - id of an instance.
+	 * @returns the member of that id in the membership in force, if any.
 	 */
 	find(id: string): Member | undefined {
 		return this.current.members.find((member) => member.id === id)
@@ -45,7 +47,7 @@
 	 * @returns the membership in force at that index.
 	 */
 	asOf(index: number): Membership {
-		let found = NOBODY
+		let found = EMPTY_MEMBERSHIP
 		for (const change of this.changes) if (change.index <= index) found = change.membership
 		return found
 	}
@@ -60,14 +62,14 @@
 		this.changes = this.changes.filter((change) => change.index <= index)
 	}
 
-	/** @param change - the only change that is known from now on. */
+	/** @param change - replaces all known changes. */
 	reset(change: MembershipAt): void {
 		this.changes = [change]
 	}
 }
 
 /**
- * @param values - one value a voter.
+ * @param values - one value per voter.
  * @returns the largest value that a majority has reached.
  * @internal
  */
--- a/packages/member/src/lib/CoreInstance.ts
+++ b/packages/member/src/lib/CoreInstance.ts
@@ -204,8 +204,8 @@
 		const { clock } = this.parts
 		const wait = (span: number) => new Promise<void>((done) => clock.after(span, done))
 		const until = clock.now() + HAND_OVER_TIMEOUT_MS
-		if (this.group.replica.leads) this.group.handOver()
-		while (this.group.replica.leads && clock.now() < until) await wait(TICK_INTERVAL_MS)
+		if (this.group.replica.isLeader) this.group.transferLeadership()
+		while (this.group.replica.isLeader && clock.now() < until) await wait(TICK_INTERVAL_MS)
 		await wait(LAST_CALLS_MS)
 		for (const timer of this.timers) timer.cancel()
 		this.endSession()
@@ -243,7 +243,7 @@
 			send: (to, message) =>
 				void this.links.hub.send(to, { body: { $case: 'group', value: message } }),
 			fail: onFatalError,
-			settled: () => this.onGroupSettled(),
+			onBatchHandled: () => this.onGroupSettled(),
 		})
 	}
 
@@ -275,7 +275,7 @@
 	private onGroupSettled(): void {
 		const { replica } = this.group
 		const { term, leader, members } = replica.status
-		if (this.session && (!replica.leads || term !== this.session.term)) this.endSession()
+		if (this.session && (!replica.isLeader || term !== this.session.term)) this.endSession()
 		if (!this.session && this.group.mayAct) this.startSession(term)
 		if (leader !== this.loggedLeader) {
 			this.loggedLeader = leader
@@ -401,7 +401,7 @@
 		const { address, seeds } = this.parts
 		const replica = this.group?.replica
 		const members = replica?.status.members.map((member) => member.id) ?? []
-		const heard = members.length === 0 ? [...(replica?.heardOf ?? [])] : []
+		const heard = members.length === 0 ? [...(replica?.reportedMembers ?? [])] : []
 		const known = new Set([...seeds(), ...members, ...heard])
 		known.delete(address)
 		return [...known]
--- a/packages/member/src/lib/LeaderSession.ts
+++ b/packages/member/src/lib/LeaderSession.ts
@@ -74,7 +74,7 @@
 			proposals: this.commands,
 			log,
 			meter,
-			onDeposed: () => group.handOver(),
+			onDeposed: () => group.transferLeadership(),
 		})
 		meter.count(Measure.Leaderships)
 		state.observer = (change) => this.controller.onChange(change)
--- a/packages/member/src/lib/NewsBroadcaster.ts
+++ b/packages/member/src/lib/NewsBroadcaster.ts
@@ -37,7 +37,7 @@
 	broadcastPeriodically(): void {
 		const { replica, linkedMembers } = this.parts
 		this.rounds += 1
-		const every = replica().leads ? LEADER_NEWS_EVERY : ENTRY_NEWS_EVERY
+		const every = replica().isLeader ? LEADER_NEWS_EVERY : ENTRY_NEWS_EVERY
 		if (this.rounds % every === 0) this.broadcast()
 		else this.sendTo(linkedMembers().map(({ id }) => id))
 	}
@@ -59,7 +59,7 @@
 		const replica = this.parts.replica()
 		const { leader, term, members } = replica.status
 		const now = this.parts.clock.now()
-		const fresh = replica.leads
+		const fresh = replica.isLeader
 			? replica.holdsLease(now)
 			: now - replica.leaderHeardAt < LEADER_CONTACT_TTL_MS
 		const ids = members.map((member) => member.id)
--- a/packages/runs/src/lib/RunReplica.ts
+++ b/packages/runs/src/lib/RunReplica.ts
@@ -92,7 +92,7 @@
 
 	/** Hands leadership over. @returns whether there is somebody to hand it to. */
 	handOver(): boolean {
-		const handed = this.replica.handOver(this.parts.now())
+		const handed = this.replica.transferLeadership(this.parts.now())
 		this.flush()
 		return handed
 	}
@@ -106,16 +106,16 @@
 	}
 
 	private noteSkips(): void {
-		if (this.skipped.noticed()) this.replica.doubtLease(this.parts.now())
+		if (this.skipped.noticed()) this.replica.revalidateLease(this.parts.now())
 	}
 
 	private flush(): void {
 		const output = this.replica.takeOutput()
-		for (const { to, message } of output.early) this.parts.send(to, message)
+		for (const { to, message } of output.immediate) this.parts.send(to, message)
 		if (output.snapshot) this.restore(output.snapshot)
-		const { hardState, snapshot, entries, late } = output
-		const empty = !hardState && !snapshot && entries.length === 0 && late.length === 0
-		if (!empty) this.save({ hardState, snapshot, entries }, late)
+		const { hardState, snapshot, entries, afterSync } = output
+		const empty = !hardState && !snapshot && entries.length === 0 && afterSync.length === 0
+		if (!empty) this.save({ hardState, snapshot, entries }, afterSync)
 		for (const entry of output.committed) {
 			this.applied = entry.index
 			this.parts.apply(entry)
@@ -156,7 +156,7 @@
 	private saved(batch: SaveBatch, late: readonly Envelope[]): void {
 		for (const { to, message } of late) this.parts.send(to, message)
 		const last = batch.entries[batch.entries.length - 1] ?? batch.snapshot
-		if (last) this.replica.persisted(last.index, last.term)
+		if (last) this.replica.onPersisted(last.index, last.term)
 	}
 }
 
--- a/packages/runs/src/lib/groupFailures.test.ts
+++ b/packages/runs/src/lib/groupFailures.test.ts
@@ -113,7 +113,7 @@
 	const call = { group: 'run', from: 'c', incarnation: 'life-c', term: 3 }
 	// Long after its start, so that only the lack of a vote speaks against it.
 	replica.receive({ ...call, body: { $case: 'voteCall', value } }, 60_000)
-	const [answer] = replica.takeOutput().late
+	const [answer] = replica.takeOutput().afterSync
 	const { body } = answer.message
 	assert.ok(body?.$case === 'voteReply')
 	return body.value.granted
@@ -122,7 +122,7 @@
 test('a life that has forgotten its votes gives none; if it did, it could vote twice in a term', () => {
 	assert.equal(voteOfNewLife(), false)
 	const broken = () => true
-	withBroken('ReplicaState', 'ReplicaState', 'belongs', broken, () => {
+	withBroken('ReplicaState', 'ReplicaState', 'isMember', broken, () => {
 		assert.equal(voteOfNewLife(), true)
 	})
 })
@@ -142,7 +142,7 @@
 		const election = this as { campaign(now: unknown, reason: object): void }
 		return election.campaign(now, {})
 	}
-	withBroken('Election', 'Election', 'prepare', broken, () => {
+	withBroken('Election', 'Election', 'startPreVote', broken, () => {
 		const run = group(5)
 		const { term } = run.statusOf('a')
 		run.cut('a', 'c', 4000)
@@ -273,7 +273,7 @@
 
 test('without noticing that time was skipped, two leaders act at a time', () => {
 	const ignored = (): void => undefined
-	withBroken('Replica', 'Replica', 'doubtLease', ignored, () => {
+	withBroken('Replica', 'Replica', 'revalidateLease', ignored, () => {
 		for (let seed = 1; seed <= 8; seed++) {
 			assert.throws(() => suspendLeader(seed), /one lease at a time/)
 		}
