--- a/packages/runs/src/lib/cell/promises.test.ts
+++ b/packages/runs/src/lib/cell/promises.test.ts
@@ -4,7 +4,11 @@
  */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
-import { innerClass as part, withBroken as broken, type Breakage } from '../testing/brokenParts'
+import {
+	internalClass as part,
+	withPatchedMethods as broken,
+	type MethodPatch,
+} from '../testing/withPatchedMethods'
 import { CellRun, type CellRunOptions } from './CellRun'
 
 const LEDGER = () => part('@rillrudder/scheduler/dist/lib/capacity/Ledger', 'Ledger')
@@ -43,7 +47,7 @@
 }
 
 /** @returns what the first seed that fails says while some methods are replaced. */
-function withBroken(changes: readonly Breakage[]): string {
+function withBroken(changes: readonly MethodPatch[]): string {
 	return broken(changes, firstFailure)
 }
 
--- a/packages/runs/src/lib/jobs/accountRun.test.ts
+++ b/packages/runs/src/lib/jobs/accountRun.test.ts
@@ -4,7 +4,12 @@
  */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
-import { innerClass, jobsClass, withBroken, type Breakage } from '../testing/brokenParts'
+import {
+	internalClass,
+	jobsClass,
+	withPatchedMethods,
+	type MethodPatch,
+} from '../testing/withPatchedMethods'
 import { JobRun } from './JobRun'
 
 const CALM = 0
@@ -45,19 +50,19 @@
 
 const COUNTED = /no account has more running than its quota/
 
-const BREAKS: readonly { rule: RegExp; without: string; breaks: () => Breakage[] }[] = [
+const BREAKS: readonly { rule: RegExp; without: string; breaks: () => MethodPatch[] }[] = [
 	{
 		rule: COUNTED,
 		without: 'counting what accounts have',
 		breaks: () => [
-			[innerClass('@rillrudder/scheduler', 'QuotaAccount'), 'addUsage', () => () => undefined],
+			[internalClass('@rillrudder/scheduler', 'QuotaAccount'), 'addUsage', () => () => undefined],
 		],
 	},
 	{
 		rule: COUNTED,
 		without: 'asking the quota',
 		breaks: () => [
-			[innerClass('@rillrudder/scheduler', 'QuotaAccount'), 'allows', () => () => true],
+			[internalClass('@rillrudder/scheduler', 'QuotaAccount'), 'allows', () => () => true],
 		],
 	},
 	{
@@ -80,7 +85,7 @@
 for (const { rule, without, breaks } of BREAKS) {
 	test(`without ${without} the runs fail`, () => {
 		assert.match(
-			withBroken(breaks(), () => firstFailure()),
+			withPatchedMethods(breaks(), () => firstFailure()),
 			rule
 		)
 	})
--- a/packages/runs/src/lib/jobs/gangRun.test.ts
+++ b/packages/runs/src/lib/jobs/gangRun.test.ts
@@ -1,7 +1,7 @@
 /** Wide gangs under scarce advice: every rule of jobs holds, all are done, and the plan is what brings their tickets and room together. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
-import { jobsClass, withBroken, type Breakage } from '../testing/brokenParts'
+import { jobsClass, withPatchedMethods, type MethodPatch } from '../testing/withPatchedMethods'
 import { firstFailure } from '../testing/firstFailure'
 import { JobFault } from './JobFaults'
 import { JobRun } from './JobRun'
@@ -56,19 +56,19 @@
 })
 
 test('members wait in vain when nobody decides for all of an attempt', () => {
-	const unowned: Breakage = [jobsClass('gangs', 'GangAttempts'), 'fail', () => () => undefined]
+	const unowned: MethodPatch = [jobsClass('gangs', 'GangAttempts'), 'fail', () => () => undefined]
 	const play = (seed: number): void => assert.equal(runWithRefusals(seed).tally.alone, 0)
 	assert.match(
-		withBroken([unowned], () => firstFailure(play, MOST_SEEDS)),
+		withPatchedMethods([unowned], () => firstFailure(play, MOST_SEEDS)),
 		/strictly equal/
 	)
 })
 
 test('without new tickets for the planned moment, gangs wait for good', () => {
-	const unrenewed: Breakage = [jobsClass('gangs', 'GangPlanner'), 'renew', () => () => undefined]
+	const unrenewed: MethodPatch = [jobsClass('gangs', 'GangPlanner'), 'renew', () => () => undefined]
 	const play = (seed: number): unknown => runOnce(seed, CALM)
 	assert.match(
-		withBroken([unrenewed], () => firstFailure(play, MOST_SEEDS)),
+		withPatchedMethods([unrenewed], () => firstFailure(play, MOST_SEEDS)),
 		/an accepted job ends/
 	)
 })
--- a/packages/runs/src/lib/jobs/jobRun.test.ts
+++ b/packages/runs/src/lib/jobs/jobRun.test.ts
@@ -4,7 +4,12 @@
  */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
-import { innerClass, jobsClass, withBroken, type Breakage } from '../testing/brokenParts'
+import {
+	internalClass,
+	jobsClass,
+	withPatchedMethods,
+	type MethodPatch,
+} from '../testing/withPatchedMethods'
 import { firstFailure } from '../testing/firstFailure'
 import {
 	ALL_FAULTS,
@@ -154,14 +159,14 @@
 })
 
 test('without dropping orders that were held up, such runs fail', () => {
-	const undropped: Breakage = [
-		innerClass('@rillrudder/member/dist/lib/carriers/MessageAges', 'MessageAges'),
+	const undropped: MethodPatch = [
+		internalClass('@rillrudder/member/dist/lib/carriers/MessageAges', 'MessageAges'),
 		'took',
 		() => () => 0,
 	]
 	const rule = /does not begin again|runs once at a time/
 	assert.match(
-		withBroken([undropped], () => firstFailure(runWithHeldOrders, MOST_SEEDS, rule)),
+		withPatchedMethods([undropped], () => firstFailure(runWithHeldOrders, MOST_SEEDS, rule)),
 		rule
 	)
 })
@@ -220,8 +225,8 @@
 }
 
 test('without taking up what a worker offers anew, starts go into room that has shrunk', () => {
-	const unchecked: Breakage = [
-		innerClass('@rillrudder/scheduler/dist/lib/capacity/Ledger', 'Ledger'),
+	const unchecked: MethodPatch = [
+		internalClass('@rillrudder/scheduler/dist/lib/capacity/Ledger', 'Ledger'),
 		'join',
 		(original) =>
 			function (offer) {
@@ -232,14 +237,14 @@
 	]
 	const play = (seed: number): unknown => runWithShrinkingRoom(seed, ROUGH)
 	assert.match(
-		withBroken([unchecked], () => failureOf(play)),
+		withPatchedMethods([unchecked], () => failureOf(play)),
 		/no worker is given more than it has/
 	)
 })
 
 test('without fences at the workers, orders that carriers let go late break a rule', () => {
-	const unfenced: Breakage = [
-		innerClass('../jobs/FleetWorker', 'FleetWorker'),
+	const unfenced: MethodPatch = [
+		internalClass('../jobs/FleetWorker', 'FleetWorker'),
 		'start',
 		(original) =>
 			function (...given) {
@@ -247,7 +252,7 @@
 				return original.apply(this, given)
 			},
 	]
-	const failure = withBroken([unfenced], () => failureOf(runWithLateCarriers))
+	const failure = withPatchedMethods([unfenced], () => failureOf(runWithLateCarriers))
 	assert.match(failure, /a task runs once at a time|begin again|more than it has/)
 })
 
@@ -281,7 +286,7 @@
 interface Break {
 	readonly rule: RegExp
 	readonly without: string
-	readonly breaks: () => Breakage[]
+	readonly breaks: () => MethodPatch[]
 }
 
 const CRASH_BREAKS: readonly Break[] = [
@@ -309,7 +314,7 @@
 	test(`without ${without} runs of crashing tasks fail`, () => {
 		const play = (seed: number): unknown => runWithCrashes(seed, WILD, LONG_SPAN)
 		assert.match(
-			withBroken(breaks(), () => firstFailure(play, MOST_SEEDS, rule)),
+			withPatchedMethods(breaks(), () => firstFailure(play, MOST_SEEDS, rule)),
 			rule
 		)
 	})
@@ -410,7 +415,7 @@
 for (const { rule, without, breaks } of BREAKS) {
 	test(`without ${without} the runs fail`, () => {
 		assert.match(
-			withBroken(breaks(), () => failureOf()),
+			withPatchedMethods(breaks(), () => failureOf()),
 			rule
 		)
 	})
--- a/packages/runs/src/lib/jobs/missedWork.test.ts
+++ b/packages/runs/src/lib/jobs/missedWork.test.ts
@@ -4,7 +4,7 @@
  */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
-import { jobsClass, withBroken, type Breakage } from '../testing/brokenParts'
+import { jobsClass, withPatchedMethods, type MethodPatch } from '../testing/withPatchedMethods'
 import { firstFailure } from '../testing/firstFailure'
 import { JobRun } from './JobRun'
 
@@ -30,9 +30,9 @@
 ]
 
 const SCHEDULER = jobsClass('leader/steps', 'StepScheduler')
-const BLIND: Breakage = [SCHEDULER, 'lookAgain', () => () => []]
+const BLIND: MethodPatch = [SCHEDULER, 'lookAgain', () => () => []]
 
-function silenced({ method }: WakeUp): Breakage {
+function silenced({ method }: WakeUp): MethodPatch {
 	return [SCHEDULER, method, () => () => undefined]
 }
 
@@ -43,8 +43,8 @@
 }
 
 /** @returns what the first seed says that fails with some parts broken, or an empty text when none does. */
-function failureWithout(...broken: Breakage[]): string {
-	return withBroken(broken, () => firstFailure(play, SEEDS))
+function failureWithout(...broken: MethodPatch[]): string {
+	return withPatchedMethods(broken, () => firstFailure(play, SEEDS))
 }
 
 for (const wakeUp of WAKE_UPS) {
@@ -62,7 +62,7 @@
 })
 
 test('a run that nobody is told has begun is not found by looking again: the runs fail', () => {
-	const untold: Breakage = [
+	const untold: MethodPatch = [
 		jobsClass('leader/runs', 'RunController'),
 		'begun',
 		() => () => undefined,
--- a/packages/runs/src/lib/jobs/restartedRun.test.ts
+++ b/packages/runs/src/lib/jobs/restartedRun.test.ts
@@ -4,7 +4,7 @@
  */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
-import { jobsClass, withBroken, type Breakage } from '../testing/brokenParts'
+import { jobsClass, withPatchedMethods, type MethodPatch } from '../testing/withPatchedMethods'
 import { firstFailure } from '../testing/firstFailure'
 import { COMMON_FAULTS, RESTARTS, WAVES, type JobFault } from './JobFaults'
 import { JobRun } from './JobRun'
@@ -82,7 +82,7 @@
 interface Break {
 	readonly rule: RegExp
 	readonly without: string
-	readonly breaks: () => Breakage[]
+	readonly breaks: () => MethodPatch[]
 	readonly play: (seed: number) => unknown
 }
 
@@ -163,7 +163,7 @@
 for (const { rule, without, breaks, play } of BREAKS) {
 	test(`without ${without} runs with restarts fail`, () => {
 		assert.match(
-			withBroken(breaks(), () => firstFailure(play, MOST_SEEDS)),
+			withPatchedMethods(breaks(), () => firstFailure(play, MOST_SEEDS)),
 			rule
 		)
 	})
--- a/packages/runs/src/lib/jobs/shareRun.test.ts
+++ b/packages/runs/src/lib/jobs/shareRun.test.ts
@@ -4,7 +4,7 @@
  */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
-import { jobsClass, withBroken, type Breakage } from '../testing/brokenParts'
+import { jobsClass, withPatchedMethods, type MethodPatch } from '../testing/withPatchedMethods'
 import { fairnessOf, servedOf, type Competition, type Served } from './CompetingAccounts'
 import { JobRun } from './JobRun'
 
@@ -62,7 +62,7 @@
 })
 
 test('without shares the others are late with the account that presses', () => {
-	const blind: Breakage = [jobsClass('shares', 'AccountShares'), 'isOver', () => () => false]
-	const runs = withBroken([blind], () => play(ONE))
+	const blind: MethodPatch = [jobsClass('shares', 'AccountShares'), 'isOver', () => () => false]
+	const runs = withPatchedMethods([blind], () => play(ONE))
 	assert.ok(inTimeOf(runs, ONE) < calm - MOST_LOSS_BY_TWO)
 })
--- a/packages/runs/src/lib/jobs/unevenRun.test.ts
+++ b/packages/runs/src/lib/jobs/unevenRun.test.ts
@@ -1,7 +1,7 @@
 /** Workers of uneven speed: every rule of jobs holds, and gangs keep off slow workers as long as these are known. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
-import { jobsClass, withBroken } from '../testing/brokenParts'
+import { jobsClass, withPatchedMethods } from '../testing/withPatchedMethods'
 import { JobRun } from './JobRun'
 
 const CALM = 0
@@ -48,7 +48,7 @@
 
 test('gangs keep off slow workers; without learning their speed a third more of them are slow at least', () => {
 	const learned = slowShare()
-	const unlearned = withBroken(
+	const unlearned = withPatchedMethods(
 		[[jobsClass('speeds', 'WorkerSpeeds'), 'speedOf', () => () => 1]],
 		slowShare
 	)
--- a/packages/runs/src/lib/testing/brokenParts.ts
+++ b/packages/runs/src/lib/testing/withPatchedMethods.ts
@@ -4,19 +4,19 @@
 /** A method of a class that is broken on purpose. */
 export type Method = (this: unknown, ...given: unknown[]) => unknown
 /** A class as far as its methods are replaced. */
-export interface BreakableClass {
+export interface PatchableClass {
 	readonly prototype: { [name: string]: unknown }
 }
 /** One change: the class, the method's name, and what takes its place. */
-export type Breakage = readonly [BreakableClass, string, (original: Method) => Method]
+export type MethodPatch = readonly [PatchableClass, string, (original: Method) => Method]
 
 /** @returns a class that only its own package knows, by the path of its compiled module. */
-export function innerClass(module: string, name: string): BreakableClass {
-	return (createRequire(__filename)(module) as { [name: string]: BreakableClass })[name]
+export function internalClass(module: string, name: string): PatchableClass {
+	return (createRequire(__filename)(module) as { [name: string]: PatchableClass })[name]
 }
 
 /** Runs with some methods replaced, and puts them back. */
-export function withBroken<T>(changes: readonly Breakage[], run: () => T): T {
+export function withPatchedMethods<T>(changes: readonly MethodPatch[], run: () => T): T {
 	const kept = changes.map(([owner, name]) => owner.prototype[name])
 	changes.forEach(([owner, name, make], position) => {
 		owner.prototype[name] = make(kept[position] as Method)
@@ -31,6 +31,6 @@
 }
 
 /** @returns a class of the jobs package that only that package knows. */
-export function jobsClass(folder: string, name: string): BreakableClass {
-	return innerClass(`@rillrudder/jobs/dist/lib/${folder}/${name}`, name)
+export function jobsClass(folder: string, name: string): PatchableClass {
+	return internalClass(`@rillrudder/jobs/dist/lib/${folder}/${name}`, name)
 }
