--- a/packages/runs/src/lib/jobs/CompetingAccounts.ts
+++ b/packages/runs/src/lib/jobs/CompetingAccounts.ts
@@ -70,23 +70,23 @@
 		return { spec: 'text', steps: [step] }
 	}
 
-	override send(): ClientAccount[] {
+	override nextAccounts(): ClientAccount[] {
 		return this.names().map((name) => ({ name, weight: WEIGHT, keyDigests: [digestOf(name)] }))
 	}
 
-	override owned(id: string): string {
+	override keyDigestFor(id: string): string {
 		const owner = this.owners.get(id) ?? this.pick()
 		this.owners.set(id, owner)
 		return digestOf(owner)
 	}
 
-	override confirmed(): void {}
-	override change(): boolean {
+	override onConfirmed(): void {}
+	override changeIfDue(): boolean {
 		return false
 	}
-	override lift(): void {}
-	override began(): void {}
-	override ended(): void {}
+	override liftQuotas(): void {}
+	override onRunStarted(): void {}
+	override onRunEnded(): void {}
 
 	private pick(): string {
 		const { pressing, times, accounts } = this.competition
--- a/packages/runs/src/lib/jobs/FleetOrders.ts
+++ b/packages/runs/src/lib/jobs/FleetOrders.ts
@@ -110,7 +110,7 @@
 		clock.after(random.integer(least, most), () => {
 			const isSent = slowShare > 0 || machine.up
 			if (!isSent || machine.cut || this.parts.cut()) return
-			if (loop) loop.arrived(() => answer(result))
+			if (loop) loop.onMessage(() => answer(result))
 			else answer(result)
 		})
 	}
@@ -130,7 +130,7 @@
 		}
 		const { clock, loop } = this.parts
 		const giveUp = (): void => settle({ kind: 'unknown', message: 'no answer' })
-		clock.after(limit, () => (loop ? loop.timerDue(giveUp) : giveUp()))
+		clock.after(limit, () => (loop ? loop.onTimer(giveUp) : giveUp()))
 		return settle
 	}
 }
--- a/packages/runs/src/lib/jobs/FleetWorker.ts
+++ b/packages/runs/src/lib/jobs/FleetWorker.ts
@@ -21,7 +21,7 @@
 import type { Clock, Random } from '@rillrudder/utils'
 import type { GangRegistry } from './GangRegistry'
 import type { JobInvariants } from './JobInvariants'
-import { OfferedRoom } from './OfferedRoom'
+import { OfferedCapacity } from './OfferedCapacity'
 import { HOPELESS } from './randomJob'
 
 /** The longest lease that a worker keeps, in milliseconds. */
@@ -61,7 +61,7 @@
 export interface FleetWorkerParts {
 	readonly clock: Clock
 	readonly random: Random
-	readonly witness: JobInvariants
+	readonly invariants: JobInvariants
 	readonly gangs: GangRegistry
 	/** @returns the step of a task, by the task's name. */
 	readonly stepOf: (task: string) => Step
@@ -93,7 +93,7 @@
 	speed = 1
 	private tickedAt = 0
 	sequence = 0
-	private readonly room: OfferedRoom
+	private readonly room: OfferedCapacity
 	private readonly rate: number
 	private offset: number
 	private fence = 0
@@ -111,7 +111,7 @@
 		worker: Worker
 	) {
 		this.worker = worker
-		this.room = new OfferedRoom(parts.clock, worker.capacity)
+		this.room = new OfferedCapacity(parts.clock, worker.capacity)
 		this.rate = 0.98 + parts.random.fraction() * 0.02
 		this.offset = parts.random.integer(0, 1_000_000)
 	}
@@ -134,8 +134,8 @@
 	/** Ends this life with all that it runs. */
 	crash(): void {
 		this.up = false
-		const { witness, gangs } = this.parts
-		witness.died(this.worker.id)
+		const { invariants, gangs } = this.parts
+		invariants.onWorkerDied(this.worker.id)
 		for (const run of this.runs.values()) gangs.left(run)
 		this.runs.clear()
 		this.waiters = []
@@ -170,7 +170,7 @@
 	}
 
 	private begin({ name, born }: Incarnation): void {
-		this.room.restore()
+		this.room.reset()
 		const id = formatIncarnation({ name, born })
 		this.worker = { ...this.worker, id, born, capacity: this.room.current }
 		this.up = true
@@ -199,12 +199,12 @@
 		if (!this.parts.mayRun(task, this.worker.id, ticket)) return this.refuse(Refusal.Ticket)
 		const refusal = this.parts.refusal()
 		if (refusal) return this.refuse(refusal)
-		const { witness, clock } = this.parts
+		const { invariants, clock } = this.parts
 		const { checkpoint } = order
-		const seen = { worker: this.worker.id, task, attempt, checkpoint, late }
+		const seen = { worker: this.worker.id, task, attempt, checkpoint, isLate: late }
 		// An order that is carried out late was right when it was sent.
-		const capacity = late ? this.room.whole : this.room.counted
-		witness.began({ ...this.worker, capacity }, seen, spec, clock.now())
+		const capacity = late ? this.room.full : this.room.maxRecent
+		invariants.onRunStarted({ ...this.worker, capacity }, seen, spec, clock.now())
 		this.startRun(task, attempt, checkpoint)
 		this.parts.began(this, task)
 		return this.done()
@@ -260,7 +260,7 @@
 		if (!this.runs.delete(task)) return
 		this.closed.set(task, Math.max(attempt, this.closed.get(task) ?? 0))
 		this.ended.push({ number: ++this.endCount, task, attempt, how, checkpoint })
-		this.parts.witness.ended(this.worker.id, task, attempt, how)
+		this.parts.invariants.onRunEnded(this.worker.id, task, attempt, how)
 		this.parts.gangs.left(run)
 	}
 
@@ -290,7 +290,7 @@
 		if (!run.step.checkpoints) return
 		run.checkpoint = `${run.task}#${run.attempt}#${++run.saves}`
 		run.savesAt = this.parts.clock.now() + SAVE_EVERY
-		this.parts.witness.saved(run.task, run.checkpoint)
+		this.parts.invariants.onCheckpoint(run.task, run.checkpoint)
 	}
 
 	/** What stands still ends and saves later; stops are not held up. */
@@ -304,7 +304,7 @@
 	private lapse(): void {
 		this.leased = false
 		const tasks = this.ended.map((end) => end.task)
-		this.parts.witness.lapsed(this.worker.id, tasks)
+		this.parts.invariants.onLeaseExpired(this.worker.id, tasks)
 		for (const run of [...this.runs.values()]) this.finish(run, RunEnd.Lapsed)
 	}
 
@@ -314,9 +314,9 @@
 	}
 
 	private note(seen: number): void {
-		const { witness, clock } = this.parts
+		const { invariants, clock } = this.parts
 		for (const { number, task, attempt } of this.ended) {
-			if (number <= seen) witness.noted(this.worker.id, task, attempt, clock.now())
+			if (number <= seen) invariants.onEndAcknowledged(this.worker.id, task, attempt, clock.now())
 		}
 		this.ended = this.ended.filter((end) => end.number > seen)
 	}
--- a/packages/runs/src/lib/jobs/JobInvariants.ts
+++ b/packages/runs/src/lib/jobs/JobInvariants.ts
@@ -7,64 +7,64 @@
 import { invariant } from '@rillrudder/utils'
 
 /** Milliseconds after an acknowledged cancellation from which nothing of the job may begin. */
-const CANCEL_WITHIN = 3000
+const CANCEL_DEADLINE_MS = 3000
 /** Milliseconds after which a noted end must have reached those who start copies. */
-const COPY_NOTED_WITHIN = 1000
+const DONE_NOTICE_MS = 1000
 
 /** A task's run as its worker sees it. @internal */
-export interface WitnessedRun {
+export interface ObservedRun {
 	readonly worker: string
 	readonly task: string
 	readonly attempt: number
 	readonly checkpoint: string
 	/** Whether its order was carried out seconds after it was sent. */
-	readonly late: boolean
+	readonly isLate: boolean
 }
 
-interface WitnessedEnd {
+interface ObservedEnd {
 	readonly worker: string
 	readonly attempt: number
 	readonly how: RunEnd
-	noted: boolean
+	isAcknowledged: boolean
 	/** Its worker's lease lapsed before it was noted: the end does not count. */
-	void: boolean
+	isVoid: boolean
 }
 
-interface WitnessedStep {
+interface ObservedStep {
 	readonly step: Step
 	/** Checkpoints that its tasks have made. */
 	readonly checkpoints: Set<string>
 }
 
-interface WitnessedTask {
-	readonly live: Map<string, WitnessedRun>
-	readonly ends: WitnessedEnd[]
+interface ObservedTask {
+	readonly live: Map<string, ObservedRun>
+	readonly ends: ObservedEnd[]
 	/** For each start, how many ends there were before it. */
-	readonly startedAfter: number[]
-	notedDoneAt?: number
+	readonly endsBeforeStarts: number[]
+	doneAcknowledgedAt?: number
 }
 
-interface WitnessedJob {
+interface ObservedJob {
 	readonly request: JobRequest
 	readonly queue: Queue
-	readonly steps: ReadonlyMap<string, WitnessedStep>
+	readonly steps: ReadonlyMap<string, ObservedStep>
 	cancelledAt?: number
 }
 
 /** A worker as far as the rules ask about it. @internal */
-export interface WitnessedWorker {
+export interface ObservedWorker {
 	readonly id: string
 	readonly service: string
 	readonly labels: readonly string[]
 	readonly capacity: Resources
 }
 
-/** A further witness of what workers do. @internal */
-export interface JobWitness {
+/** Observes the runs of a fleet. @internal */
+export interface RunObserver {
 	/** A worker has begun a run. */
-	began(worker: string, run: WitnessedRun, now: number): void
+	onRunStarted(worker: string, run: ObservedRun, now: number): void
 	/** A run is over, however it ended. */
-	ended(worker: string, task: string): void
+	onRunEnded(worker: string, task: string): void
 }
 
 /**
@@ -73,18 +73,18 @@
  * @internal
  */
 export class JobInvariants {
-	private readonly jobs = new Map<string, WitnessedJob>()
-	private readonly tasks = new Map<string, WitnessedTask>()
+	private readonly jobs = new Map<string, ObservedJob>()
+	private readonly tasks = new Map<string, ObservedTask>()
 	/** Names of the tasks that run on each worker. */
-	private readonly onWorker = new Map<string, Set<string>>()
+	private readonly tasksByWorker = new Map<string, Set<string>>()
 	starts = 0
 
-	/** @param further - told of what begins and ends too, if there is one. */
-	constructor(private readonly further?: JobWitness) {}
+	/** @param observer - told of what begins and ends too, if there is one. */
+	constructor(private readonly observer?: RunObserver) {}
 
 	/** A client hands a job in; whether it was accepted may not be known yet. */
-	asked(id: string, request: JobRequest, queue: Queue): void {
-		const steps = new Map<string, WitnessedStep>()
+	onJobSubmitted(id: string, request: JobRequest, queue: Queue): void {
+		const steps = new Map<string, ObservedStep>()
 		const repeats = request.repeat?.count ?? 1
 		for (let repeat = 0; repeat < repeats; repeat++) {
 			request.steps.forEach((step, number) => {
@@ -95,13 +95,13 @@
 	}
 
 	/** A client heard that its job is cancelled. */
-	cancelled(id: string, now: number): void {
+	onJobCancelled(id: string, now: number): void {
 		const job = this.jobs.get(id)
 		if (job) job.cancelledAt ??= now
 	}
 
 	/** A worker begins a run. */
-	began(worker: WitnessedWorker, run: WitnessedRun, spec: string, now: number): void {
+	onRunStarted(worker: ObservedWorker, run: ObservedRun, spec: string, now: number): void {
 		const { task: text } = run
 		const { job, step, name } = this.locate(text)
 		const task = this.taskOf(text)
@@ -113,66 +113,66 @@
 		invariant(job.queue.service === worker.service, 'a task runs in its service', where)
 		const labelled = step.step.requires === '' || worker.labels.includes(step.step.requires)
 		invariant(labelled, 'a worker has the label that its task asks for', where)
-		this.checkOrder(job, name, where)
-		if (!step.step.copies) this.checkOnce(task, where)
-		this.checkDone(task, step.step, run, now, where)
-		this.checkCancelled(job, run, now, where)
-		task.startedAfter.push(task.ends.length)
-		this.checkBudget(task, job, step.step, where)
+		this.checkPredecessors(job, name, where)
+		if (!step.step.copies) this.checkSingleRun(task, where)
+		this.checkNotDone(task, step.step, run, now, where)
+		this.checkNotCancelled(job, run, now, where)
+		task.endsBeforeStarts.push(task.ends.length)
+		this.checkAttempts(task, job, step.step, where)
 		task.live.set(worker.id, run)
-		this.runsOn(worker.id).add(text)
-		this.checkRoom(worker, where)
+		this.tasksOn(worker.id).add(text)
+		this.checkCapacity(worker, where)
 		this.checkSpread(worker, text, step.step, where)
-		this.further?.began(worker.id, run, now)
+		this.observer?.onRunStarted(worker.id, run, now)
 	}
 
 	/** A running task has made a checkpoint. */
-	saved(text: string, checkpoint: string): void {
+	onCheckpoint(text: string, checkpoint: string): void {
 		this.locate(text).step.checkpoints.add(checkpoint)
 	}
 
 	/** A run has ended, and its worker lists that. */
-	ended(worker: string, text: string, attempt: number, how: RunEnd): void {
+	onRunEnded(worker: string, text: string, attempt: number, how: RunEnd): void {
 		const task = this.taskOf(text)
 		task.live.delete(worker)
-		this.runsOn(worker).delete(text)
-		task.ends.push({ worker, attempt, how, noted: false, void: false })
-		this.further?.ended(worker, text)
+		this.tasksOn(worker).delete(text)
+		task.ends.push({ worker, attempt, how, isAcknowledged: false, isVoid: false })
+		this.observer?.onRunEnded(worker, text)
 	}
 
 	/** A worker has ended with all that it ran. */
-	died(worker: string): void {
-		for (const text of this.runsOn(worker)) {
+	onWorkerDied(worker: string): void {
+		for (const text of this.tasksOn(worker)) {
 			this.taskOf(text).live.delete(worker)
-			this.further?.ended(worker, text)
+			this.observer?.onRunEnded(worker, text)
 		}
-		this.onWorker.delete(worker)
+		this.tasksByWorker.delete(worker)
 	}
 
 	/** A worker's lease has lapsed: ends that were not noted before do not count. */
-	lapsed(worker: string, tasks: Iterable<string>): void {
+	onLeaseExpired(worker: string, tasks: Iterable<string>): void {
 		for (const text of tasks) {
 			for (const end of this.taskOf(text).ends) {
-				if (end.worker === worker && !end.noted) end.void = true
+				if (end.worker === worker && !end.isAcknowledged) end.isVoid = true
 			}
 		}
 	}
 
 	/** A worker was told that an end has been seen. */
-	noted(worker: string, text: string, attempt: number, now: number): void {
+	onEndAcknowledged(worker: string, text: string, attempt: number, now: number): void {
 		const { job, step } = this.locate(text)
 		const task = this.taskOf(text)
 		const end = task.ends.find((one) => one.worker === worker && one.attempt === attempt)
-		if (!end || end.noted || end.void) return
-		end.noted = true
+		if (!end || end.isAcknowledged || end.isVoid) return
+		end.isAcknowledged = true
 		const where = { worker, task: text, attempt }
 		if (end.how === RunEnd.Done) {
-			task.notedDoneAt ??= now
-			const again = task.startedAfter.some((before) => before > task.ends.indexOf(end))
+			task.doneAcknowledgedAt ??= now
+			const again = task.endsBeforeStarts.some((before) => before > task.ends.indexOf(end))
 			const once = !again || step.step.copies || step.step.lasting
 			invariant(once, 'a task that is done does not begin again', where)
 		}
-		if (end.how === RunEnd.Failed) this.checkBudget(task, job, step.step, where)
+		if (end.how === RunEnd.Failed) this.checkAttempts(task, job, step.step, where)
 	}
 
 	/** @returns whether a task has ended as done on some worker; of a gang one member stands for all. */
@@ -198,7 +198,7 @@
 		return this.taskOf(text).ends.some((end) => end.how === RunEnd.Done)
 	}
 
-	private checkOrder(job: WitnessedJob, name: TaskPlace, where: Where): void {
+	private checkPredecessors(job: ObservedJob, name: TaskAddress, where: ErrorFields): void {
 		const { dependsOn } = job.request.steps[name.step]
 		const done = dependsOn.every((earlier) =>
 			this.namesOf(job, name.job, name.repeat, earlier).every((text) => this.isDone(text))
@@ -206,82 +206,92 @@
 		invariant(done, 'a step begins once the steps before it are done', where)
 	}
 
-	private checkOnce(task: WitnessedTask, where: Where): void {
+	private checkSingleRun(task: ObservedTask, where: ErrorFields): void {
 		invariant(task.live.size === 0, 'a task runs once at a time', {
 			...where,
 			others: [...task.live.keys()].join(),
 		})
 	}
 
-	private checkDone(
-		task: WitnessedTask,
+	private checkNotDone(
+		task: ObservedTask,
 		step: Step,
-		run: WitnessedRun,
+		run: ObservedRun,
 		now: number,
-		where: Where
+		where: ErrorFields
 	): void {
-		if (step.lasting || task.notedDoneAt === undefined) return
-		const allowed = step.copies && (run.late || now - task.notedDoneAt <= COPY_NOTED_WITHIN)
+		if (step.lasting || task.doneAcknowledgedAt === undefined) return
+		const allowed = step.copies && (run.isLate || now - task.doneAcknowledgedAt <= DONE_NOTICE_MS)
 		invariant(allowed, 'a task that is done does not begin again', where)
 	}
 
-	private checkCancelled(job: WitnessedJob, run: WitnessedRun, now: number, where: Where): void {
+	private checkNotCancelled(
+		job: ObservedJob,
+		run: ObservedRun,
+		now: number,
+		where: ErrorFields
+	): void {
 		const since = job.cancelledAt === undefined ? 0 : now - job.cancelledAt
-		invariant(run.late || since <= CANCEL_WITHIN, 'nothing of a cancelled job begins', where)
+		invariant(run.isLate || since <= CANCEL_DEADLINE_MS, 'nothing of a cancelled job begins', where)
 	}
 
 	/** No start comes after as many failures as the queue allows, once they are known. */
-	private checkBudget(task: WitnessedTask, job: WitnessedJob, step: Step, where: Where): void {
+	private checkAttempts(
+		task: ObservedTask,
+		job: ObservedJob,
+		step: Step,
+		where: ErrorFields
+	): void {
 		if (step.lasting || step.copies || step.gang) return
-		for (const before of task.startedAfter) {
+		for (const before of task.endsBeforeStarts) {
 			const failed = task.ends
 				.slice(0, before)
-				.filter((end) => end.noted && end.how === RunEnd.Failed)
+				.filter((end) => end.isAcknowledged && end.how === RunEnd.Failed)
 			const within = failed.length < job.queue.maxAttempts
 			invariant(within, 'a task begins no more often than its queue allows', where)
 		}
 	}
 
-	private checkRoom(worker: WitnessedWorker, where: Where): void {
+	private checkCapacity(worker: ObservedWorker, where: ErrorFields): void {
 		let taken = NO_RESOURCES
-		for (const text of this.runsOn(worker.id)) {
+		for (const text of this.tasksOn(worker.id)) {
 			const { need, bestEffort } = this.locate(text).step.step
 			taken = plus(taken, bestEffort ? { ...need, cpu: 0 } : need)
 		}
 		invariant(fits(taken, worker.capacity), 'no worker is given more than it has', where)
 	}
 
-	private checkSpread(worker: WitnessedWorker, text: string, step: Step, where: Where): void {
+	private checkSpread(worker: ObservedWorker, text: string, step: Step, where: ErrorFields): void {
 		if (step.mostPerWorker === 0) return
 		const prefix = text.slice(0, text.lastIndexOf('.') + 1)
-		const siblings = [...this.runsOn(worker.id)].filter((other) => other.startsWith(prefix))
+		const siblings = [...this.tasksOn(worker.id)].filter((other) => other.startsWith(prefix))
 		invariant(siblings.length <= step.mostPerWorker, "a step's tasks are kept apart", where)
 	}
 
-	private namesOf(job: WitnessedJob, id: string, repeat: number, step: number): string[] {
+	private namesOf(job: ObservedJob, id: string, repeat: number, step: number): string[] {
 		const { count } = job.request.steps[step]
 		return Array.from({ length: count }, (_, index) => `${id}.${repeat}.${step}.${index}`)
 	}
 
-	private runsOn(worker: string): Set<string> {
-		let runs = this.onWorker.get(worker)
+	private tasksOn(worker: string): Set<string> {
+		let runs = this.tasksByWorker.get(worker)
 		if (!runs) {
 			runs = new Set()
-			this.onWorker.set(worker, runs)
+			this.tasksByWorker.set(worker, runs)
 		}
 		return runs
 	}
 
-	private taskOf(text: string): WitnessedTask {
+	private taskOf(text: string): ObservedTask {
 		let task = this.tasks.get(text)
 		if (!task) {
-			task = { live: new Map(), ends: [], startedAfter: [] }
+			task = { live: new Map(), ends: [], endsBeforeStarts: [] }
 			this.tasks.set(text, task)
 		}
 		return task
 	}
 
-	private locate(text: string): { job: WitnessedJob; step: WitnessedStep; name: TaskPlace } {
+	private locate(text: string): { job: ObservedJob; step: ObservedStep; name: TaskAddress } {
 		const name = parseTaskName(text)
 		const job = name && this.jobs.get(name.job)
 		const step = name && job?.steps.get(`${name.repeat}.${name.step}`)
@@ -292,5 +302,5 @@
 }
 
 /** What an error tells of the place. */
-type Where = Record<string, unknown>
-type TaskPlace = NonNullable<ReturnType<typeof parseTaskName>>
+type ErrorFields = Record<string, unknown>
+type TaskAddress = NonNullable<ReturnType<typeof parseTaskName>>
--- a/packages/runs/src/lib/jobs/JobRun.ts
+++ b/packages/runs/src/lib/jobs/JobRun.ts
@@ -139,7 +139,7 @@
 	readonly random: Random
 	/** Chooses jobs; in a run with wide gangs apart from all else, so that it has the same jobs whatever its leaders decide. */
 	private readonly jobRandom: Random
-	readonly witness: JobInvariants
+	readonly invariants: JobInvariants
 	private readonly accounts: CallerAccounts | undefined
 	private readonly competing: CompetingAccounts | undefined
 	private readonly crashing: CrashingTasks | undefined
@@ -168,8 +168,8 @@
 		this.jobRandom = options.wideGangs ? new Random(seed) : this.random
 		this.competing = competition && new CompetingAccounts(seed, competition)
 		this.accounts = this.competing ?? (options.accounts ? new RunAccounts(seed) : undefined)
-		this.witness = new JobInvariants(this.accounts)
-		const { clock, random, witness } = this
+		this.invariants = new JobInvariants(this.accounts)
+		const { clock, random, invariants } = this
 		this.loop = new LeaderLoop(clock)
 		this.crashing = options.crashingTasks ? this.crashingTasks() : undefined
 		const advice = options.wideGangs ? SCARCE_ADVICE : PLENTIFUL_ADVICE
@@ -179,7 +179,7 @@
 		this.fleet = new Fleet({
 			clock,
 			random,
-			witness,
+			invariants,
 			service: SERVICE,
 			workersEach: options.wideGangs ? WORKERS_FOR_WIDE : undefined,
 			tellBorn: options.tellBorn ?? RESTARTS.some((fault) => this.faults.has(fault)),
@@ -189,7 +189,7 @@
 			heldShare: () => this.faults.heldShare,
 			refusal: () => this.faults.refusal(),
 			began: (machine, task) => this.crashing?.began(machine, task),
-			call: (call, reply) => this.loop.arrived(() => this.controller?.call(call, reply)),
+			call: (call, reply) => this.loop.onMessage(() => this.controller?.call(call, reply)),
 		})
 		this.direct = this.ordersFrom(() => false, this.loop)
 		this.carriers = DATA_CENTRES.slice(1).map((dataCentre) => this.carrierIn(dataCentre))
@@ -205,7 +205,7 @@
 			jobs: jobs.length,
 			cancelled: jobs.filter((job) => job.cancelled).length,
 			leaders: this.term,
-			starts: this.witness.starts,
+			starts: this.invariants.starts,
 			alone: this.fleet.gangs.alone,
 			gangs: this.fleet.gangs.worked,
 			slowGangs: this.fleet.gangs.slow,
@@ -236,7 +236,7 @@
 		while (this.clock.now() < until) {
 			if (this.clock.now() >= this.nextJobAt) this.handIn()
 			this.faults.step()
-			if (this.accounts?.change(this.clock.now())) this.configure()
+			if (this.accounts?.changeIfDue(this.clock.now())) this.configure()
 			this.advance(STEP)
 		}
 	}
@@ -245,7 +245,7 @@
 	settle(): void {
 		this.faults.end()
 		if (!this.controller) this.lead()
-		this.accounts?.lift()
+		this.accounts?.liftQuotas()
 		if (this.accounts) this.configure()
 		this.advance(SETTLE_FOR)
 		for (const { worker } of this.fleet.machines) {
@@ -254,7 +254,7 @@
 		}
 		for (const job of this.asked.values()) {
 			const crashes = this.crashing?.isIn(job.id) ?? false
-			checkOutcome(job, this.state.jobs.find(job.id), this.witness, crashes)
+			checkOutcome(job, this.state.jobs.find(job.id), this.invariants, crashes)
 		}
 	}
 
@@ -264,7 +264,7 @@
 		this.state.observer = undefined
 		this.log?.end()
 		this.orders?.end()
-		this.loop.end()
+		this.loop.clear()
 		this.controller = undefined
 		this.log = undefined
 		this.clock.after(gap, () => this.lead())
@@ -314,7 +314,7 @@
 	/** An operator sends a configuration until it is confirmed. */
 	private configure(): void {
 		const services = [{ name: SERVICE, enforcesCapacity: false }]
-		const accounts = this.accounts?.send()
+		const accounts = this.accounts?.nextAccounts()
 		const version = ++this.version
 		this.sendConfiguration({ version, queues: this.queues, services, accounts, document: '{}' })
 	}
@@ -324,7 +324,7 @@
 		this.controller?.call({ kind: 'configure', configuration }, ({ kind }) => {
 			confirmed = kind === 'noted'
 			if (confirmed && configuration.version === this.version) {
-				this.accounts?.confirmed(this.clock.now())
+				this.accounts?.onConfirmed(this.clock.now())
 			}
 		})
 		if (!this.accounts) return
@@ -364,7 +364,7 @@
 			clock,
 			random,
 			orders: this.ordersFrom(() => carrier.cut),
-			results: (results) => this.loop.arrived(() => this.orders?.taken(results)),
+			results: (results) => this.loop.onMessage(() => this.orders?.taken(results)),
 		})
 		return carrier
 	}
@@ -421,7 +421,7 @@
 	}
 
 	private handIn(): void {
-		const { clock, options, witness, jobRandom: random } = this
+		const { clock, options, invariants, jobRandom: random } = this
 		const rate = options.competition ? rateOf(options.competition) : options.jobRate
 		this.nextJobAt = clock.now() + random.exponential(1000 / rate)
 		const id = random.integer(0, 0x7fffffff).toString(16).padStart(16, '0')
@@ -439,7 +439,7 @@
 			cancelled: false,
 		}
 		this.asked.set(id, job)
-		witness.asked(id, request, queue)
+		invariants.onJobSubmitted(id, request, queue)
 		this.crashing?.asked(id, request)
 		this.submit(job, queue.name)
 	}
@@ -462,7 +462,7 @@
 
 	private submit(job: Asked, queue: string): void {
 		if (job.accepted || job.refused || job.uncertain) return
-		const keyDigest = this.accounts?.owned(job.id, job.request)
+		const keyDigest = this.accounts?.keyDigestFor(job.id, job.request)
 		const to = { queue, id: job.id, keyDigest }
 		if (this.controller) job.unanswered += 1
 		const answered = ({ kind }: CellReply): void => {
@@ -471,7 +471,7 @@
 			if (kind === 'unauthorized' || kind === 'impossible') this.refused(job)
 		}
 		const call = { kind: 'submit', to, job: job.request } as const
-		this.loop.arrived(() => this.controller?.call(call, answered))
+		this.loop.onMessage(() => this.controller?.call(call, answered))
 		this.clock.after(ASK_AGAIN, () => this.submit(job, queue))
 	}
 
@@ -486,10 +486,10 @@
 		const answered = ({ kind }: CellReply): void => {
 			if (kind !== 'noted') return
 			job.cancelled = true
-			this.witness.cancelled(job.id, this.clock.now())
+			this.invariants.onJobCancelled(job.id, this.clock.now())
 		}
 		const call = { kind: 'cancel', to: { id: job.id } } as const
-		this.loop.arrived(() => this.controller?.call(call, answered))
+		this.loop.onMessage(() => this.controller?.call(call, answered))
 		this.clock.after(ASK_AGAIN, () => this.cancel(job))
 	}
 
--- a/packages/runs/src/lib/jobs/LeaderLoop.ts
+++ b/packages/runs/src/lib/jobs/LeaderLoop.ts
@@ -9,7 +9,7 @@
 export class LeaderLoop {
 	private stalledUntil = Number.NEGATIVE_INFINITY
 	private timers: (() => void)[] = []
-	private arrivals: (() => void)[] = []
+	private messages: (() => void)[] = []
 
 	/** @param clock - the run's clock. */
 	constructor(private readonly clock: Clock) {}
@@ -25,30 +25,30 @@
 	}
 
 	/** A message has come. */
-	arrived(call: () => void): void {
-		if (this.isStalled) this.arrivals.push(call)
-		else call()
+	onMessage(callback: () => void): void {
+		if (this.isStalled) this.messages.push(callback)
+		else callback()
 	}
 
 	/** A timer is due. */
-	timerDue(call: () => void): void {
-		if (this.isStalled) this.timers.push(call)
-		else call()
+	onTimer(callback: () => void): void {
+		if (this.isStalled) this.timers.push(callback)
+		else callback()
 	}
 
 	/** Goes on with what has waited: timers come before messages, as in Node. */
 	resume(): void {
 		if (this.isStalled) return
-		const due = [...this.timers, ...this.arrivals]
+		const due = [...this.timers, ...this.messages]
 		this.timers = []
-		this.arrivals = []
-		for (const call of due) call()
+		this.messages = []
+		for (const callback of due) callback()
 	}
 
 	/** The process has ended, with all that waited. */
-	end(): void {
+	clear(): void {
 		this.stalledUntil = Number.NEGATIVE_INFINITY
 		this.timers = []
-		this.arrivals = []
+		this.messages = []
 	}
 }
--- a/packages/runs/src/lib/jobs/OfferedRoom.ts
+++ b/packages/runs/src/lib/jobs/OfferedCapacity.ts
@@ -3,10 +3,10 @@
 import type { Clock } from '@rillrudder/utils'
 
 /** Milliseconds for which room that has shrunk still counts: what is told of it takes a while, and a heartbeat more. */
-const SHRUNK_COUNTS = 4500
+const PREVIOUS_CAPACITY_VALID_MS = 4500
 
 /** What was offered before a change. */
-interface FormerRoom {
+interface PreviousCapacity {
 	readonly until: number
 	readonly capacity: Resources
 }
@@ -16,31 +16,31 @@
  *
  * @internal
  */
-export class OfferedRoom {
+export class OfferedCapacity {
 	/** What it offers now. */
 	current: Resources
-	private former: FormerRoom[] = []
+	private previous: PreviousCapacity[] = []
 
-	/** @param whole - what it offers at its start. */
+	/** @param full - what it offers at its start. */
 	constructor(
 		private readonly clock: Clock,
-		readonly whole: Resources
+		readonly full: Resources
 	) {
-		this.current = whole
+		this.current = full
 	}
 
 	/** The most that a start may count on. */
-	get counted(): Resources {
+	get maxRecent(): Resources {
 		const now = this.clock.now()
-		this.former = this.former.filter(({ until }) => until > now)
-		return this.former.reduce((most, { capacity }) => larger(most, capacity), this.current)
+		this.previous = this.previous.filter(({ until }) => until > now)
+		return this.previous.reduce((most, { capacity }) => maxOf(most, capacity), this.current)
 	}
 
 	/** It offers a share of the whole from now on. */
 	resize(share: number): void {
-		const until = this.clock.now() + SHRUNK_COUNTS
-		this.former.push({ until, capacity: this.current })
-		const { cpu, memory, accelerators } = times(this.whole, share)
+		const until = this.clock.now() + PREVIOUS_CAPACITY_VALID_MS
+		this.previous.push({ until, capacity: this.current })
+		const { cpu, memory, accelerators } = times(this.full, share)
 		this.current = {
 			cpu: Math.floor(cpu),
 			memory: Math.floor(memory),
@@ -49,13 +49,13 @@
 	}
 
 	/** The worker begins a new life. */
-	restore(): void {
-		this.current = this.whole
-		this.former = []
+	reset(): void {
+		this.current = this.full
+		this.previous = []
 	}
 }
 
-function larger(left: Resources, right: Resources): Resources {
+function maxOf(left: Resources, right: Resources): Resources {
 	return {
 		cpu: Math.max(left.cpu, right.cpu),
 		memory: Math.max(left.memory, right.memory),
--- a/packages/runs/src/lib/jobs/RunAccounts.ts
+++ b/packages/runs/src/lib/jobs/RunAccounts.ts
@@ -1,5 +1,5 @@
 /**
- * The client accounts of a run: keys that come and go, quotas that are cut and raised, and a witness of what each account
+ * The client accounts of a run: keys that come and go, quotas that are cut and raised, and a record of what each account
  * has running, which knows only what workers do. It draws from a stream of its own, so that runs without accounts keep
  * their course.
  */
@@ -14,7 +14,7 @@
 } from '@rillrudder/scheduler'
 import { invariant, Random } from '@rillrudder/utils'
 import { CallerAccounts } from './CallerAccounts'
-import type { WitnessedRun } from './JobInvariants'
+import type { ObservedRun } from './JobInvariants'
 
 /** Milliseconds after its confirmation for which an older quota may still be obeyed. */
 const OBEYED_WITHIN = 2500
@@ -65,7 +65,7 @@
 		this.random = new Random(seed ^ STREAM)
 	}
 
-	override send(): ClientAccount[] {
+	override nextAccounts(): ClientAccount[] {
 		return NAMES.map((name, index) => {
 			const quota = { cpu: this.quotas[index] }
 			this.terms[index].push({ quota, until: Number.POSITIVE_INFINITY })
@@ -73,13 +73,13 @@
 		})
 	}
 
-	override confirmed(now: number): void {
+	override onConfirmed(now: number): void {
 		for (const terms of this.terms) {
 			for (const term of terms.slice(0, -1)) term.until = Math.min(term.until, now)
 		}
 	}
 
-	override change(now: number): boolean {
+	override changeIfDue(now: number): boolean {
 		if (now < this.changeAt) return false
 		this.changeAt = now + this.random.exponential(CHANGE_EVERY)
 		const index = this.random.integer(0, NAMES.length - 1)
@@ -88,11 +88,11 @@
 		return true
 	}
 
-	override lift(): void {
+	override liftQuotas(): void {
 		this.quotas.fill(LIFTED)
 	}
 
-	override owned(id: string, request: JobRequest): string {
+	override keyDigestFor(id: string, request: JobRequest): string {
 		const known = this.jobs.get(id)
 		if (known) return digestOf(known.key)
 		const stranger = this.random.chance(STRANGERS)
@@ -102,7 +102,7 @@
 		return digestOf(key)
 	}
 
-	override began(worker: string, { task, late }: WitnessedRun, now: number): void {
+	override onRunStarted(worker: string, { task, isLate: late }: ObservedRun, now: number): void {
 		const name = parseTaskName(task)
 		const job = name && this.jobs.get(name.job)
 		if (!name || !job) return
@@ -112,7 +112,7 @@
 		if (!late) this.check(job.owner, amount, now, task)
 	}
 
-	override ended(worker: string, task: string): void {
+	override onRunEnded(worker: string, task: string): void {
 		this.live.delete(`${worker} ${task}`)
 	}
 
--- a/packages/runs/src/lib/jobs/RunAdvisers.ts
+++ b/packages/runs/src/lib/jobs/RunAdvisers.ts
@@ -68,7 +68,7 @@
 			const until = this.clock.now() + valid
 			const good = workers.filter((worker) => allows(hashOf(step, worker)))
 			const tickets = new Map(good.map((worker) => [worker, `${step}|${worker}|${until}`]))
-			this.loop.arrived(() => done({ kind: 'answered', tickets }))
+			this.loop.onMessage(() => done({ kind: 'answered', tickets }))
 		})
 	}
 
--- a/packages/runs/src/lib/jobs/RunLog.ts
+++ b/packages/runs/src/lib/jobs/RunLog.ts
@@ -46,7 +46,7 @@
 		this.entries.push(entry)
 		this.clock.after(this.random.integer(...COMMIT), () => {
 			entry.committed = true
-			this.loop.arrived(() => this.applyCommitted())
+			this.loop.onMessage(() => this.applyCommitted())
 		})
 	}
 
--- a/packages/runs/src/lib/jobs/checkOutcome.ts
+++ b/packages/runs/src/lib/jobs/checkOutcome.ts
@@ -21,7 +21,7 @@
 /**
  * @param asked - a job that a client handed in, with what it was answered.
  * @param job - what is kept of it; undefined for nothing.
- * @param witness - what the workers did.
+ * @param invariants - what the workers did.
  * @param crashes - whether one of its tasks crashes the workers that start it.
  * @throws InvariantBroken when they do not go together.
  * @internal
@@ -29,7 +29,7 @@
 export function checkOutcome(
 	{ id, request, accepted, refused, uncertain, cancelled }: Asked,
 	job: JobRecord | undefined,
-	witness: JobInvariants,
+	invariants: JobInvariants,
 	crashes = false
 ): void {
 	invariant(!refused || !job || accepted, 'a job that was refused is not kept', { id })
@@ -41,28 +41,28 @@
 	switch (job.state) {
 		case JobState.Completed:
 			for (const task of tasks) {
-				invariant(witness.isDone(task), 'a completed job has done all its tasks', { task })
+				invariant(invariants.isDone(task), 'a completed job has done all its tasks', { task })
 			}
 			return
 		case JobState.Failed: {
-			const cause = tasks.some((task) => witness.hasFailed(task))
+			const cause = tasks.some((task) => invariants.hasFailed(task))
 			invariant(cause || crashes || hasGang(request), 'a failed job has failed for a cause', { id })
 			return
 		}
 		case JobState.Running:
 		case JobState.Queued:
 			invariant(!crashes, 'a job with a task that crashes its workers ends', { id })
-			for (const task of tasks) checkLasting(request, task, witness)
+			for (const task of tasks) checkLasting(request, task, invariants)
 			return
 		case JobState.Cancelled:
 			invariant(false, 'only cancelled jobs are shown so', { id })
 	}
 }
 
-function checkLasting(request: JobRequest, task: string, witness: JobInvariants): void {
+function checkLasting(request: JobRequest, task: string, invariants: JobInvariants): void {
 	const step = request.steps[Number(task.split('.')[2])]
 	invariant(step.lasting, 'an accepted job ends', { task })
-	invariant(witness.liveRuns(task) === 1, 'a lasting task is at work', { task })
+	invariant(invariants.liveRuns(task) === 1, 'a lasting task is at work', { task })
 }
 
 function tasksOf(id: string, { steps, repeat }: JobRequest): string[] {
