--- a/packages/runs/src/lib/jobs/CrashingTasks.ts
+++ b/packages/runs/src/lib/jobs/CrashingTasks.ts
@@ -4,15 +4,15 @@
 import type { FleetWorker } from './FleetWorker'
 
 /** Share of jobs of which one task crashes its workers. */
-const SHARE = 0.05
+const CRASHING_JOB_SHARE = 0.05
 /** Milliseconds from the task's start to the crash, the least and the most. */
-const CRASHES_AFTER = [3, 30] as const
+const CRASH_DELAY_MS = [3, 30] as const
 /** Milliseconds for which the worker is away, the least and the most. */
-const AWAY = [2000, 5000] as const
+const DOWNTIME_MS = [2000, 5000] as const
 /** The same where it starts again under its name. */
-const AWAY_FOR_RESTART = [10, 5000] as const
+const RESTART_DOWNTIME_MS = [10, 5000] as const
 /** Starts of such a task that may follow once three workers have crashed under it. */
-const MOST_AFTER_THIRD = 2
+const MAX_STARTS_AFTER_THIRD = 2
 const THIRD = 3
 
 /** What crashing tasks need of their run. @internal */
@@ -20,9 +20,9 @@
 	readonly seed: number
 	readonly clock: Clock
 	/** A worker ends without a word and is back after a while, in milliseconds. */
-	readonly crash: (machine: FleetWorker, away: number) => void
+	readonly crash: (machine: FleetWorker, downtime: number) => void
 	/** The same, and it is back under the name that it had. */
-	readonly restart: (machine: FleetWorker, away: number) => void
+	readonly restart: (machine: FleetWorker, downtime: number) => void
 	/** Share of crashed workers that are back under their names. */
 	readonly restartedShare: number
 }
@@ -34,7 +34,7 @@
 	/** Workers that they crashed. */
 	workers: number
 	/** Most workers that one of them crashed. */
-	most: number
+	maxCrashes: number
 	/** Runs of other tasks that ended with those workers. */
 	neighbours: number
 }
@@ -45,7 +45,7 @@
  * @internal
  */
 export class CrashingTasks {
-	readonly tally: CrashTally = { tasks: 0, workers: 0, most: 0, neighbours: 0 }
+	readonly tally: CrashTally = { tasks: 0, workers: 0, maxCrashes: 0, neighbours: 0 }
 	private readonly random: Random
 	private readonly names = new Set<string>()
 	private readonly crashes = new Map<string, number>()
@@ -55,29 +55,29 @@
 	}
 
 	/** A client hands a job in, one task of which may be a crashing one. */
-	asked(id: string, { steps }: JobRequest): void {
-		if (!this.random.chance(SHARE)) return
+	onJobSubmitted(id: string, { steps }: JobRequest): void {
+		if (!this.random.chance(CRASHING_JOB_SHARE)) return
 		const step = this.random.integer(0, steps.length - 1)
 		const index = this.random.integer(0, steps[step].count - 1)
 		this.names.add(`${id}.0.${step}.${index}`)
 	}
 
 	/** @returns whether a task of a job crashes its workers. */
-	isIn(job: string): boolean {
+	hasCrashingTask(job: string): boolean {
 		for (const name of this.names) if (parseTaskName(name)?.job === job) return true
 		return false
 	}
 
 	/** A worker begins a task. */
-	began(machine: FleetWorker, task: string): void {
+	onRunStarted(machine: FleetWorker, task: string): void {
 		if (!this.names.has(task)) return
 		const before = this.crashes.get(task) ?? 0
-		const allowed = before < THIRD + MOST_AFTER_THIRD
+		const allowed = before < THIRD + MAX_STARTS_AFTER_THIRD
 		invariant(allowed, 'a task that crashes its workers begins no more', { task, before })
 		const { id } = machine.worker
-		this.parts.clock.after(this.random.integer(...CRASHES_AFTER), () => {
+		this.parts.clock.after(this.random.integer(...CRASH_DELAY_MS), () => {
 			// Its gang may have broken meanwhile: a run that has ended crashes nothing.
-			const isAtWork = machine.up && machine.worker.id === id && machine.isRunning(task)
+			const isAtWork = machine.isUp && machine.worker.id === id && machine.isRunning(task)
 			if (isAtWork) this.crash(machine, task)
 		})
 	}
@@ -88,11 +88,11 @@
 		const { tally } = this
 		if (before === 0) tally.tasks += 1
 		tally.workers += 1
-		tally.most = Math.max(tally.most, before + 1)
+		tally.maxCrashes = Math.max(tally.maxCrashes, before + 1)
 		tally.neighbours += machine.runCount - 1
 		const { restartedShare, restart, crash } = this.parts
 		const isRestarted = restartedShare > 0 && this.random.chance(restartedShare)
-		if (isRestarted) restart(machine, this.random.integer(...AWAY_FOR_RESTART))
-		else crash(machine, this.random.integer(...AWAY))
+		if (isRestarted) restart(machine, this.random.integer(...RESTART_DOWNTIME_MS))
+		else crash(machine, this.random.integer(...DOWNTIME_MS))
 	}
 }
--- a/packages/runs/src/lib/jobs/FleetOrders.ts
+++ b/packages/runs/src/lib/jobs/FleetOrders.ts
@@ -100,7 +100,7 @@
 	private reach({ address }: OrderTarget): FleetWorker | undefined {
 		const { at, cut } = this.parts
 		const machine = at(address)
-		return machine.up && !machine.cut && !cut() ? machine : undefined
+		return machine.isUp && !machine.isCutOff && !cut() ? machine : undefined
 	}
 
 	private answer<T>(machine: FleetWorker, answer: (result: T) => void, result: T): void {
@@ -108,8 +108,8 @@
 		const isSlow = slowShare > 0 && random.chance(slowShare)
 		const [least, most] = isSlow ? SLOW : WAY
 		clock.after(random.integer(least, most), () => {
-			const isSent = slowShare > 0 || machine.up
-			if (!isSent || machine.cut || this.parts.cut()) return
+			const isSent = slowShare > 0 || machine.isUp
+			if (!isSent || machine.isCutOff || this.parts.cut()) return
 			if (loop) loop.onMessage(() => answer(result))
 			else answer(result)
 		})
--- a/packages/runs/src/lib/jobs/FleetWorker.ts
+++ b/packages/runs/src/lib/jobs/FleetWorker.ts
@@ -25,13 +25,13 @@
 import { HOPELESS } from './randomJob'
 
 /** The longest lease that a worker keeps, in milliseconds. */
-const LONGEST_LEASE = 10_000
+const MAX_LEASE_MS = 10_000
 /** Milliseconds of work between two checkpoints. */
-const SAVE_EVERY = 500
+const CHECKPOINT_INTERVAL_MS = 500
 /** Milliseconds by which a worker's calendar may be wrong when it starts. */
-const CALENDAR_ERROR = 5000
+const START_TIME_ERROR_MS = 5000
 /** Milliseconds that a stop takes. */
-const STOP_TAKES = 200
+const STOP_DURATION_MS = 200
 
 /** A run on a worker. @internal */
 export interface FleetRun {
@@ -40,19 +40,19 @@
 	readonly step: Step
 	readonly worker: FleetWorker
 	checkpoint: string
-	saves: number
+	checkpointCount: number
 	/** Milliseconds that it works in all. */
-	readonly works: number
+	readonly workMs: number
 	/** When it ends by itself; infinite while a gang is not complete, and for lasting tasks. */
 	endsAt: number
 	/** Whether it will fail, of itself or by its worker. */
-	readonly fails: boolean
+	readonly willFail: boolean
 	/** How it ends then. */
-	endsAs: RunEnd
-	savesAt: number
+	endReason: RunEnd
+	nextCheckpointAt: number
 }
 
-interface Waiter {
+interface PendingPoll {
 	readonly until: number
 	readonly answer: () => void
 }
@@ -70,7 +70,7 @@
 	/** @returns why a start is refused that could be carried out; undefined if it is not. */
 	readonly refusal: () => Refusal | undefined
 	/** Told of each run that begins. */
-	readonly began: (machine: FleetWorker, task: string) => void
+	readonly onRunStarted: (machine: FleetWorker, task: string) => void
 }
 
 /**
@@ -81,39 +81,39 @@
 export class FleetWorker {
 	/** What it says of itself; its id changes with each life, also where its name does not. */
 	worker: Worker
-	up = true
+	isUp = true
 	/** Whether nobody hears it, nor it anybody. */
-	cut = false
-	draining = false
+	isCutOff = false
+	isDraining = false
 	/** Whether all that it starts fails. */
-	failing = false
+	isFailing = false
 	/** Whether what it runs stands still. */
-	stalled = false
+	isStalled = false
 	/** How fast it works; 1 is as fast as tasks declare. */
 	speed = 1
 	private tickedAt = 0
 	sequence = 0
-	private readonly room: OfferedCapacity
-	private readonly rate: number
-	private offset: number
+	private readonly offered: OfferedCapacity
+	private readonly clockRate: number
+	private clockOffset: number
 	private fence = 0
 	private leaseUntil = 0
 	/** Whether there is a lease that has not lapsed. */
-	private leased = false
+	private hasLease = false
 	private endCount = 0
 	private readonly runs = new Map<string, FleetRun>()
-	private ended: ListedEnd[] = []
+	private unacknowledgedEnds: ListedEnd[] = []
 	/** For each task the highest attempt that has ended or was stopped here. */
-	private readonly closed = new Map<string, number>()
-	private waiters: Waiter[] = []
+	private readonly closedAttempts = new Map<string, number>()
+	private pendingPolls: PendingPoll[] = []
 	constructor(
 		private readonly parts: FleetWorkerParts,
 		worker: Worker
 	) {
 		this.worker = worker
-		this.room = new OfferedCapacity(parts.clock, worker.capacity)
-		this.rate = 0.98 + parts.random.fraction() * 0.02
-		this.offset = parts.random.integer(0, 1_000_000)
+		this.offered = new OfferedCapacity(parts.clock, worker.capacity)
+		this.clockRate = 0.98 + parts.random.fraction() * 0.02
+		this.clockOffset = parts.random.integer(0, 1_000_000)
 	}
 
 	/** How many runs it has. */
@@ -128,23 +128,23 @@
 
 	/** What its own clock shows, in whole milliseconds. */
 	get ownClock(): number {
-		return Math.floor(this.offset + this.parts.clock.now() * this.rate)
+		return Math.floor(this.clockOffset + this.parts.clock.now() * this.clockRate)
 	}
 
 	/** Ends this life with all that it runs. */
 	crash(): void {
-		this.up = false
+		this.isUp = false
 		const { invariants, gangs } = this.parts
 		invariants.onWorkerDied(this.worker.id)
 		for (const run of this.runs.values()) gangs.left(run)
 		this.runs.clear()
-		this.waiters = []
+		this.pendingPolls = []
 	}
 
 	/** What it offers changes, as its next heartbeat tells. */
 	resize(share: number): void {
-		this.room.resize(share)
-		this.worker = { ...this.worker, capacity: this.room.current }
+		this.offered.resize(share)
+		this.worker = { ...this.worker, capacity: this.offered.current }
 	}
 
 	/** What it calls itself. */
@@ -153,113 +153,118 @@
 	}
 
 	/** Begins a new life under another name. */
-	rise(name: string): void {
-		this.begin({ name, born: this.worker.born === undefined ? undefined : this.bornNow() })
+	startAs(name: string): void {
+		this.startIncarnation({
+			name,
+			born: this.worker.born === undefined ? undefined : this.reportedStartTime(),
+		})
 	}
 
 	/** Begins a new life under the name that it had, with a clock of its own. */
-	riseAgain(): void {
-		this.offset = this.parts.random.integer(0, 1_000_000)
-		this.begin({ name: this.name, born: this.bornNow() })
+	restart(): void {
+		this.clockOffset = this.parts.random.integer(0, 1_000_000)
+		this.startIncarnation({ name: this.name, born: this.reportedStartTime() })
 	}
 
 	/** Calendars are set: a later life may seem to have started before an earlier one. */
-	private bornNow(): number {
+	private reportedStartTime(): number {
 		const { clock, random } = this.parts
-		return clock.date().getTime() + random.integer(-CALENDAR_ERROR, CALENDAR_ERROR)
+		return clock.date().getTime() + random.integer(-START_TIME_ERROR_MS, START_TIME_ERROR_MS)
 	}
 
-	private begin({ name, born }: Incarnation): void {
-		this.room.reset()
+	private startIncarnation({ name, born }: Incarnation): void {
+		this.offered.reset()
 		const id = formatIncarnation({ name, born })
-		this.worker = { ...this.worker, id, born, capacity: this.room.current }
-		this.up = true
-		this.draining = false
-		this.failing = false
-		this.stalled = false
+		this.worker = { ...this.worker, id, born, capacity: this.offered.current }
+		this.isUp = true
+		this.isDraining = false
+		this.isFailing = false
+		this.isStalled = false
 		this.fence = 0
 		this.leaseUntil = 0
-		this.leased = false
+		this.hasLease = false
 		this.endCount = 0
 		this.sequence = 0
-		this.ended = []
-		this.closed.clear()
+		this.unacknowledgedEnds = []
+		this.closedAttempts.clear()
 	}
 
 	/** Carries out an order to start. */
 	start(order: StartOrder, late: boolean): OrderResult {
-		if (order.fence < this.fence) return this.refuse(Refusal.Fence)
+		if (order.fence < this.fence) return this.toRefused(Refusal.Fence)
 		this.fence = order.fence
 		const { task, attempt, spec, ticket } = order
 		const past = order.leaseUntil <= this.ownClock
-		if (!past) this.extend(order.leaseUntil)
-		if (attempt <= (this.closed.get(task) ?? 0)) return this.refuse(Refusal.Old)
-		if (this.runs.get(task)?.attempt === attempt) return this.done()
-		if (past) return this.refuse(Refusal.Late)
-		if (!this.parts.mayRun(task, this.worker.id, ticket)) return this.refuse(Refusal.Ticket)
+		if (!past) this.extendLease(order.leaseUntil)
+		if (attempt <= (this.closedAttempts.get(task) ?? 0)) return this.toRefused(Refusal.Old)
+		if (this.runs.get(task)?.attempt === attempt) return this.toDone()
+		if (past) return this.toRefused(Refusal.Late)
+		if (!this.parts.mayRun(task, this.worker.id, ticket)) return this.toRefused(Refusal.Ticket)
 		const refusal = this.parts.refusal()
-		if (refusal) return this.refuse(refusal)
+		if (refusal) return this.toRefused(refusal)
 		const { invariants, clock } = this.parts
 		const { checkpoint } = order
 		const seen = { worker: this.worker.id, task, attempt, checkpoint, isLate: late }
 		// An order that is carried out late was right when it was sent.
-		const capacity = late ? this.room.full : this.room.maxRecent
+		const capacity = late ? this.offered.full : this.offered.maxRecent
 		invariants.onRunStarted({ ...this.worker, capacity }, seen, spec, clock.now())
 		this.startRun(task, attempt, checkpoint)
-		this.parts.began(this, task)
-		return this.done()
+		this.parts.onRunStarted(this, task)
+		return this.toDone()
 	}
 
 	/** Carries out an order to stop. */
 	stop({ task, attempt, fence }: StopOrder): OrderResult {
-		if (fence < this.fence) return this.refuse(Refusal.Fence)
+		if (fence < this.fence) return this.toRefused(Refusal.Fence)
 		this.fence = fence
 		const run = this.runs.get(task)
-		this.closed.set(task, Math.max(attempt, this.closed.get(task) ?? 0))
+		this.closedAttempts.set(task, Math.max(attempt, this.closedAttempts.get(task) ?? 0))
 		if (run && run.attempt <= attempt) {
-			this.save(run)
-			run.endsAt = Math.min(run.endsAt, this.parts.clock.now() + STOP_TAKES)
-			run.endsAs = RunEnd.Stopped
+			this.saveCheckpoint(run)
+			run.endsAt = Math.min(run.endsAt, this.parts.clock.now() + STOP_DURATION_MS)
+			run.endReason = RunEnd.Stopped
 		}
-		return this.done()
+		return this.toDone()
 	}
 
 	/** Answers a poll, at once or when there is an end to list. */
 	poll(order: PollOrder, answer: (result: PollResult) => void): void {
 		if (order.fence < this.fence) {
-			answer(this.refuse(Refusal.Fence) as PollResult)
+			answer(this.toRefused(Refusal.Fence) as PollResult)
 			return
 		}
 		this.fence = order.fence
-		this.note(order.endsSeen)
-		if (order.leaseUntil !== undefined) this.extend(order.leaseUntil)
-		const tell = (): void => answer(this.list())
-		if (order.wait === 0 || this.ended.length > 0) tell()
-		else this.waiters.push({ until: this.parts.clock.now() + order.wait, answer: tell })
+		this.acknowledgeEnds(order.endsSeen)
+		if (order.leaseUntil !== undefined) this.extendLease(order.leaseUntil)
+		const tell = (): void => answer(this.pollResult())
+		if (order.wait === 0 || this.unacknowledgedEnds.length > 0) tell()
+		else this.pendingPolls.push({ until: this.parts.clock.now() + order.wait, answer: tell })
 	}
 
 	/** Lets time pass. */
 	tick(): void {
-		if (!this.up) return
+		if (!this.isUp) return
 		const now = this.parts.clock.now()
-		if (this.stalled) this.putOff(now - this.tickedAt)
+		if (this.isStalled) this.delayRuns(now - this.tickedAt)
 		this.tickedAt = now
-		if (this.leased && this.ownClock >= this.leaseUntil) this.lapse()
+		if (this.hasLease && this.ownClock >= this.leaseUntil) this.expireLease()
 		for (const run of [...this.runs.values()]) {
-			if (run.savesAt <= now) this.save(run)
-			if (run.endsAt <= now) this.finish(run, run.endsAs)
+			if (run.nextCheckpointAt <= now) this.saveCheckpoint(run)
+			if (run.endsAt <= now) this.endRun(run, run.endReason)
 		}
-		const due = this.waiters.filter(({ until }) => until <= now || this.ended.length > 0)
-		this.waiters = this.waiters.filter((waiter) => !due.includes(waiter))
+		const due = this.pendingPolls.filter(
+			({ until }) => until <= now || this.unacknowledgedEnds.length > 0
+		)
+		this.pendingPolls = this.pendingPolls.filter((waiter) => !due.includes(waiter))
 		for (const { answer } of due) answer()
 	}
 
 	/** Ends a run and lists that. */
-	finish(run: FleetRun, how: RunEnd): void {
+	endRun(run: FleetRun, how: RunEnd): void {
 		const { task, attempt, checkpoint } = run
 		if (!this.runs.delete(task)) return
-		this.closed.set(task, Math.max(attempt, this.closed.get(task) ?? 0))
-		this.ended.push({ number: ++this.endCount, task, attempt, how, checkpoint })
+		this.closedAttempts.set(task, Math.max(attempt, this.closedAttempts.get(task) ?? 0))
+		this.unacknowledgedEnds.push({ number: ++this.endCount, task, attempt, how, checkpoint })
 		this.parts.invariants.onRunEnded(this.worker.id, task, attempt, how)
 		this.parts.gangs.left(run)
 	}
@@ -267,61 +272,63 @@
 	private startRun(task: string, attempt: number, checkpoint: string): void {
 		const { clock, random, stepOf, gangs } = this.parts
 		const step = stepOf(task)
-		const works = (step.expectedTime * (0.5 + random.fraction())) / this.speed
-		const fails = this.failing || step.image === HOPELESS || random.chance(0.02)
+		const workMs = (step.expectedTime * (0.5 + random.fraction())) / this.speed
+		const willFail = this.isFailing || step.image === HOPELESS || random.chance(0.02)
 		const run: FleetRun = {
 			task,
 			attempt,
 			step,
 			worker: this,
 			checkpoint,
-			saves: 0,
-			fails,
-			works,
-			endsAt: step.lasting && !fails ? Number.POSITIVE_INFINITY : clock.now() + works,
-			endsAs: fails ? RunEnd.Failed : RunEnd.Done,
-			savesAt: step.checkpoints ? clock.now() + SAVE_EVERY : Number.POSITIVE_INFINITY,
+			checkpointCount: 0,
+			willFail: willFail,
+			workMs: workMs,
+			endsAt: step.lasting && !willFail ? Number.POSITIVE_INFINITY : clock.now() + workMs,
+			endReason: willFail ? RunEnd.Failed : RunEnd.Done,
+			nextCheckpointAt: step.checkpoints
+				? clock.now() + CHECKPOINT_INTERVAL_MS
+				: Number.POSITIVE_INFINITY,
 		}
 		this.runs.set(task, run)
 		gangs.joined(run)
 	}
 
-	private save(run: FleetRun): void {
+	private saveCheckpoint(run: FleetRun): void {
 		if (!run.step.checkpoints) return
-		run.checkpoint = `${run.task}#${run.attempt}#${++run.saves}`
-		run.savesAt = this.parts.clock.now() + SAVE_EVERY
+		run.checkpoint = `${run.task}#${run.attempt}#${++run.checkpointCount}`
+		run.nextCheckpointAt = this.parts.clock.now() + CHECKPOINT_INTERVAL_MS
 		this.parts.invariants.onCheckpoint(run.task, run.checkpoint)
 	}
 
 	/** What stands still ends and saves later; stops are not held up. */
-	private putOff(span: number): void {
+	private delayRuns(span: number): void {
 		for (const run of this.runs.values()) {
-			run.savesAt += span
-			if (run.endsAs === RunEnd.Done || run.endsAs === RunEnd.Failed) run.endsAt += span
+			run.nextCheckpointAt += span
+			if (run.endReason === RunEnd.Done || run.endReason === RunEnd.Failed) run.endsAt += span
 		}
 	}
 
-	private lapse(): void {
-		this.leased = false
-		const tasks = this.ended.map((end) => end.task)
+	private expireLease(): void {
+		this.hasLease = false
+		const tasks = this.unacknowledgedEnds.map((end) => end.task)
 		this.parts.invariants.onLeaseExpired(this.worker.id, tasks)
-		for (const run of [...this.runs.values()]) this.finish(run, RunEnd.Lapsed)
+		for (const run of [...this.runs.values()]) this.endRun(run, RunEnd.Lapsed)
 	}
 
-	private extend(until: number): void {
-		this.leased = true
-		this.leaseUntil = Math.max(this.leaseUntil, Math.min(until, this.ownClock + LONGEST_LEASE))
+	private extendLease(until: number): void {
+		this.hasLease = true
+		this.leaseUntil = Math.max(this.leaseUntil, Math.min(until, this.ownClock + MAX_LEASE_MS))
 	}
 
-	private note(seen: number): void {
+	private acknowledgeEnds(seen: number): void {
 		const { invariants, clock } = this.parts
-		for (const { number, task, attempt } of this.ended) {
+		for (const { number, task, attempt } of this.unacknowledgedEnds) {
 			if (number <= seen) invariants.onEndAcknowledged(this.worker.id, task, attempt, clock.now())
 		}
-		this.ended = this.ended.filter((end) => end.number > seen)
+		this.unacknowledgedEnds = this.unacknowledgedEnds.filter((end) => end.number > seen)
 	}
 
-	private list(): PollResult {
+	private pollResult(): PollResult {
 		const running: ListedRun[] = [...this.runs.values()].map((run) => ({
 			task: run.task,
 			attempt: run.attempt,
@@ -330,22 +337,28 @@
 			measure: 100,
 		}))
 		const { born } = this.worker
-		return { kind: 'done', clock: this.ownClock, born, running, ended: [...this.ended] }
+		return {
+			kind: 'done',
+			clock: this.ownClock,
+			born,
+			running,
+			ended: [...this.unacknowledgedEnds],
+		}
 	}
 
 	/** How far a run has got; nothing while a gang is not complete. */
-	private percentOf({ step, works, endsAt, endsAs }: FleetRun): number {
+	private percentOf({ step, workMs: workMs, endsAt, endReason: endReason }: FleetRun): number {
 		if (step.lasting) return 100
-		if (!Number.isFinite(endsAt) || endsAs === RunEnd.Alone) return 0
-		const left = (endsAt - this.parts.clock.now()) / Math.max(1, works)
+		if (!Number.isFinite(endsAt) || endReason === RunEnd.Alone) return 0
+		const left = (endsAt - this.parts.clock.now()) / Math.max(1, workMs)
 		return Math.floor(Math.min(1, Math.max(0, 1 - left)) * 100)
 	}
 
-	private done(): OrderResult {
+	private toDone(): OrderResult {
 		return { kind: 'done', clock: this.ownClock }
 	}
 
-	private refuse(reason: Refusal): OrderResult {
+	private toRefused(reason: Refusal): OrderResult {
 		return { kind: 'refused', reason, clock: this.ownClock }
 	}
 }
--- a/packages/runs/src/lib/jobs/GangRegistry.ts
+++ b/packages/runs/src/lib/jobs/GangRegistry.ts
@@ -37,7 +37,7 @@
 		this.gangs.set(keyOf(run), gang)
 		gang.members.add(run)
 		run.endsAt = this.clock.now() + PATIENCE
-		run.endsAs = RunEnd.Alone
+		run.endReason = RunEnd.Alone
 		if (gang.members.size < run.step.count || gang.over) return
 		const slowest = Math.min(...[...gang.members].map(({ worker }) => worker.speed))
 		this.worked += 1
@@ -45,8 +45,8 @@
 		const work = run.step.expectedTime / slowest
 		gang.worksUntil = this.clock.now() + work
 		for (const member of gang.members) {
-			member.endsAt = gang.worksUntil - (member.fails ? work * FAILS_AFTER : 0)
-			member.endsAs = member.fails ? RunEnd.Failed : RunEnd.Done
+			member.endsAt = gang.worksUntil - (member.willFail ? work * FAILS_AFTER : 0)
+			member.endReason = member.willFail ? RunEnd.Failed : RunEnd.Done
 		}
 	}
 
@@ -55,14 +55,14 @@
 		if (!run.step.gang) return
 		const gang = this.gangs.get(keyOf(run))
 		if (!gang?.members.delete(run)) return
-		if (run.endsAs === RunEnd.Alone && run.endsAt <= this.clock.now()) this.alone += 1
+		if (run.endReason === RunEnd.Alone && run.endsAt <= this.clock.now()) this.alone += 1
 		const now = this.clock.now()
 		const done = gang.worksUntil !== undefined && gang.worksUntil <= now
 		gang.over = true
 		if (done) return
 		for (const member of gang.members) {
 			member.endsAt = Math.min(member.endsAt, now)
-			if (member.endsAs !== RunEnd.Stopped) member.endsAs = RunEnd.Broken
+			if (member.endReason !== RunEnd.Stopped) member.endReason = RunEnd.Broken
 		}
 	}
 }
--- a/packages/runs/src/lib/jobs/JobFaults.ts
+++ b/packages/runs/src/lib/jobs/JobFaults.ts
@@ -163,10 +163,10 @@
 		this.heldShare = 0
 		this.refusedShare = 0
 		for (const machine of this.run.fleet.machines) {
-			machine.cut = false
+			machine.isCutOff = false
 			machine.resize(1)
-			machine.failing = false
-			machine.stalled = false
+			machine.isFailing = false
+			machine.isStalled = false
 		}
 		for (const carrier of this.run.carriers) {
 			carrier.cut = false
@@ -211,11 +211,11 @@
 			case JobFault.WorkerLeaving:
 				return fleet.drain(machine)
 			case JobFault.WorkerFailing:
-				machine.failing = true
-				return this.later(span, () => (machine.failing = false))
+				machine.isFailing = true
+				return this.later(span, () => (machine.isFailing = false))
 			case JobFault.WorkerStalled:
-				machine.stalled = true
-				return this.later(span, () => (machine.stalled = false))
+				machine.isStalled = true
+				return this.later(span, () => (machine.isStalled = false))
 			case JobFault.OrdersLate:
 				this.lateShare = LATE_SHARE
 				return this.later(span, () => (this.lateShare = 0))
@@ -254,9 +254,9 @@
 	}
 
 	private cut(machines: readonly FleetWorker[], span: number): void {
-		for (const machine of machines) machine.cut = true
+		for (const machine of machines) machine.isCutOff = true
 		this.later(span, () => {
-			for (const machine of machines) machine.cut = false
+			for (const machine of machines) machine.isCutOff = false
 		})
 	}
 
--- a/packages/runs/src/lib/jobs/JobRun.ts
+++ b/packages/runs/src/lib/jobs/JobRun.ts
@@ -20,7 +20,7 @@
 import { Ledger, WorkerHealth } from '@rillrudder/scheduler'
 import { Log, Meter } from '@rillrudder/telemetry'
 import { invariant, ManualClock, Random } from '@rillrudder/utils'
-import { DATA_CENTRES, Fleet } from './Fleet'
+import { FLEET_DATA_CENTRES, Fleet } from './Fleet'
 import { FleetCarrier, LEADER_LIFE } from './FleetCarrier'
 import { FleetOrders } from './FleetOrders'
 import type { FleetWorker } from './FleetWorker'
@@ -61,7 +61,7 @@
 	/** How callers' accounts compete, in place of accounts whose keys and quotas change; gives the rate of jobs too. */
 	readonly competition?: Competition
 	/** Whether workers say when they started; they do where they start again under their names. */
-	readonly tellBorn?: boolean
+	readonly reportsStartTime?: boolean
 	/** Whether some tasks crash the workers that start them. */
 	readonly crashingTasks?: boolean
 	/** Share of workers crashed by tasks that start again under their names; none if absent. */
@@ -182,17 +182,18 @@
 			invariants,
 			service: SERVICE,
 			workersEach: options.wideGangs ? WORKERS_FOR_WIDE : undefined,
-			tellBorn: options.tellBorn ?? RESTARTS.some((fault) => this.faults.has(fault)),
+			reportsStartTime:
+				options.reportsStartTime ?? RESTARTS.some((fault) => this.faults.has(fault)),
 			speedOf: options.speedOf,
 			stepOf: (task) => this.stepOf(task),
 			mayRun: (task, worker, ticket) => this.mayRun(task, worker, ticket),
-			heldShare: () => this.faults.heldShare,
+			heldHeartbeatShare: () => this.faults.heldShare,
 			refusal: () => this.faults.refusal(),
-			began: (machine, task) => this.crashing?.began(machine, task),
+			onRunStarted: (machine, task) => this.crashing?.onRunStarted(machine, task),
 			call: (call, reply) => this.loop.onMessage(() => this.controller?.call(call, reply)),
 		})
 		this.direct = this.ordersFrom(() => false, this.loop)
-		this.carriers = DATA_CENTRES.slice(1).map((dataCentre) => this.carrierIn(dataCentre))
+		this.carriers = FLEET_DATA_CENTRES.slice(1).map((dataCentre) => this.carrierIn(dataCentre))
 		this.lead()
 		this.configure()
 		this.advance(2000)
@@ -253,7 +254,7 @@
 			invariant(known, 'a worker that reports is known by its present life', { worker: worker.id })
 		}
 		for (const job of this.asked.values()) {
-			const crashes = this.crashing?.isIn(job.id) ?? false
+			const crashes = this.crashing?.hasCrashingTask(job.id) ?? false
 			checkOutcome(job, this.state.jobs.find(job.id), this.invariants, crashes)
 		}
 	}
@@ -347,7 +348,7 @@
 		return new FleetOrders({
 			clock,
 			random,
-			at: (address) => this.fleet.at(address),
+			at: (address) => this.fleet.machineAt(address),
 			cut,
 			lateShare: () => this.faults.lateShare,
 			lostShare: () => this.faults.lostShare,
@@ -440,7 +441,7 @@
 		}
 		this.asked.set(id, job)
 		invariants.onJobSubmitted(id, request, queue)
-		this.crashing?.asked(id, request)
+		this.crashing?.onJobSubmitted(id, request)
 		this.submit(job, queue.name)
 	}
 
--- a/packages/runs/src/lib/jobs/RunAccounts.ts
+++ b/packages/runs/src/lib/jobs/RunAccounts.ts
@@ -102,14 +102,14 @@
 		return digestOf(key)
 	}
 
-	override onRunStarted(worker: string, { task, isLate: late }: ObservedRun, now: number): void {
+	override onRunStarted(worker: string, { task, isLate }: ObservedRun, now: number): void {
 		const name = parseTaskName(task)
 		const job = name && this.jobs.get(name.job)
 		if (!name || !job) return
 		invariant(job.owner !== undefined, 'nothing runs for a caller without a key', { task })
 		const amount = job.request.steps[name.step].need
 		this.live.set(`${worker} ${task}`, { owner: job.owner, amount })
-		if (!late) this.check(job.owner, amount, now, task)
+		if (!isLate) this.check(job.owner, amount, now, task)
 	}
 
 	override onRunEnded(worker: string, task: string): void {
--- a/packages/runs/src/lib/jobs/jobRun.test.ts
+++ b/packages/runs/src/lib/jobs/jobRun.test.ts
@@ -143,7 +143,7 @@
 
 /** Again and again carriers stand still with orders that they took, and workers start again under their names before they go on. */
 function runWithHeldOrders(seed: number): void {
-	const run = new JobRun({ seed, faultRate: CALM, jobRate: 8, tellBorn: true })
+	const run = new JobRun({ seed, faultRate: CALM, jobRate: 8, reportsStartTime: true })
 	for (let round = 0; round < 3; round++) {
 		run.run(run.random.integer(300, 900))
 		for (const carrier of run.carriers) carrier.freeze(run.random.integer(1500, 2500))
--- a/packages/runs/src/lib/jobs/restartedRun.test.ts
+++ b/packages/runs/src/lib/jobs/restartedRun.test.ts
@@ -35,7 +35,7 @@
 
 /** Instances that carry orders stand still, workers start again meanwhile, and what was held reaches their next lives. */
 function runWithOrdersAcrossLives(seed: number, hold: readonly [number, number] = LONG_HOLD): void {
-	const run = new JobRun({ seed, faultRate: 0, jobRate: 6, tellBorn: true })
+	const run = new JobRun({ seed, faultRate: 0, jobRate: 6, reportsStartTime: true })
 	for (let round = 0; round < 8; round++) {
 		run.run(600)
 		for (const carrier of run.carriers) carrier.freeze(run.random.integer(...hold))
