--- a/packages/runs/src/lib/jobs/CompetingAccounts.ts
+++ b/packages/runs/src/lib/jobs/CompetingAccounts.ts
@@ -18,21 +18,26 @@
 	/** How many accounts there are. */
 	readonly accounts: number
 	/** Jobs a second that each sends as a rule. */
-	readonly usual: number
+	readonly usualRate: number
 	/** How many of them press. */
-	readonly pressing: number
+	readonly overloading: number
 	/** Times its usual that each of these sends. */
-	readonly times: number
+	readonly overloadFactor: number
 }
 
 /** Jobs a second within an account's rate: more than any sends, so that shares alone order their work. */
-const WEIGHT = 1000
+const ACCOUNT_WEIGHT = 1000
 /** Set apart from the run's own stream. */
-const STREAM = 0xacc7
+const SEED_MASK = 0xacc7
 
 /** @returns jobs a second that all accounts send together. @internal */
-export function rateOf({ accounts, usual, pressing, times }: Competition): number {
-	return usual * (accounts - pressing + pressing * times)
+export function totalRateOf({
+	accounts,
+	usualRate,
+	overloading,
+	overloadFactor,
+}: Competition): number {
+	return usualRate * (accounts - overloading + overloading * overloadFactor)
 }
 
 /**
@@ -49,12 +54,12 @@
 		private readonly competition: Competition
 	) {
 		super()
-		this.random = new Random(seed ^ STREAM)
+		this.random = new Random(seed ^ SEED_MASK)
 	}
 
 	/** Whether an account sends more than its usual. */
-	presses(name: string): boolean {
-		return Number(name) < this.competition.pressing
+	isOverloading(name: string): boolean {
+		return Number(name) < this.competition.overloading
 	}
 
 	/** @returns a job that any account might send: a few tasks of some seconds, or a gang. */
@@ -71,11 +76,15 @@
 	}
 
 	override nextAccounts(): ClientAccount[] {
-		return this.names().map((name) => ({ name, weight: WEIGHT, keyDigests: [digestOf(name)] }))
+		return this.names().map((name) => ({
+			name,
+			weight: ACCOUNT_WEIGHT,
+			keyDigests: [digestOf(name)],
+		}))
 	}
 
 	override keyDigestFor(id: string): string {
-		const owner = this.owners.get(id) ?? this.pick()
+		const owner = this.owners.get(id) ?? this.pickOwner()
 		this.owners.set(id, owner)
 		return digestOf(owner)
 	}
@@ -88,11 +97,11 @@
 	override onRunStarted(): void {}
 	override onRunEnded(): void {}
 
-	private pick(): string {
-		const { pressing, times, accounts } = this.competition
-		const at = this.random.integer(0, accounts - pressing + pressing * times - 1)
-		const pressed = Math.floor(at / times)
-		return String(pressed < pressing ? pressed : at - pressing * (times - 1))
+	private pickOwner(): string {
+		const { overloading, overloadFactor, accounts } = this.competition
+		const at = this.random.integer(0, accounts - overloading + overloading * overloadFactor - 1)
+		const overloader = Math.floor(at / overloadFactor)
+		return String(overloader < overloading ? overloader : at - overloading * (overloadFactor - 1))
 	}
 
 	private names(): string[] {
@@ -101,28 +110,28 @@
 }
 
 /** What an account of a run asked for and got, in thousandths of processors times milliseconds. @internal */
-export interface Served {
+export interface ServedWork {
 	readonly account: string
-	asked: number
-	got: number
+	requested: number
+	received: number
 	jobs: number
 	/** Jobs that were done within their objectives. */
 	inTime: number
 }
 
 /** @returns what each account got of its jobs that were handed in before a moment, in milliseconds since the epoch. @internal */
-export function servedOf(jobs: Iterable<JobRecord>, until: number): Served[] {
-	const served = new Map<string, Served>()
+export function servedWorkOf(jobs: Iterable<JobRecord>, until: number): ServedWork[] {
+	const served = new Map<string, ServedWork>()
 	for (const job of jobs) {
 		const account = job.account?.name ?? ''
-		const entry = served.get(account) ?? { account, asked: 0, got: 0, jobs: 0, inTime: 0 }
+		const entry = served.get(account) ?? { account, requested: 0, received: 0, jobs: 0, inTime: 0 }
 		served.set(account, entry)
 		const [{ count, need, expectedTime }] = job.request.steps
 		const work = count * need.cpu * expectedTime
 		const done = job.ended > 0 && job.ended <= until
 		const objective = job.queue.latencyTarget + job.queue.stretch * expectedTime
-		entry.asked += work
-		entry.got += done ? work : 0
+		entry.requested += work
+		entry.received += done ? work : 0
 		entry.jobs += 1
 		entry.inTime += done && job.ended - job.submitted <= objective ? 1 : 0
 	}
@@ -130,14 +139,14 @@
 }
 
 /** @returns Jain's index over what accounts of one weight got of what was theirs by max-min fairness: 1 when all got as much. @internal */
-export function fairnessOf(served: readonly Served[]): number {
-	const room = served.reduce((sum, { got }) => sum + got, 0)
+export function jainIndexOf(served: readonly ServedWork[]): number {
+	const capacity = served.reduce((sum, { received }) => sum + received, 0)
 	const level = maxMinLevel(
-		served.map(({ asked }) => ({ weight: 1, most: asked })),
-		room
+		served.map(({ requested }) => ({ weight: 1, most: requested })),
+		capacity
 	)
-	const parts = served.map(({ asked, got }) => got / Math.min(asked, level))
-	const sum = parts.reduce((total, part) => total + part, 0)
-	const squares = parts.reduce((total, part) => total + part * part, 0)
-	return (sum * sum) / (parts.length * squares)
+	const fractions = served.map(({ requested, received }) => received / Math.min(requested, level))
+	const sum = fractions.reduce((total, fraction) => total + fraction, 0)
+	const squares = fractions.reduce((total, fraction) => total + fraction * fraction, 0)
+	return (sum * sum) / (fractions.length * squares)
 }
--- a/packages/runs/src/lib/jobs/Fleet.ts
+++ b/packages/runs/src/lib/jobs/Fleet.ts
@@ -2,7 +2,7 @@
 import { formatIncarnation, type CellCall, type CellReply, type Worker } from '@rillrudder/jobs'
 import { FleetWorker, type FleetWorkerParts } from './FleetWorker'
 import { GangRegistry } from './GangRegistry'
-import { KINDS } from './randomJob'
+import { WORKER_KINDS } from './randomJob'
 
 /** Where the workers are. @internal */
 export const FLEET_DATA_CENTRES: readonly string[] = ['vake', 'saburtalo', 'isani']
@@ -95,7 +95,7 @@
 	private add(dataCentre: string): void {
 		const number = this.machines.length
 		const rack = `r${Math.floor(number / RACK_SIZE)}`
-		const kind = KINDS[number % KINDS.length]
+		const kind = WORKER_KINDS[number % WORKER_KINDS.length]
 		const born = this.parts.reportsStartTime ? this.parts.clock.date().getTime() : undefined
 		const worker: Worker = {
 			id: formatIncarnation({ name: this.nextId(), born }),
@@ -126,9 +126,10 @@
 		const sequence = ++machine.sequence
 		const remaining = isDraining ? DRAIN_MS : undefined
 		const heartbeat = { worker, sequence, draining: isDraining, remaining, clock }
-		const { clock: time, random, heldHeartbeatShare: heldShare, call } = this.parts
+		const { clock: time, random, heldHeartbeatShare, call } = this.parts
 		const arrive = (): void => call({ kind: 'heartbeat', heartbeat }, acknowledged)
-		if (random.chance(heldShare())) time.after(random.integer(...HELD_HEARTBEAT_MS), arrive)
+		if (random.chance(heldHeartbeatShare()))
+			time.after(random.integer(...HELD_HEARTBEAT_MS), arrive)
 		else arrive()
 	}
 
--- a/packages/runs/src/lib/jobs/FleetCarrier.ts
+++ b/packages/runs/src/lib/jobs/FleetCarrier.ts
@@ -8,11 +8,11 @@
 import type { Clock, Random } from '@rillrudder/utils'
 
 /** Milliseconds that a message between two instances takes, the least and the most. */
-const WAY = [1, 5] as const
+const NETWORK_DELAY_MS = [1, 5] as const
 
 const LEADER = 'leader'
 /** All leaders of a run count as one process, whose clock is known from its first word on. */
-export const LEADER_LIFE = 'life'
+export const LEADER_INCARNATION = 'life'
 
 /** What a carrying instance needs of its run. @internal */
 export interface FleetCarrierParts extends Carrier {
@@ -21,7 +21,7 @@
 	/** Reaches workers from this instance. */
 	readonly orders: WorkerOrders
 	/** Brings results to the leader, if there is one. */
-	readonly results: (results: OrderResults) => void
+	readonly deliverResults: (results: OrderResults) => void
 }
 
 /**
@@ -33,48 +33,49 @@
 	readonly id: string
 	readonly dataCentre: string
 	/** Whether it is linked to the leader. */
-	linked = true
+	isLinked = true
 	/** Whether what passes over its link is lost although the link is up. */
-	silent = false
+	isDroppingMessages = false
 	/** Whether no worker hears it. */
-	cut = false
+	isCutOff = false
 	/** When the leader last heard of it. */
 	heardAt = 0
-	private frozen = false
+	private isFrozen = false
 	private held: (() => void)[] = []
-	private life = 0
+	private incarnation = 0
 	private carrier: OrderCarrier
 
 	constructor(private readonly parts: FleetCarrierParts) {
 		this.id = parts.id
 		this.dataCentre = parts.dataCentre
-		this.carrier = this.rise()
+		this.carrier = this.newCarrier()
 	}
 
 	/** Takes orders. @returns false when they were dropped for certain. */
 	take(batch: OrderBatch): boolean {
-		if (!this.linked) return false
-		if (!this.silent) this.after(() => this.act(() => this.carrier.take(LEADER, batch)))
+		if (!this.isLinked) return false
+		if (!this.isDroppingMessages)
+			this.afterDelay(() => this.runOrHold(() => this.carrier.take(LEADER, batch)))
 		return true
 	}
 
 	/** Lets time pass: the leader hears of it, and it of the leader. */
 	tick(): void {
-		if (!this.linked || this.silent || this.frozen) return
+		if (!this.isLinked || this.isDroppingMessages || this.isFrozen) return
 		const now = this.parts.clock.now()
 		this.heardAt = now
-		this.carrier.heard(LEADER, { life: LEADER_LIFE, at: now })
+		this.carrier.heard(LEADER, { life: LEADER_INCARNATION, at: now })
 	}
 
 	/** It stands still for a while, and then goes on with what it held. */
 	freeze(span: number): void {
-		this.frozen = true
-		this.parts.clock.after(span, () => this.thaw())
+		this.isFrozen = true
+		this.parts.clock.after(span, () => this.unfreeze())
 	}
 
 	/** It goes on. */
-	thaw(): void {
-		this.frozen = false
+	unfreeze(): void {
+		this.isFrozen = false
 		const { held } = this
 		this.held = []
 		for (const act of held) act()
@@ -83,31 +84,31 @@
 	/** It is killed, and another process takes its place at once. */
 	kill(): void {
 		this.held = []
-		this.carrier = this.rise()
+		this.carrier = this.newCarrier()
 	}
 
-	private rise(): OrderCarrier {
-		const life = ++this.life
+	private newCarrier(): OrderCarrier {
+		const incarnation = ++this.incarnation
 		const { orders, clock } = this.parts
 		return new OrderCarrier(orders, clock, (_to, results) => {
-			if (life !== this.life) return
-			this.act(() => this.tell(results))
+			if (incarnation !== this.incarnation) return
+			this.runOrHold(() => this.sendResults(results))
 		})
 	}
 
-	private tell(results: OrderResults): void {
-		this.after(() => {
-			if (this.linked && !this.silent) this.parts.results(results)
+	private sendResults(results: OrderResults): void {
+		this.afterDelay(() => {
+			if (this.isLinked && !this.isDroppingMessages) this.parts.deliverResults(results)
 		})
 	}
 
-	private act(call: () => void): void {
-		if (this.frozen) this.held.push(call)
+	private runOrHold(call: () => void): void {
+		if (this.isFrozen) this.held.push(call)
 		else call()
 	}
 
-	private after(call: () => void): void {
+	private afterDelay(call: () => void): void {
 		const { clock, random } = this.parts
-		clock.after(random.integer(...WAY), call)
+		clock.after(random.integer(...NETWORK_DELAY_MS), call)
 	}
 }
--- a/packages/runs/src/lib/jobs/FleetOrders.ts
+++ b/packages/runs/src/lib/jobs/FleetOrders.ts
@@ -15,13 +15,13 @@
 import type { LeaderLoop } from './LeaderLoop'
 
 /** Milliseconds after which a call without an answer is given up. */
-const ANSWER_LIMIT = 250
+const ANSWER_TIMEOUT_MS = 250
 /** Milliseconds each way, the least and the most. */
-const WAY = [1, 9] as const
+const NETWORK_DELAY_MS = [1, 9] as const
 /** Milliseconds that a slow answer takes, the least and the most; it may come after its call was given up. */
-const SLOW = [60, 290] as const
+const SLOW_ANSWER_MS = [60, 290] as const
 /** Seconds after which a late order is carried out, the least and the most, in milliseconds. */
-const LATE = [2000, 12_000] as const
+const LATE_ORDER_MS = [2000, 12_000] as const
 
 type Answer<T> = (result: T | { readonly kind: 'unknown'; readonly message: string }) => void
 
@@ -30,9 +30,9 @@
 	readonly clock: Clock
 	readonly random: Random
 	/** @returns the machine at an address. */
-	readonly at: (address: string) => FleetWorker
+	readonly machineAt: (address: string) => FleetWorker
 	/** @returns whether no worker can be reached from here. */
-	readonly cut: () => boolean
+	readonly isCutOff: () => boolean
 	/** Share of orders that get no answer and are carried out late. */
 	readonly lateShare: () => number
 	/** Share of orders that are carried out and whose answer is lost. */
@@ -54,90 +54,91 @@
 	}
 
 	override start(worker: OrderTarget, order: StartOrder, done: Answer<OrderResult>): void {
-		this.carry(worker, done, (machine, late) => machine.start(order, late))
+		this.send(worker, done, (machine, late) => machine.start(order, late))
 	}
 
 	override stop(worker: OrderTarget, order: StopOrder, done: Answer<OrderResult>): void {
-		this.carry(worker, done, (machine) => machine.stop(order))
+		this.send(worker, done, (machine) => machine.stop(order))
 	}
 
 	override pace(worker: OrderTarget, _order: PaceOrder, done: Answer<OrderResult>): void {
-		this.carry(worker, done, () => ({ kind: 'done' }))
+		this.send(worker, done, () => ({ kind: 'done' }))
 	}
 
 	override poll(worker: OrderTarget, order: PollOrder, done: Answer<PollResult>): void {
-		const answer = this.limited(done, ANSWER_LIMIT + order.wait)
-		this.after(() => {
-			const machine = this.reach(worker)
+		const answer = this.withTimeout(done, ANSWER_TIMEOUT_MS + order.wait)
+		this.afterDelay(() => {
+			const machine = this.reachableMachine(worker)
 			if (!machine) return
-			if (!isMeant(machine, worker)) return this.answer(machine, answer, OTHER)
-			machine.poll(order, (result) => this.answer(machine, answer, result))
+			if (!isAddressedTo(machine, worker))
+				return this.sendAnswer(machine, answer, OTHER_INCARNATION)
+			machine.poll(order, (result) => this.sendAnswer(machine, answer, result))
 		})
 	}
 
-	private carry(
+	private send(
 		worker: OrderTarget,
 		done: Answer<OrderResult>,
 		act: (machine: FleetWorker, late: boolean) => OrderResult
 	): void {
 		const { clock, random, lateShare, lostShare } = this.parts
-		const answer = this.limited(done, ANSWER_LIMIT)
+		const answer = this.withTimeout(done, ANSWER_TIMEOUT_MS)
 		const late = random.chance(lateShare())
 		const lost = late || random.chance(lostShare())
-		const { id: life } = this.parts.at(worker.address).worker
+		const { id: incarnation } = this.parts.machineAt(worker.address).worker
 		const reached = (): void => {
-			const machine = this.reach(worker)
+			const machine = this.reachableMachine(worker)
 			if (!machine) return
 			// What a worker has taken and not yet carried out is lost with its life.
-			if (late && machine.worker.id !== life) return
-			const result = isMeant(machine, worker) ? act(machine, late) : OTHER
-			if (!lost) this.answer(machine, answer, result)
+			if (late && machine.worker.id !== incarnation) return
+			const result = isAddressedTo(machine, worker) ? act(machine, late) : OTHER_INCARNATION
+			if (!lost) this.sendAnswer(machine, answer, result)
 		}
-		if (late) clock.after(random.integer(...LATE), reached)
-		else this.after(reached)
+		if (late) clock.after(random.integer(...LATE_ORDER_MS), reached)
+		else this.afterDelay(reached)
 	}
 
-	private reach({ address }: OrderTarget): FleetWorker | undefined {
-		const { at, cut } = this.parts
-		const machine = at(address)
-		return machine.isUp && !machine.isCutOff && !cut() ? machine : undefined
+	private reachableMachine({ address }: OrderTarget): FleetWorker | undefined {
+		const { machineAt, isCutOff } = this.parts
+		const machine = machineAt(address)
+		return machine.isUp && !machine.isCutOff && !isCutOff() ? machine : undefined
 	}
 
-	private answer<T>(machine: FleetWorker, answer: (result: T) => void, result: T): void {
+	private sendAnswer<T>(machine: FleetWorker, answer: (result: T) => void, result: T): void {
 		const { clock, random, slowShare, loop } = this.parts
 		const isSlow = slowShare > 0 && random.chance(slowShare)
-		const [least, most] = isSlow ? SLOW : WAY
+		const [least, most] = isSlow ? SLOW_ANSWER_MS : NETWORK_DELAY_MS
 		clock.after(random.integer(least, most), () => {
 			const isSent = slowShare > 0 || machine.isUp
-			if (!isSent || machine.isCutOff || this.parts.cut()) return
+			if (!isSent || machine.isCutOff || this.parts.isCutOff()) return
 			if (loop) loop.onMessage(() => answer(result))
 			else answer(result)
 		})
 	}
 
-	private after(call: () => void): void {
+	private afterDelay(call: () => void): void {
 		const { clock, random } = this.parts
-		clock.after(random.integer(...WAY), call)
+		clock.after(random.integer(...NETWORK_DELAY_MS), call)
 	}
 
 	/** @returns what takes the first answer; none by the limit counts as unknown. */
-	private limited<T>(done: Answer<T>, limit: number): (result: T) => void {
-		let settled = false
+	private withTimeout<T>(done: Answer<T>, limit: number): (result: T) => void {
+		let isSettled = false
 		const settle = (result: Parameters<Answer<T>>[0]): void => {
-			if (settled) return
-			settled = true
+			if (isSettled) return
+			isSettled = true
 			done(result)
 		}
 		const { clock, loop } = this.parts
-		const giveUp = (): void => settle({ kind: 'unknown', message: 'no answer' })
-		clock.after(limit, () => (loop ? loop.onTimer(giveUp) : giveUp()))
+		const onTimeout = (): void => settle({ kind: 'unknown', message: 'no answer' })
+		clock.after(limit, () => (loop ? loop.onTimer(onTimeout) : onTimeout()))
 		return settle
 	}
 }
 
 /** A worker knows itself by its name only, and takes what was meant for an earlier life. */
-function isMeant({ name }: FleetWorker, { id }: OrderTarget): boolean {
+function isAddressedTo({ name }: FleetWorker, { id }: OrderTarget): boolean {
 	return workerNameOf(id) === name
 }
 
-const OTHER = { kind: 'other-incarnation' } as const
+const OTHER_INCARNATION = { kind: 'other-incarnation' } as const
--- a/packages/runs/src/lib/jobs/FleetWorker.ts
+++ b/packages/runs/src/lib/jobs/FleetWorker.ts
@@ -22,7 +22,7 @@
 import type { GangRegistry } from './GangRegistry'
 import type { JobInvariants } from './JobInvariants'
 import { OfferedCapacity } from './OfferedCapacity'
-import { HOPELESS } from './randomJob'
+import { FAILING_IMAGE } from './randomJob'
 
 /** The longest lease that a worker keeps, in milliseconds. */
 const MAX_LEASE_MS = 10_000
@@ -136,7 +136,7 @@
 		this.isUp = false
 		const { invariants, gangs } = this.parts
 		invariants.onWorkerDied(this.worker.id)
-		for (const run of this.runs.values()) gangs.left(run)
+		for (const run of this.runs.values()) gangs.onRunEnded(run)
 		this.runs.clear()
 		this.pendingPolls = []
 	}
@@ -266,14 +266,14 @@
 		this.closedAttempts.set(task, Math.max(attempt, this.closedAttempts.get(task) ?? 0))
 		this.unacknowledgedEnds.push({ number: ++this.endCount, task, attempt, how, checkpoint })
 		this.parts.invariants.onRunEnded(this.worker.id, task, attempt, how)
-		this.parts.gangs.left(run)
+		this.parts.gangs.onRunEnded(run)
 	}
 
 	private startRun(task: string, attempt: number, checkpoint: string): void {
 		const { clock, random, stepOf, gangs } = this.parts
 		const step = stepOf(task)
 		const workMs = (step.expectedTime * (0.5 + random.fraction())) / this.speed
-		const willFail = this.isFailing || step.image === HOPELESS || random.chance(0.02)
+		const willFail = this.isFailing || step.image === FAILING_IMAGE || random.chance(0.02)
 		const run: FleetRun = {
 			task,
 			attempt,
@@ -281,8 +281,8 @@
 			worker: this,
 			checkpoint,
 			checkpointCount: 0,
-			willFail: willFail,
-			workMs: workMs,
+			willFail,
+			workMs,
 			endsAt: step.lasting && !willFail ? Number.POSITIVE_INFINITY : clock.now() + workMs,
 			endReason: willFail ? RunEnd.Failed : RunEnd.Done,
 			nextCheckpointAt: step.checkpoints
@@ -290,7 +290,7 @@
 				: Number.POSITIVE_INFINITY,
 		}
 		this.runs.set(task, run)
-		gangs.joined(run)
+		gangs.onRunStarted(run)
 	}
 
 	private saveCheckpoint(run: FleetRun): void {
@@ -347,7 +347,7 @@
 	}
 
 	/** How far a run has got; nothing while a gang is not complete. */
-	private percentOf({ step, workMs: workMs, endsAt, endReason: endReason }: FleetRun): number {
+	private percentOf({ step, workMs, endsAt, endReason }: FleetRun): number {
 		if (step.lasting) return 100
 		if (!Number.isFinite(endsAt) || endReason === RunEnd.Alone) return 0
 		const left = (endsAt - this.parts.clock.now()) / Math.max(1, workMs)
--- a/packages/runs/src/lib/jobs/GangRegistry.ts
+++ b/packages/runs/src/lib/jobs/GangRegistry.ts
@@ -4,14 +4,14 @@
 import type { FleetRun } from './FleetWorker'
 
 /** Milliseconds that a member waits for the others. */
-const PATIENCE = 3000
+const JOIN_TIMEOUT_MS = 3000
 /** Share of the work that is left when a member fails. */
-const FAILS_AFTER = 0.5
+const FAILURE_POINT = 0.5
 
 interface Gang {
 	readonly members: Set<FleetRun>
-	worksUntil?: number
-	over: boolean
+	doneAt?: number
+	hasEnded: boolean
 }
 
 /**
@@ -22,43 +22,43 @@
 export class GangRegistry {
 	private readonly gangs = new Map<string, Gang>()
 	/** How many runs ended because the others did not come. */
-	alone = 0
+	timedOutMembers = 0
 	/** How many gangs have worked. */
-	worked = 0
+	startedGangs = 0
 	/** How many of them worked more slowly than their step declared, for a member's worker is slow. */
-	slow = 0
+	slowGangs = 0
 
 	constructor(private readonly clock: Clock) {}
 
 	/** A run has begun. */
-	joined(run: FleetRun): void {
+	onRunStarted(run: FleetRun): void {
 		if (!run.step.gang) return
-		const gang = this.gangs.get(keyOf(run)) ?? { members: new Set<FleetRun>(), over: false }
-		this.gangs.set(keyOf(run), gang)
+		const gang = this.gangs.get(gangKeyOf(run)) ?? { members: new Set<FleetRun>(), hasEnded: false }
+		this.gangs.set(gangKeyOf(run), gang)
 		gang.members.add(run)
-		run.endsAt = this.clock.now() + PATIENCE
+		run.endsAt = this.clock.now() + JOIN_TIMEOUT_MS
 		run.endReason = RunEnd.Alone
-		if (gang.members.size < run.step.count || gang.over) return
+		if (gang.members.size < run.step.count || gang.hasEnded) return
 		const slowest = Math.min(...[...gang.members].map(({ worker }) => worker.speed))
-		this.worked += 1
-		if (slowest < 1) this.slow += 1
+		this.startedGangs += 1
+		if (slowest < 1) this.slowGangs += 1
 		const work = run.step.expectedTime / slowest
-		gang.worksUntil = this.clock.now() + work
+		gang.doneAt = this.clock.now() + work
 		for (const member of gang.members) {
-			member.endsAt = gang.worksUntil - (member.willFail ? work * FAILS_AFTER : 0)
+			member.endsAt = gang.doneAt - (member.willFail ? work * FAILURE_POINT : 0)
 			member.endReason = member.willFail ? RunEnd.Failed : RunEnd.Done
 		}
 	}
 
 	/** A run has ended: the others of its gang end too. */
-	left(run: FleetRun): void {
+	onRunEnded(run: FleetRun): void {
 		if (!run.step.gang) return
-		const gang = this.gangs.get(keyOf(run))
+		const gang = this.gangs.get(gangKeyOf(run))
 		if (!gang?.members.delete(run)) return
-		if (run.endReason === RunEnd.Alone && run.endsAt <= this.clock.now()) this.alone += 1
+		if (run.endReason === RunEnd.Alone && run.endsAt <= this.clock.now()) this.timedOutMembers += 1
 		const now = this.clock.now()
-		const done = gang.worksUntil !== undefined && gang.worksUntil <= now
-		gang.over = true
+		const done = gang.doneAt !== undefined && gang.doneAt <= now
+		gang.hasEnded = true
 		if (done) return
 		for (const member of gang.members) {
 			member.endsAt = Math.min(member.endsAt, now)
@@ -67,6 +67,6 @@
 	}
 }
 
-function keyOf({ task, attempt }: FleetRun): string {
+function gangKeyOf({ task, attempt }: FleetRun): string {
 	return `${task.slice(0, task.lastIndexOf('.'))}@${attempt}`
 }
--- a/packages/runs/src/lib/jobs/JobFaults.ts
+++ b/packages/runs/src/lib/jobs/JobFaults.ts
@@ -28,7 +28,7 @@
 	/** All workers of a data centre do. */
 	DataCentreLost: 'data-centre-lost',
 	/** What a worker offers shrinks while it runs, and grows again. */
-	RoomShrinks: 'room-shrinks',
+	CapacityShrinks: 'room-shrinks',
 	/** A worker ends without a word and starts again under the id that it had. */
 	WorkerRestarted: 'worker-restarted',
 	/** The same, and it is back before a poll that was out has shown that it was away. */
@@ -47,12 +47,12 @@
 export const ALL_FAULTS: readonly JobFault[] = Object.values(JobFault)
 
 /** Everything but leaders that stand still: what seeds are played with that failed in such runs. @internal */
-export const PROMPT_LEADER_FAULTS: readonly JobFault[] = ALL_FAULTS.filter(
+export const FAULTS_WITHOUT_LEADER_STALLS: readonly JobFault[] = ALL_FAULTS.filter(
 	(fault) => fault !== JobFault.LeaderStalled
 )
 
 /** What only runs that ask for it have. */
-const RARE_FAULTS: readonly JobFault[] = [
+const OPTIONAL_FAULTS: readonly JobFault[] = [
 	'rack-lost',
 	'data-centre-lost',
 	'room-shrinks',
@@ -65,14 +65,14 @@
 
 /** What goes wrong in a run unless it says otherwise. @public */
 export const COMMON_FAULTS: readonly JobFault[] = ALL_FAULTS.filter(
-	(fault) => !RARE_FAULTS.includes(fault)
+	(fault) => !OPTIONAL_FAULTS.includes(fault)
 )
 
 /** Waves of crashes besides. @public */
-export const WAVES: readonly JobFault[] = [JobFault.RackLost, JobFault.DataCentreLost]
+export const CRASH_WAVES: readonly JobFault[] = [JobFault.RackLost, JobFault.DataCentreLost]
 
 /** Workers that start again under the id that they had. @public */
-export const RESTARTS: readonly JobFault[] = [
+export const RESTART_FAULTS: readonly JobFault[] = [
 	JobFault.WorkerRestarted,
 	JobFault.WorkerRestartedAtOnce,
 	JobFault.RackRestarted,
@@ -91,15 +91,15 @@
 ]
 
 /** Of so many faults one brings a second with it. */
-const SECOND_SHARE = 0.3
+const SECOND_FAULT_SHARE = 0.3
 /** How long a fault lasts, the least and the most, in milliseconds. */
-const LASTS = [300, 7000] as const
+const DURATION_MS = [300, 7000] as const
 /** How long a worker is away that is back at once, the least and the most, in milliseconds. */
-const AT_ONCE = [10, 200] as const
+const IMMEDIATE_RESTART_MS = [10, 200] as const
 /** How long there is no leader, the least and the most, in milliseconds. */
-const LEADERLESS = [50, 1500] as const
+const LEADERLESS_MS = [50, 1500] as const
 /** How long a leader stands still, the least and the most, in milliseconds. */
-const STALLS = [100, 1200] as const
+const STALL_MS = [100, 1200] as const
 const LATE_SHARE = 0.06
 const LOST_SHARE = 0.2
 const CANCELLED_SHARE = 0.3
@@ -120,48 +120,48 @@
  * @internal
  */
 export class JobFaults {
-	lateShare = 0
-	lostShare = 0
+	lateOrderShare = 0
+	lostAnswerShare = 0
 	/** Share of heartbeats that are held back. */
-	heldShare = 0
+	heldHeartbeatShare = 0
 	/** Share of starts that are refused. */
-	private refusedShare = 0
+	private refusedStartShare = 0
 	readonly counts: { [fault: string]: number } = {}
 	private nextAt = 0
 
 	constructor(
 		private readonly run: JobRun,
 		private readonly rate: number,
-		private readonly kinds: readonly JobFault[]
+		private readonly faults: readonly JobFault[]
 	) {}
 
 	/** @returns whether something may go wrong. */
 	has(fault: JobFault): boolean {
-		return this.kinds.includes(fault)
+		return this.faults.includes(fault)
 	}
 
 	/** @returns why a worker refuses the start that it is about to carry out; undefined if it does not. */
-	refusal(): Refusal | undefined {
+	randomRefusal(): Refusal | undefined {
 		const { random } = this.run
-		if (this.refusedShare === 0 || !random.chance(this.refusedShare)) return undefined
+		if (this.refusedStartShare === 0 || !random.chance(this.refusedStartShare)) return undefined
 		return random.pick(REFUSALS)
 	}
 
 	/** Lets something go wrong, where that is due. */
-	step(): void {
+	tick(): void {
 		const { clock, random } = this.run
 		if (this.rate === 0 || clock.now() < this.nextAt) return
 		this.nextAt = clock.now() + random.exponential(1000 / this.rate)
-		this.strike()
-		if (random.chance(SECOND_SHARE)) this.strike()
+		this.injectFault()
+		if (random.chance(SECOND_FAULT_SHARE)) this.injectFault()
 	}
 
 	/** Mends everything that is wrong. */
-	end(): void {
-		this.lateShare = 0
-		this.lostShare = 0
-		this.heldShare = 0
-		this.refusedShare = 0
+	endAll(): void {
+		this.lateOrderShare = 0
+		this.lostAnswerShare = 0
+		this.heldHeartbeatShare = 0
+		this.refusedStartShare = 0
 		for (const machine of this.run.fleet.machines) {
 			machine.isCutOff = false
 			machine.resize(1)
@@ -169,106 +169,106 @@
 			machine.isStalled = false
 		}
 		for (const carrier of this.run.carriers) {
-			carrier.cut = false
-			carrier.linked = true
-			carrier.silent = false
-			carrier.thaw()
+			carrier.isCutOff = false
+			carrier.isLinked = true
+			carrier.isDroppingMessages = false
+			carrier.unfreeze()
 		}
 	}
 
-	private strike(): void {
+	private injectFault(): void {
 		const { random, fleet } = this.run
-		const fault = random.pick(this.kinds)
+		const fault = random.pick(this.faults)
 		const machine = random.pick(fleet.machines)
 		const carrier = random.pick(this.run.carriers)
-		const span = random.integer(...LASTS)
+		const duration = random.integer(...DURATION_MS)
 		this.counts[fault] = (this.counts[fault] ?? 0) + 1
 		switch (fault) {
 			case JobFault.LeaderLost:
-				return this.run.loseLeader(random.integer(...LEADERLESS))
+				return this.run.loseLeader(random.integer(...LEADERLESS_MS))
 			case JobFault.LeaderStalled:
-				return this.run.loop.stall(random.integer(...STALLS))
+				return this.run.loop.stall(random.integer(...STALL_MS))
 			case JobFault.WorkerLost:
-				return fleet.crash(machine, span)
+				return fleet.crash(machine, duration)
 			case JobFault.RackLost:
-				return this.crash(this.inRack(machine), span)
+				return this.crash(this.sameRack(machine), duration)
 			case JobFault.DataCentreLost:
-				return this.crash(this.besides(machine), span)
+				return this.crash(this.sameDataCentre(machine), duration)
 			case JobFault.WorkerRestarted:
-				return fleet.restart(machine, span)
+				return fleet.restart(machine, duration)
 			case JobFault.WorkerRestartedAtOnce:
-				return fleet.restart(machine, random.integer(...AT_ONCE))
+				return fleet.restart(machine, random.integer(...IMMEDIATE_RESTART_MS))
 			case JobFault.RackRestarted:
-				for (const one of this.inRack(machine)) fleet.restart(one, span)
+				for (const other of this.sameRack(machine)) fleet.restart(other, duration)
 				return
-			case JobFault.RoomShrinks:
+			case JobFault.CapacityShrinks:
 				machine.resize(random.fraction())
-				return this.later(span, () => machine.resize(1))
+				return this.after(duration, () => machine.resize(1))
 			case JobFault.WorkerCut:
-				return this.cut([machine], span)
+				return this.cut([machine], duration)
 			case JobFault.DataCentreCut:
-				return this.cut(this.besides(machine), span)
+				return this.cut(this.sameDataCentre(machine), duration)
 			case JobFault.WorkerLeaving:
 				return fleet.drain(machine)
 			case JobFault.WorkerFailing:
 				machine.isFailing = true
-				return this.later(span, () => (machine.isFailing = false))
+				return this.after(duration, () => (machine.isFailing = false))
 			case JobFault.WorkerStalled:
 				machine.isStalled = true
-				return this.later(span, () => (machine.isStalled = false))
+				return this.after(duration, () => (machine.isStalled = false))
 			case JobFault.OrdersLate:
-				this.lateShare = LATE_SHARE
-				return this.later(span, () => (this.lateShare = 0))
+				this.lateOrderShare = LATE_SHARE
+				return this.after(duration, () => (this.lateOrderShare = 0))
 			case JobFault.AnswersLost:
-				this.lostShare = LOST_SHARE
-				return this.later(span, () => (this.lostShare = 0))
+				this.lostAnswerShare = LOST_SHARE
+				return this.after(duration, () => (this.lostAnswerShare = 0))
 			case JobFault.AdviceLost:
-				this.run.advisers.lostShare = LOST_SHARE
-				return this.later(span, () => (this.run.advisers.lostShare = 0))
+				this.run.advisers.lostAnswerShare = LOST_SHARE
+				return this.after(duration, () => (this.run.advisers.lostAnswerShare = 0))
 			case JobFault.HeartbeatsHeld:
-				this.heldShare = HELD_SHARE
-				return this.later(span, () => (this.heldShare = 0))
+				this.heldHeartbeatShare = HELD_SHARE
+				return this.after(duration, () => (this.heldHeartbeatShare = 0))
 			case JobFault.StartsRefused:
-				this.refusedShare = REFUSED_SHARE
-				return this.later(span, () => (this.refusedShare = 0))
+				this.refusedStartShare = REFUSED_SHARE
+				return this.after(duration, () => (this.refusedStartShare = 0))
 			case JobFault.CancelWave:
 				return this.run.cancelSome(CANCELLED_SHARE)
 			case JobFault.CarrierFrozen:
-				return carrier.freeze(span)
+				return carrier.freeze(duration)
 			case JobFault.CarrierKilled:
 				return carrier.kill()
 			case JobFault.CarrierUnlinked:
 				this.run.unlink(carrier)
-				return this.later(span, () => (carrier.linked = true))
+				return this.after(duration, () => (carrier.isLinked = true))
 			case JobFault.CarrierSilent:
-				carrier.silent = true
-				return this.later(span, () => (carrier.silent = false))
+				carrier.isDroppingMessages = true
+				return this.after(duration, () => (carrier.isDroppingMessages = false))
 			case JobFault.CarrierCut:
-				carrier.cut = true
-				return this.later(span, () => (carrier.cut = false))
+				carrier.isCutOff = true
+				return this.after(duration, () => (carrier.isCutOff = false))
 		}
 	}
 
-	private crash(machines: readonly FleetWorker[], span: number): void {
-		for (const machine of machines) this.run.fleet.crash(machine, span)
+	private crash(machines: readonly FleetWorker[], duration: number): void {
+		for (const machine of machines) this.run.fleet.crash(machine, duration)
 	}
 
-	private cut(machines: readonly FleetWorker[], span: number): void {
+	private cut(machines: readonly FleetWorker[], duration: number): void {
 		for (const machine of machines) machine.isCutOff = true
-		this.later(span, () => {
+		this.after(duration, () => {
 			for (const machine of machines) machine.isCutOff = false
 		})
 	}
 
-	private besides({ worker }: FleetWorker): FleetWorker[] {
-		return this.run.fleet.machines.filter((one) => one.worker.dataCentre === worker.dataCentre)
+	private sameDataCentre({ worker }: FleetWorker): FleetWorker[] {
+		return this.run.fleet.machines.filter((other) => other.worker.dataCentre === worker.dataCentre)
 	}
 
-	private inRack({ worker }: FleetWorker): FleetWorker[] {
-		return this.run.fleet.machines.filter((one) => one.worker.rack === worker.rack)
+	private sameRack({ worker }: FleetWorker): FleetWorker[] {
+		return this.run.fleet.machines.filter((other) => other.worker.rack === worker.rack)
 	}
 
-	private later(span: number, call: () => void): void {
-		this.run.clock.after(span, call)
+	private after(duration: number, call: () => void): void {
+		this.run.clock.after(duration, call)
 	}
 }
--- a/packages/runs/src/lib/jobs/JobRun.ts
+++ b/packages/runs/src/lib/jobs/JobRun.ts
@@ -21,31 +21,31 @@
 import { Log, Meter } from '@rillrudder/telemetry'
 import { invariant, ManualClock, Random } from '@rillrudder/utils'
 import { FLEET_DATA_CENTRES, Fleet } from './Fleet'
-import { FleetCarrier, LEADER_LIFE } from './FleetCarrier'
+import { FleetCarrier, LEADER_INCARNATION } from './FleetCarrier'
 import { FleetOrders } from './FleetOrders'
 import type { FleetWorker } from './FleetWorker'
-import { COMMON_FAULTS, JobFaults, RESTARTS, type JobFault } from './JobFaults'
+import { COMMON_FAULTS, JobFaults, RESTART_FAULTS, type JobFault } from './JobFaults'
 import { JobInvariants } from './JobInvariants'
 import { LeaderLoop } from './LeaderLoop'
-import { randomJob, WIDE, wideGang } from './randomJob'
-import { checkOutcome, type Asked } from './checkOutcome'
+import { randomJob, WIDE_GANG_SPEC, wideGangJob } from './randomJob'
+import { checkOutcome, type SubmittedJob } from './checkOutcome'
 import { CrashingTasks, type CrashTally } from './CrashingTasks'
 import type { CallerAccounts } from './CallerAccounts'
-import { CompetingAccounts, rateOf, type Competition } from './CompetingAccounts'
+import { CompetingAccounts, totalRateOf, type Competition } from './CompetingAccounts'
 import { RunAccounts } from './RunAccounts'
 import { PLENTIFUL_ADVICE, RunAdvisers, type RunAdvice, SCARCE_ADVICE } from './RunAdvisers'
 import { RunLog } from './RunLog'
 
 /** Milliseconds of one step of a run. */
-const STEP = 10
+const STEP_MS = 10
 /** Share of jobs that are wide gangs, in a run with these. */
-const WIDE_SHARE = 0.25
+const WIDE_GANG_SHARE = 0.25
 /** Milliseconds between two readings of the leader's clockwork. */
-const TICK = 20
+const TICK_INTERVAL_MS = 20
 /** Milliseconds after which a client without an answer asks again. */
-const ASK_AGAIN = 400
+const RETRY_MS = 400
 /** Everything is over so long after the faults have ended, in milliseconds. */
-const SETTLE_FOR = 90_000
+const SETTLE_MS = 90_000
 
 /** How a run is made. @public */
 export interface JobRunOptions {
@@ -84,26 +84,26 @@
 	/** Runs that began on workers. */
 	readonly starts: number
 	/** Members of gangs that waited in vain for the others. */
-	readonly alone: number
+	readonly timedOutMembers: number
 	/** How many gangs worked, and how many of them as slowly as a slow worker lets them. */
 	readonly gangs: number
 	readonly slowGangs: number
 	/** Wide gangs that were done while jobs were handed in or after, and how many milliseconds each took on the mean. */
-	readonly wide: { readonly done: number; readonly took: number }
+	readonly wideGangs: { readonly done: number; readonly took: number }
 	/** Milliseconds of answers that leaders asked for. */
-	readonly advice: number
+	readonly adviceMs: number
 	/** What crashing tasks did; undefined in a run without them. */
 	readonly crashes: CrashTally | undefined
 	readonly faults: { readonly [fault: string]: number }
 }
 
 /** So many workers that a leader has its orders carried. */
-const AS_MANY_AS_CARRIED = 1000
+const CARRIED_WORKER_COUNT = 1000
 const SERVICE = 'controller'
 const URGENT = queueOf('urgent', 0, 2)
 const BATCH = queueOf('batch', 2, 3)
 /** Workers in each data centre of a run with wide gangs: a question about all of them takes long. */
-const WORKERS_FOR_WIDE = 20
+const WORKERS_EACH_FOR_WIDE_GANGS = 20
 
 function termsOf({ base, each, valid }: RunAdvice): AdviceTerms {
 	return { base, each, valid }
@@ -141,12 +141,12 @@
 	private readonly jobRandom: Random
 	readonly invariants: JobInvariants
 	private readonly accounts: CallerAccounts | undefined
-	private readonly competing: CompetingAccounts | undefined
-	private readonly crashing: CrashingTasks | undefined
+	private readonly competingAccounts: CompetingAccounts | undefined
+	private readonly crashingTasks: CrashingTasks | undefined
 	private version = 0
 	readonly fleet: Fleet
 	private readonly faults: JobFaults
-	private readonly asked = new Map<string, Asked>()
+	private readonly submitted = new Map<string, SubmittedJob>()
 	/** Instances that carry orders, one in each data centre but the leader's. */
 	readonly carriers: readonly FleetCarrier[]
 	private readonly direct: FleetOrders
@@ -166,12 +166,12 @@
 		this.random = new Random(options.seed)
 		const { seed, competition } = options
 		this.jobRandom = options.wideGangs ? new Random(seed) : this.random
-		this.competing = competition && new CompetingAccounts(seed, competition)
-		this.accounts = this.competing ?? (options.accounts ? new RunAccounts(seed) : undefined)
+		this.competingAccounts = competition && new CompetingAccounts(seed, competition)
+		this.accounts = this.competingAccounts ?? (options.accounts ? new RunAccounts(seed) : undefined)
 		this.invariants = new JobInvariants(this.accounts)
 		const { clock, random, invariants } = this
 		this.loop = new LeaderLoop(clock)
-		this.crashing = options.crashingTasks ? this.crashingTasks() : undefined
+		this.crashingTasks = options.crashingTasks ? this.newCrashingTasks() : undefined
 		const advice = options.wideGangs ? SCARCE_ADVICE : PLENTIFUL_ADVICE
 		this.queues = [URGENT, { ...BATCH, advice: termsOf(advice) }]
 		this.advisers = new RunAdvisers(clock, random, advice, this.loop)
@@ -181,38 +181,38 @@
 			random,
 			invariants,
 			service: SERVICE,
-			workersEach: options.wideGangs ? WORKERS_FOR_WIDE : undefined,
+			workersEach: options.wideGangs ? WORKERS_EACH_FOR_WIDE_GANGS : undefined,
 			reportsStartTime:
-				options.reportsStartTime ?? RESTARTS.some((fault) => this.faults.has(fault)),
+				options.reportsStartTime ?? RESTART_FAULTS.some((fault) => this.faults.has(fault)),
 			speedOf: options.speedOf,
 			stepOf: (task) => this.stepOf(task),
 			mayRun: (task, worker, ticket) => this.mayRun(task, worker, ticket),
-			heldHeartbeatShare: () => this.faults.heldShare,
-			refusal: () => this.faults.refusal(),
-			onRunStarted: (machine, task) => this.crashing?.onRunStarted(machine, task),
+			heldHeartbeatShare: () => this.faults.heldHeartbeatShare,
+			refusal: () => this.faults.randomRefusal(),
+			onRunStarted: (machine, task) => this.crashingTasks?.onRunStarted(machine, task),
 			call: (call, reply) => this.loop.onMessage(() => this.controller?.call(call, reply)),
 		})
-		this.direct = this.ordersFrom(() => false, this.loop)
-		this.carriers = FLEET_DATA_CENTRES.slice(1).map((dataCentre) => this.carrierIn(dataCentre))
-		this.lead()
+		this.direct = this.newOrders(() => false, this.loop)
+		this.carriers = FLEET_DATA_CENTRES.slice(1).map((dataCentre) => this.newCarrier(dataCentre))
+		this.startLeader()
 		this.configure()
 		this.advance(2000)
 	}
 
 	/** What was done so far. */
 	get tally(): JobRunTally {
-		const jobs = [...this.asked.values()]
+		const jobs = [...this.submitted.values()]
 		return {
 			jobs: jobs.length,
-			cancelled: jobs.filter((job) => job.cancelled).length,
+			cancelled: jobs.filter((job) => job.isCancelled).length,
 			leaders: this.term,
 			starts: this.invariants.starts,
-			alone: this.fleet.gangs.alone,
-			gangs: this.fleet.gangs.worked,
-			slowGangs: this.fleet.gangs.slow,
-			wide: this.wideTally,
-			advice: this.advisers.took,
-			crashes: this.crashing?.tally,
+			timedOutMembers: this.fleet.gangs.timedOutMembers,
+			gangs: this.fleet.gangs.startedGangs,
+			slowGangs: this.fleet.gangs.slowGangs,
+			wideGangs: this.wideTally,
+			adviceMs: this.advisers.answerMs,
+			crashes: this.crashingTasks?.tally,
 			faults: this.faults.counts,
 		}
 	}
@@ -223,8 +223,8 @@
 	}
 
 	private get wideTally() {
-		const records = [...this.asked.values()]
-			.filter(({ request }) => request.spec === WIDE)
+		const records = [...this.submitted.values()]
+			.filter(({ request }) => request.spec === WIDE_GANG_SPEC)
 			.map(({ id }) => this.state.jobs.find(id))
 		const done = records.filter((job) => job?.state === JobState.Completed)
 		const total = done.reduce((sum, job) => sum + (job?.ended ?? 0) - (job?.submitted ?? 0), 0)
@@ -235,26 +235,26 @@
 	run(span: number): void {
 		const until = this.clock.now() + span
 		while (this.clock.now() < until) {
-			if (this.clock.now() >= this.nextJobAt) this.handIn()
-			this.faults.step()
+			if (this.clock.now() >= this.nextJobAt) this.submitNewJob()
+			this.faults.tick()
 			if (this.accounts?.changeIfDue(this.clock.now())) this.configure()
-			this.advance(STEP)
+			this.advance(STEP_MS)
 		}
 	}
 
 	/** Ends all faults, waits, and checks that nothing accepted is lost. */
 	settle(): void {
-		this.faults.end()
-		if (!this.controller) this.lead()
+		this.faults.endAll()
+		if (!this.controller) this.startLeader()
 		this.accounts?.liftQuotas()
 		if (this.accounts) this.configure()
-		this.advance(SETTLE_FOR)
+		this.advance(SETTLE_MS)
 		for (const { worker } of this.fleet.machines) {
 			const known = this.state.workers.find(worker.id) !== undefined
 			invariant(known, 'a worker that reports is known by its present life', { worker: worker.id })
 		}
-		for (const job of this.asked.values()) {
-			const crashes = this.crashing?.hasCrashingTask(job.id) ?? false
+		for (const job of this.submitted.values()) {
+			const crashes = this.crashingTasks?.hasCrashingTask(job.id) ?? false
 			checkOutcome(job, this.state.jobs.find(job.id), this.invariants, crashes)
 		}
 	}
@@ -268,29 +268,29 @@
 		this.loop.clear()
 		this.controller = undefined
 		this.log = undefined
-		this.clock.after(gap, () => this.lead())
+		this.clock.after(gap, () => this.startLeader())
 	}
 
 	/** Cancels some of the jobs that were accepted. */
 	cancelSome(share: number): void {
-		for (const job of this.asked.values()) {
-			if (!job.accepted || job.cancelAsked || !this.random.chance(share)) continue
-			job.cancelAsked = true
+		for (const job of this.submitted.values()) {
+			if (!job.isAccepted || job.isCancelRequested || !this.random.chance(share)) continue
+			job.isCancelRequested = true
 			this.cancel(job)
 		}
 	}
 
-	private lead(): void {
+	private startLeader(): void {
 		if (this.controller) return
 		const { clock, random, advisers } = this
 		const term = ++this.term
-		const orders = this.carriedOrders(term)
+		const orders = this.newCarriedOrders(term)
 		this.orders = orders
 		const state = new CellState()
 		state.restore(this.state.snapshot())
 		this.state = state
 		const log = new RunLog(clock, random, state, this.loop)
-		const silent = (): void => undefined
+		const discard = (): void => undefined
 		const controller: JobController = new JobController({
 			state,
 			ledger: new Ledger(new Random(this.options.seed)),
@@ -303,9 +303,9 @@
 			orders,
 			advisers,
 			proposals: log,
-			log: new Log('run', clock, 'silent', silent),
+			log: new Log('run', clock, 'silent', discard),
 			meter: new Meter(),
-			deposed: () => this.deposed(controller),
+			deposed: () => this.onDeposed(controller),
 		})
 		this.log = log
 		this.controller = controller
@@ -329,90 +329,91 @@
 			}
 		})
 		if (!this.accounts) return
-		this.clock.after(ASK_AGAIN, () => {
+		this.clock.after(RETRY_MS, () => {
 			if (!confirmed && configuration.version === this.version) {
 				this.sendConfiguration(configuration)
 			}
 		})
 	}
 
-	private crashingTasks(): CrashingTasks {
+	private newCrashingTasks(): CrashingTasks {
 		const crash = (machine: FleetWorker, away: number): void => this.fleet.crash(machine, away)
 		const restart = (machine: FleetWorker, away: number): void => this.fleet.restart(machine, away)
 		const { seed, restartedShare = 0 } = this.options
 		return new CrashingTasks({ seed, clock: this.clock, crash, restart, restartedShare })
 	}
 
-	private ordersFrom(cut: () => boolean, loop?: LeaderLoop): FleetOrders {
+	private newOrders(cut: () => boolean, loop?: LeaderLoop): FleetOrders {
 		const { clock, random } = this
 		return new FleetOrders({
 			clock,
 			random,
-			at: (address) => this.fleet.machineAt(address),
-			cut,
-			lateShare: () => this.faults.lateShare,
-			lostShare: () => this.faults.lostShare,
+			machineAt: (address) => this.fleet.machineAt(address),
+			isCutOff: cut,
+			lateShare: () => this.faults.lateOrderShare,
+			lostShare: () => this.faults.lostAnswerShare,
 			slowShare: this.options.slowAnswers ?? 0,
 			loop,
 		})
 	}
 
-	private carrierIn(dataCentre: string): FleetCarrier {
+	private newCarrier(dataCentre: string): FleetCarrier {
 		const { clock, random } = this
 		const carrier: FleetCarrier = new FleetCarrier({
 			id: `core-${dataCentre}`,
 			dataCentre,
 			clock,
 			random,
-			orders: this.ordersFrom(() => carrier.cut),
-			results: (results) => this.loop.onMessage(() => this.orders?.taken(results)),
+			orders: this.newOrders(() => carrier.isCutOff),
+			deliverResults: (results) => this.loop.onMessage(() => this.orders?.taken(results)),
 		})
 		return carrier
 	}
 
-	private carriedOrders(term: number): CarriedOrders {
+	private newCarriedOrders(term: number): CarriedOrders {
 		const { clock, direct, carriers } = this
-		const named = (id: string): FleetCarrier | undefined => carriers.find((one) => one.id === id)
+		const carrierById = (id: string): FleetCarrier | undefined =>
+			carriers.find((one) => one.id === id)
 		return new CarriedOrders({
 			direct,
 			term,
-			life: LEADER_LIFE,
+			life: LEADER_INCARNATION,
 			clock,
 			log: new Log('run', clock, 'silent', () => undefined),
-			linked: () => carriers.filter((carrier) => carrier.linked),
-			heardAt: (id) => named(id)?.heardAt ?? Number.NEGATIVE_INFINITY,
-			workers: () => AS_MANY_AS_CARRIED,
-			send: (to, batch) => named(to)?.take(batch) ?? false,
+			linked: () => carriers.filter((carrier) => carrier.isLinked),
+			heardAt: (id) => carrierById(id)?.heardAt ?? Number.NEGATIVE_INFINITY,
+			workers: () => CARRIED_WORKER_COUNT,
+			send: (to, batch) => carrierById(to)?.take(batch) ?? false,
 		})
 	}
 
 	/** A carrying instance loses its link to the leader. */
 	unlink(carrier: FleetCarrier): void {
-		carrier.linked = false
+		carrier.isLinked = false
 		this.orders?.lost(carrier.id)
 	}
 
 	/** Only a leader that has been followed by another is refused by a worker. */
-	private deposed(controller: JobController): void {
+	private onDeposed(controller: JobController): void {
 		invariant(this.controller !== controller, 'a leader is not refused for its term', {
 			term: this.term,
 		})
 	}
 
 	private advance(span: number): void {
-		for (let spent = 0; spent < span; spent += STEP) {
-			this.clock.advance(STEP)
+		for (let spent = 0; spent < span; spent += STEP_MS) {
+			this.clock.advance(STEP_MS)
 			this.fleet.tick()
 			for (const carrier of this.carriers) carrier.tick()
-			if (!this.loop.isStalled) this.turn()
+			if (!this.loop.isStalled) this.runLeader()
 		}
 	}
 
 	/** The leader reads what has come, and acts. */
-	private turn(): void {
+	private runLeader(): void {
 		this.loop.resume()
 		if (this.clock.now() >= this.tickAt) {
-			this.tickAt = this.clock.now() + TICK
+			this.tickAt = this.clock.now() + TICK_INTERVAL_MS
 			this.orders?.tick(this.clock.now())
 			this.controller?.tick()
 		}
@@ -421,82 +422,82 @@
 		this.orders?.flush()
 	}
 
-	private handIn(): void {
+	private submitNewJob(): void {
 		const { clock, options, invariants, jobRandom: random } = this
-		const rate = options.competition ? rateOf(options.competition) : options.jobRate
+		const rate = options.competition ? totalRateOf(options.competition) : options.jobRate
 		this.nextJobAt = clock.now() + random.exponential(1000 / rate)
 		const id = random.integer(0, 0x7fffffff).toString(16).padStart(16, '0')
-		if (this.asked.has(id)) return
+		if (this.submitted.has(id)) return
 		const request = this.newRequest(random)
 		const queue = this.queueFor(request, random)
 		const job = {
 			id,
 			request,
-			accepted: false,
-			unanswered: 0,
-			refused: false,
-			uncertain: false,
-			cancelAsked: false,
-			cancelled: false,
+			isAccepted: false,
+			unansweredCalls: 0,
+			isRefused: false,
+			isUncertain: false,
+			isCancelRequested: false,
+			isCancelled: false,
 		}
-		this.asked.set(id, job)
+		this.submitted.set(id, job)
 		invariants.onJobSubmitted(id, request, queue)
-		this.crashing?.onJobSubmitted(id, request)
+		this.crashingTasks?.onJobSubmitted(id, request)
 		this.submit(job, queue.name)
 	}
 
 	private newRequest(random: Random): JobRequest {
-		const { competing, options, clock } = this
-		if (competing) return competing.request(random)
-		if (options.wideGangs && random.chance(WIDE_SHARE)) return wideGang(random)
+		const { competingAccounts, options, clock } = this
+		if (competingAccounts) return competingAccounts.request(random)
+		if (options.wideGangs && random.chance(WIDE_GANG_SHARE)) return wideGangJob(random)
 		return randomJob(random, clock.date().getTime())
 	}
 
 	private queueFor({ spec, steps }: JobRequest, random: Random): Queue {
 		const [urgent, batch] = this.queues
-		if (spec === WIDE) return batch
+		if (spec === WIDE_GANG_SPEC) return batch
 		// A policy that bars every worker with the label would make the job one that can never run.
 		const plain = steps.every((step) => !step.lasting && step.requires === '')
 		// Shares order work of one priority.
-		return plain && !this.competing ? random.pick(this.queues) : urgent
+		return plain && !this.competingAccounts ? random.pick(this.queues) : urgent
 	}
 
-	private submit(job: Asked, queue: string): void {
-		if (job.accepted || job.refused || job.uncertain) return
+	private submit(job: SubmittedJob, queue: string): void {
+		if (job.isAccepted || job.isRefused || job.isUncertain) return
 		const keyDigest = this.accounts?.keyDigestFor(job.id, job.request)
 		const to = { queue, id: job.id, keyDigest }
-		if (this.controller) job.unanswered += 1
-		const answered = ({ kind }: CellReply): void => {
-			job.unanswered -= 1
-			if (kind === 'accepted') job.accepted = true
-			if (kind === 'unauthorized' || kind === 'impossible') this.refused(job)
+		if (this.controller) job.unansweredCalls += 1
+		const onReply = ({ kind }: CellReply): void => {
+			job.unansweredCalls -= 1
+			if (kind === 'accepted') job.isAccepted = true
+			if (kind === 'unauthorized' || kind === 'impossible') this.onRefused(job)
 		}
 		const call = { kind: 'submit', to, job: job.request } as const
-		this.loop.onMessage(() => this.controller?.call(call, answered))
-		this.clock.after(ASK_AGAIN, () => this.submit(job, queue))
+		this.loop.onMessage(() => this.controller?.call(call, onReply))
+		this.clock.after(RETRY_MS, () => this.submit(job, queue))
 	}
 
 	/** A refusal after a call without an answer says nothing of that call; such a job may run, and is asked for no more. */
-	private refused(job: Asked): void {
-		if (job.unanswered > 0) job.uncertain = true
-		else job.refused = true
+	private onRefused(job: SubmittedJob): void {
+		if (job.unansweredCalls > 0) job.isUncertain = true
+		else job.isRefused = true
 	}
 
-	private cancel(job: Asked): void {
-		if (job.cancelled) return
-		const answered = ({ kind }: CellReply): void => {
+	private cancel(job: SubmittedJob): void {
+		if (job.isCancelled) return
+		const onReply = ({ kind }: CellReply): void => {
 			if (kind !== 'noted') return
-			job.cancelled = true
+			job.isCancelled = true
 			this.invariants.onJobCancelled(job.id, this.clock.now())
 		}
 		const call = { kind: 'cancel', to: { id: job.id } } as const
-		this.loop.onMessage(() => this.controller?.call(call, answered))
-		this.clock.after(ASK_AGAIN, () => this.cancel(job))
+		this.loop.onMessage(() => this.controller?.call(call, onReply))
+		this.clock.after(RETRY_MS, () => this.cancel(job))
 	}
 
 	private stepOf(task: string) {
 		const [id, , step] = task.split('.')
-		const job = this.asked.get(id)
+		const job = this.submitted.get(id)
 		invariant(job !== undefined, 'only what a client asked for begins', { task })
 		return job.request.steps[Number(step)]
 	}
@@ -504,6 +505,8 @@
 	private mayRun(task: string, worker: string, ticket: string): boolean {
 		const [id] = task.split('.')
 		const advised = this.state.jobs.find(id)?.queue.advice !== undefined
-		return !advised || this.advisers.holds(ticket, task.slice(0, task.lastIndexOf('.')), worker)
+		return (
+			!advised || this.advisers.isValidTicket(ticket, task.slice(0, task.lastIndexOf('.')), worker)
+		)
 	}
 }
--- a/packages/runs/src/lib/jobs/RunAccounts.ts
+++ b/packages/runs/src/lib/jobs/RunAccounts.ts
@@ -17,26 +17,26 @@
 import type { ObservedRun } from './JobInvariants'
 
 /** Milliseconds after its confirmation for which an older quota may still be obeyed. */
-const OBEYED_WITHIN = 2500
+const OLD_QUOTA_VALID_MS = 2500
 /** Milliseconds between two configurations, on the mean. */
-const CHANGE_EVERY = 3000
+const CHANGE_INTERVAL_MS = 3000
 /** Share of jobs that come with a key that no account holds. */
-const STRANGERS = 0.1
+const UNKNOWN_KEY_SHARE = 0.1
 /** Thousandths of a processor; the fleet of a run has 48,000. */
-const QUOTAS = [3000, 6000, 12_000] as const
-const NAMES = ['town', 'city', 'village'] as const
+const CPU_QUOTAS = [3000, 6000, 12_000] as const
+const ACCOUNT_NAMES = ['town', 'city', 'village'] as const
 /** More than a run's fleet has. */
-const LIFTED = 1_000_000
+const UNLIMITED_CPU = 1_000_000
 /** Set apart from the run's own stream. */
-const STREAM = 0x5eed
+const SEED_MASK = 0x5eed
 
-interface Term {
+interface QuotaTerm {
 	readonly quota: Quota
 	/** When a later one was confirmed; infinite before. */
-	until: number
+	supersededAt: number
 }
 
-interface Owned {
+interface OwnedJob {
 	/** Index of the account that handed it in; undefined for a caller without a valid key. */
 	readonly owner: number | undefined
 	readonly request: JobRequest
@@ -50,55 +50,55 @@
  */
 export class RunAccounts extends CallerAccounts {
 	private readonly random: Random
-	private readonly quotas: number[] = NAMES.map(() => QUOTAS[1])
-	private readonly generations: number[] = NAMES.map(() => 0)
+	private readonly quotas: number[] = ACCOUNT_NAMES.map(() => CPU_QUOTAS[1])
+	private readonly keyGenerations: number[] = ACCOUNT_NAMES.map(() => 0)
 	/** Of each account every quota that was ever sent. */
-	private readonly terms: Term[][] = NAMES.map(() => [])
-	private readonly jobs = new Map<string, Owned>()
+	private readonly quotaTerms: QuotaTerm[][] = ACCOUNT_NAMES.map(() => [])
+	private readonly jobs = new Map<string, OwnedJob>()
 	/** Of each account its tasks that run, by worker and name. */
-	private readonly live = new Map<string, { owner: number; amount: Resources }>()
-	private changeAt = CHANGE_EVERY
+	private readonly running = new Map<string, { owner: number; amount: Resources }>()
+	private changeAt = CHANGE_INTERVAL_MS
 
 	/** @param seed - of the run. */
 	constructor(seed: number) {
 		super()
-		this.random = new Random(seed ^ STREAM)
+		this.random = new Random(seed ^ SEED_MASK)
 	}
 
 	override nextAccounts(): ClientAccount[] {
-		return NAMES.map((name, index) => {
+		return ACCOUNT_NAMES.map((name, index) => {
 			const quota = { cpu: this.quotas[index] }
-			this.terms[index].push({ quota, until: Number.POSITIVE_INFINITY })
+			this.quotaTerms[index].push({ quota, supersededAt: Number.POSITIVE_INFINITY })
 			return { name, weight: 2, quota, keyDigests: [digestOf(this.keyOf(index))] }
 		})
 	}
 
 	override onConfirmed(now: number): void {
-		for (const terms of this.terms) {
-			for (const term of terms.slice(0, -1)) term.until = Math.min(term.until, now)
+		for (const terms of this.quotaTerms) {
+			for (const term of terms.slice(0, -1)) term.supersededAt = Math.min(term.supersededAt, now)
 		}
 	}
 
 	override changeIfDue(now: number): boolean {
 		if (now < this.changeAt) return false
-		this.changeAt = now + this.random.exponential(CHANGE_EVERY)
-		const index = this.random.integer(0, NAMES.length - 1)
-		if (this.random.chance(0.3)) this.generations[index] += 1
-		else this.quotas[index] = this.random.pick(QUOTAS)
+		this.changeAt = now + this.random.exponential(CHANGE_INTERVAL_MS)
+		const index = this.random.integer(0, ACCOUNT_NAMES.length - 1)
+		if (this.random.chance(0.3)) this.keyGenerations[index] += 1
+		else this.quotas[index] = this.random.pick(CPU_QUOTAS)
 		return true
 	}
 
 	override liftQuotas(): void {
-		this.quotas.fill(LIFTED)
+		this.quotas.fill(UNLIMITED_CPU)
 	}
 
 	override keyDigestFor(id: string, request: JobRequest): string {
 		const known = this.jobs.get(id)
 		if (known) return digestOf(known.key)
-		const stranger = this.random.chance(STRANGERS)
-		const owner = this.random.integer(0, NAMES.length - 1)
-		const key = stranger ? 'nobody' : this.keyOf(owner)
-		this.jobs.set(id, { owner: stranger ? undefined : owner, request, key })
+		const hasUnknownKey = this.random.chance(UNKNOWN_KEY_SHARE)
+		const owner = this.random.integer(0, ACCOUNT_NAMES.length - 1)
+		const key = hasUnknownKey ? 'nobody' : this.keyOf(owner)
+		this.jobs.set(id, { owner: hasUnknownKey ? undefined : owner, request, key })
 		return digestOf(key)
 	}
 
@@ -108,25 +108,27 @@
 		if (!name || !job) return
 		invariant(job.owner !== undefined, 'nothing runs for a caller without a key', { task })
 		const amount = job.request.steps[name.step].need
-		this.live.set(`${worker} ${task}`, { owner: job.owner, amount })
-		if (!isLate) this.check(job.owner, amount, now, task)
+		this.running.set(`${worker} ${task}`, { owner: job.owner, amount })
+		if (!isLate) this.checkQuota(job.owner, amount, now, task)
 	}
 
 	override onRunEnded(worker: string, task: string): void {
-		this.live.delete(`${worker} ${task}`)
+		this.running.delete(`${worker} ${task}`)
 	}
 
 	/** A start takes no account above the highest quota that may be in force and one task more. */
-	private check(owner: number, amount: Resources, now: number, task: string): void {
+	private checkQuota(owner: number, amount: Resources, now: number, task: string): void {
 		let used = NO_RESOURCES
-		for (const run of this.live.values()) if (run.owner === owner) used = plus(used, run.amount)
-		const inForce = this.terms[owner].filter(({ until }) => now - until <= OBEYED_WITHIN)
-		const within = inForce.some(({ quota }) => isWithinQuota(minus(used, amount), quota))
-		const where = { account: NAMES[owner], task, used: used.cpu }
-		invariant(within, 'no account has more running than its quota', where)
+		for (const run of this.running.values()) if (run.owner === owner) used = plus(used, run.amount)
+		const inForce = this.quotaTerms[owner].filter(
+			({ supersededAt }) => now - supersededAt <= OLD_QUOTA_VALID_MS
+		)
+		const isWithin = inForce.some(({ quota }) => isWithinQuota(minus(used, amount), quota))
+		const where = { account: ACCOUNT_NAMES[owner], task, used: used.cpu }
+		invariant(isWithin, 'no account has more running than its quota', where)
 	}
 
 	private keyOf(index: number): string {
-		return `${NAMES[index]}-${this.generations[index]}`
+		return `${ACCOUNT_NAMES[index]}-${this.keyGenerations[index]}`
 	}
 }
--- a/packages/runs/src/lib/jobs/RunAdvisers.ts
+++ b/packages/runs/src/lib/jobs/RunAdvisers.ts
@@ -41,9 +41,9 @@
  */
 export class RunAdvisers extends Advisers {
 	/** Share of questions that get no answer. */
-	lostShare = 0
+	lostAnswerShare = 0
 	/** Milliseconds of answers that were asked for. */
-	took = 0
+	answerMs = 0
 
 	constructor(
 		private readonly clock: Clock,
@@ -61,10 +61,10 @@
 	override ask(_: string, question: AdviceQuestion, done: (result: AdviceResult) => void): void {
 		const { step, workers } = question
 		const { base, each, valid, allows } = this.terms
-		const answer = base + each * workers.length
-		this.took += answer
-		this.clock.after(answer, () => {
-			if (this.random.chance(this.lostShare)) return
+		const answerMs = base + each * workers.length
+		this.answerMs += answerMs
+		this.clock.after(answerMs, () => {
+			if (this.random.chance(this.lostAnswerShare)) return
 			const until = this.clock.now() + valid
 			const good = workers.filter((worker) => allows(hashOf(step, worker)))
 			const tickets = new Map(good.map((worker) => [worker, `${step}|${worker}|${until}`]))
@@ -73,7 +73,7 @@
 	}
 
 	/** @returns whether a ticket is one of this service for the step and worker, and still holds. */
-	holds(ticket: string, step: string, worker: string): boolean {
+	isValidTicket(ticket: string, step: string, worker: string): boolean {
 		const [forStep, forWorker, until] = ticket.split('|')
 		return forStep === step && forWorker === worker && this.clock.now() <= Number(until)
 	}
--- a/packages/runs/src/lib/jobs/RunLog.ts
+++ b/packages/runs/src/lib/jobs/RunLog.ts
@@ -4,11 +4,11 @@
 import type { LeaderLoop } from './LeaderLoop'
 
 /** Milliseconds that a commit takes, the least and the most. */
-const COMMIT = [4, 40] as const
+const COMMIT_MS = [4, 40] as const
 
 interface Entry {
 	readonly bytes: Uint8Array
-	readonly calls: readonly (() => void)[]
+	readonly callbacks: readonly (() => void)[]
 	committed: boolean
 }
 
@@ -19,9 +19,9 @@
  */
 export class RunLog extends Proposals {
 	private commands: CellCommand[] = []
-	private calls: (() => void)[] = []
+	private callbacks: (() => void)[] = []
 	private readonly entries: Entry[] = []
-	private over = false
+	private hasEnded = false
 
 	constructor(
 		private readonly clock: Clock,
@@ -34,17 +34,21 @@
 
 	override propose(command: CellCommand, done?: () => void): void {
 		this.commands.push(command)
-		if (done) this.calls.push(done)
+		if (done) this.callbacks.push(done)
 	}
 
 	/** Sends what has gathered as one entry. */
 	flush(): void {
-		if (this.over || this.commands.length === 0) return
-		const entry = { bytes: encodeCommands(this.commands), calls: this.calls, committed: false }
+		if (this.hasEnded || this.commands.length === 0) return
+		const entry = {
+			bytes: encodeCommands(this.commands),
+			callbacks: this.callbacks,
+			committed: false,
+		}
 		this.commands = []
-		this.calls = []
+		this.callbacks = []
 		this.entries.push(entry)
-		this.clock.after(this.random.integer(...COMMIT), () => {
+		this.clock.after(this.random.integer(...COMMIT_MS), () => {
 			entry.committed = true
 			this.loop.onMessage(() => this.applyCommitted())
 		})
@@ -52,16 +56,16 @@
 
 	/** The leadership is over. Some of what it proposed may be in the next leader's log. */
 	end(): void {
-		this.over = true
+		this.hasEnded = true
 		const kept = this.random.integer(0, this.entries.length)
 		for (const { bytes } of this.entries.slice(0, kept)) this.state.apply(bytes)
 	}
 
 	private applyCommitted(): void {
-		while (!this.over && this.entries[0]?.committed) {
-			const [{ bytes, calls }] = this.entries.splice(0, 1)
+		while (!this.hasEnded && this.entries[0]?.committed) {
+			const [{ bytes, callbacks }] = this.entries.splice(0, 1)
 			this.state.apply(bytes)
-			for (const call of calls) call()
+			for (const callback of callbacks) callback()
 		}
 	}
 }
--- a/packages/runs/src/lib/jobs/checkOutcome.ts
+++ b/packages/runs/src/lib/jobs/checkOutcome.ts
@@ -4,39 +4,39 @@
 import type { JobInvariants } from './JobInvariants'
 
 /** A job that a client of a run hands in. @internal */
-export interface Asked {
+export interface SubmittedJob {
 	readonly id: string
 	readonly request: JobRequest
-	accepted: boolean
+	isAccepted: boolean
 	/** Calls that got no answer: each may have handed it in. */
-	unanswered: number
+	unansweredCalls: number
 	/** Whether it was refused for good, and no call before may have handed it in. */
-	refused: boolean
+	isRefused: boolean
 	/** Whether a call was refused after one that may have handed it in. */
-	uncertain: boolean
-	cancelAsked: boolean
-	cancelled: boolean
+	isUncertain: boolean
+	isCancelRequested: boolean
+	isCancelled: boolean
 }
 
 /**
  * @param asked - a job that a client handed in, with what it was answered.
  * @param job - what is kept of it; undefined for nothing.
  * @param invariants - what the workers did.
- * @param crashes - whether one of its tasks crashes the workers that start it.
+ * @param hasCrashingTask - whether one of its tasks crashes the workers that start it.
  * @throws InvariantBroken when they do not go together.
  * @internal
  */
 export function checkOutcome(
-	{ id, request, accepted, refused, uncertain, cancelled }: Asked,
+	{ id, request, isAccepted, isRefused, isUncertain, isCancelled }: SubmittedJob,
 	job: JobRecord | undefined,
 	invariants: JobInvariants,
-	crashes = false
+	hasCrashingTask = false
 ): void {
-	invariant(!refused || !job || accepted, 'a job that was refused is not kept', { id })
-	if ((refused || uncertain) && !accepted) return
-	invariant(accepted, 'every job is accepted in the end', { id })
+	invariant(!isRefused || !job || isAccepted, 'a job that was refused is not kept', { id })
+	if ((isRefused || isUncertain) && !isAccepted) return
+	invariant(isAccepted, 'every job is accepted in the end', { id })
 	invariant(job !== undefined, 'an accepted job is kept', { id })
-	if (cancelled) return
+	if (isCancelled) return
 	const tasks = tasksOf(id, request)
 	switch (job.state) {
 		case JobState.Completed:
@@ -45,13 +45,17 @@
 			}
 			return
 		case JobState.Failed: {
-			const cause = tasks.some((task) => invariants.hasFailed(task))
-			invariant(cause || crashes || hasGang(request), 'a failed job has failed for a cause', { id })
+			const hasFailedTask = tasks.some((task) => invariants.hasFailed(task))
+			invariant(
+				hasFailedTask || hasCrashingTask || hasGang(request),
+				'a failed job has failed for a cause',
+				{ id }
+			)
 			return
 		}
 		case JobState.Running:
 		case JobState.Queued:
-			invariant(!crashes, 'a job with a task that crashes its workers ends', { id })
+			invariant(!hasCrashingTask, 'a job with a task that crashes its workers ends', { id })
 			for (const task of tasks) checkLasting(request, task, invariants)
 			return
 		case JobState.Cancelled:
--- a/packages/runs/src/lib/jobs/gangRun.test.ts
+++ b/packages/runs/src/lib/jobs/gangRun.test.ts
@@ -23,9 +23,9 @@
 test('wide gangs are done in calm runs, and no member waits in vain for the others', () => {
 	let done = 0
 	for (let seed = 1; seed <= 3; seed++) {
-		const { alone, wide } = runOnce(seed, CALM).tally
-		assert.equal(alone, 0)
-		done += wide.done
+		const { timedOutMembers, wideGangs } = runOnce(seed, CALM).tally
+		assert.equal(timedOutMembers, 0)
+		done += wideGangs.done
 	}
 	assert.ok(done > 20, `${done}`)
 })
@@ -46,18 +46,18 @@
 
 // Guards against gangs that begin in part: those that had begun waited for the one that was refused.
 test('no member of a gang waits in vain for one whose start is refused', () => {
-	for (let seed = 1; seed <= 4; seed++) assert.equal(runWithRefusals(seed).tally.alone, 0)
+	for (let seed = 1; seed <= 4; seed++) assert.equal(runWithRefusals(seed).tally.timedOutMembers, 0)
 })
 
 test('no member of a gang waits in vain where the leader changes while starts are refused', () => {
 	for (let seed = 11; seed <= 14; seed++) {
-		assert.equal(runWithRefusals(seed, JobFault.LeaderLost).tally.alone, 0)
+		assert.equal(runWithRefusals(seed, JobFault.LeaderLost).tally.timedOutMembers, 0)
 	}
 })
 
 test('members wait in vain when nobody decides for all of an attempt', () => {
 	const unowned: MethodPatch = [jobsClass('gangs', 'GangAttempts'), 'fail', () => () => undefined]
-	const play = (seed: number): void => assert.equal(runWithRefusals(seed).tally.alone, 0)
+	const play = (seed: number): void => assert.equal(runWithRefusals(seed).tally.timedOutMembers, 0)
 	assert.match(
 		withPatchedMethods([unowned], () => firstFailure(play, MOST_SEEDS)),
 		/strictly equal/
--- a/packages/runs/src/lib/jobs/jobRun.test.ts
+++ b/packages/runs/src/lib/jobs/jobRun.test.ts
@@ -16,8 +16,8 @@
 	CARRIER_FAULTS,
 	COMMON_FAULTS,
 	JobFault,
-	PROMPT_LEADER_FAULTS,
-	WAVES,
+	FAULTS_WITHOUT_LEADER_STALLS,
+	CRASH_WAVES,
 } from './JobFaults'
 import { JobRun } from './JobRun'
 
@@ -60,8 +60,8 @@
 
 test('a calm run does all its jobs, and no member of a gang waits in vain', () => {
 	for (let seed = 1; seed <= 4; seed++) {
-		const { alone, jobs, starts } = runOnce(seed, CALM).tally
-		assert.equal(alone, 0)
+		const { timedOutMembers, jobs, starts } = runOnce(seed, CALM).tally
+		assert.equal(timedOutMembers, 0)
 		assert.ok(jobs > 20 && starts > 100)
 	}
 })
@@ -85,7 +85,7 @@
 
 /** Some tasks crash the workers that start them, and racks and data centres crash beside all other faults. */
 function runWithCrashes(seed: number, faultRate: number, span = SPAN): JobRun {
-	const faults = [...COMMON_FAULTS, ...WAVES]
+	const faults = [...COMMON_FAULTS, ...CRASH_WAVES]
 	const run = new JobRun({ seed, faultRate, jobRate: 4, crashingTasks: true, faults })
 	run.run(span)
 	run.settle()
@@ -125,7 +125,7 @@
 
 /** Everything goes wrong, with tasks that crash their workers. */
 function runWithEverything(seed: number, faultRate: number): void {
-	const faults = PROMPT_LEADER_FAULTS
+	const faults = FAULTS_WITHOUT_LEADER_STALLS
 	const run = new JobRun({ seed, faultRate, jobRate: 4, crashingTasks: true, faults })
 	run.run(LONG_SPAN)
 	run.settle()
@@ -198,8 +198,8 @@
 
 /** What workers offer shrinks and grows beside all other faults, and tasks crash them. */
 function runWithShrinkingRoom(seed: number, faultRate: number, span = SPAN): JobRun {
-	const shrinks = Array<JobFault>(3).fill(JobFault.RoomShrinks)
-	const faults = [...COMMON_FAULTS, ...WAVES, ...shrinks]
+	const shrinks = Array<JobFault>(3).fill(JobFault.CapacityShrinks)
+	const faults = [...COMMON_FAULTS, ...CRASH_WAVES, ...shrinks]
 	const run = new JobRun({ seed, faultRate, jobRate: 4, crashingTasks: true, faults })
 	run.run(span)
 	run.settle()
--- a/packages/runs/src/lib/jobs/randomJob.ts
+++ b/packages/runs/src/lib/jobs/randomJob.ts
@@ -3,12 +3,12 @@
 import type { Random } from '@rillrudder/utils'
 
 /** Labels of the workers' kinds. @internal */
-export const KINDS = ['a', 'b'] as const
+export const WORKER_KINDS = ['a', 'b'] as const
 const RACKS = ['r0', 'r1', 'r2', 'r3']
 /** Image of tasks that always fail. @internal */
-export const HOPELESS = 'hopeless'
+export const FAILING_IMAGE = 'hopeless'
 /** Milliseconds to the first of a repeating job's times, at most. */
-const FIRST_WITHIN = 2000
+const FIRST_REPEAT_WITHIN_MS = 2000
 
 /**
  * @param random - chooses.
@@ -23,19 +23,19 @@
 		randomStep(random, number)
 	)
 	if (!random.chance(0.08)) return { spec, steps }
-	const first = epoch + random.integer(0, FIRST_WITHIN)
+	const first = epoch + random.integer(0, FIRST_REPEAT_WITHIN_MS)
 	return { spec, steps, repeat: { count: random.integer(1, 3), first, interval: 900 } }
 }
 
 /** Text of jobs of one wide gang. @internal */
-export const WIDE = 'wide'
+export const WIDE_GANG_SPEC = 'wide'
 
 /**
  * @param random - chooses.
  * @returns a job of one gang that takes most of the workers that may run it.
  * @internal
  */
-export function wideGang(random: Random): JobRequest {
+export function wideGangJob(random: Random): JobRequest {
 	const step: Step = {
 		...PLAIN_STEP,
 		count: random.integer(5, 36),
@@ -44,26 +44,26 @@
 		checkpoints: random.chance(0.5),
 		gang: true,
 	}
-	return { spec: WIDE, steps: [step] }
+	return { spec: WIDE_GANG_SPEC, steps: [step] }
 }
 
 function randomStep(random: Random, number: number): Step {
 	const gang = random.chance(0.15)
-	const earlier = Array.from({ length: number }, (_, at) => at)
+	const predecessors = Array.from({ length: number }, (_, at) => at)
 	return {
 		...PLAIN_STEP,
 		count: gang ? random.integer(2, 4) : random.integer(1, 6),
 		need: { cpu: random.integer(200, 1500), memory: random.integer(128, 1500), accelerators: 0 },
 		expectedTime: random.integer(200, 2500),
-		dependsOn: earlier.filter(() => random.chance(0.7)),
+		dependsOn: predecessors.filter(() => random.chance(0.7)),
 		checkpoints: random.chance(0.4),
 		gang,
 		sameRack: gang && random.chance(0.5),
-		requires: random.chance(0.15) ? random.pick(KINDS) : '',
+		requires: random.chance(0.15) ? random.pick(WORKER_KINDS) : '',
 		rack: random.chance(0.3) ? random.pick(RACKS) : '',
 		mostPerWorker: !gang && random.chance(0.15) ? random.integer(1, 2) : 0,
 		copies: !gang && random.chance(0.1),
-		image: random.chance(0.03) ? HOPELESS : '',
+		image: random.chance(0.03) ? FAILING_IMAGE : '',
 	}
 }
 
--- a/packages/runs/src/lib/jobs/restartedRun.test.ts
+++ b/packages/runs/src/lib/jobs/restartedRun.test.ts
@@ -6,7 +6,7 @@
 import { test } from 'node:test'
 import { jobsClass, withPatchedMethods, type MethodPatch } from '../testing/withPatchedMethods'
 import { firstFailure } from '../testing/firstFailure'
-import { COMMON_FAULTS, RESTARTS, WAVES, type JobFault } from './JobFaults'
+import { COMMON_FAULTS, RESTART_FAULTS, CRASH_WAVES, type JobFault } from './JobFaults'
 import { JobRun } from './JobRun'
 
 const SOME = 0.3
@@ -14,7 +14,13 @@
 const SPAN = 12_000
 /** Seeds among which a protection that is taken out must show. */
 const MOST_SEEDS = 30
-const EVERYTHING = [...COMMON_FAULTS, ...WAVES, ...RESTARTS, ...RESTARTS, ...RESTARTS]
+const EVERYTHING = [
+	...COMMON_FAULTS,
+	...CRASH_WAVES,
+	...RESTART_FAULTS,
+	...RESTART_FAULTS,
+	...RESTART_FAULTS,
+]
 
 function runWithRestarts(
 	seed: number,
@@ -49,8 +55,8 @@
 }
 
 test('workers that start again under their id break no rule', () => {
-	for (let seed = 1; seed <= 12; seed++) runWithRestarts(seed, SOME, RESTARTS)
-	for (let seed = 1; seed <= 12; seed++) runWithRestarts(seed, MANY, RESTARTS)
+	for (let seed = 1; seed <= 12; seed++) runWithRestarts(seed, SOME, RESTART_FAULTS)
+	for (let seed = 1; seed <= 12; seed++) runWithRestarts(seed, MANY, RESTART_FAULTS)
 	for (let seed = 101; seed <= 112; seed++) runWithRestarts(seed, MANY, EVERYTHING)
 })
 
@@ -60,8 +66,8 @@
 })
 
 test('the runs with seeds 109, 4059 and 4013, which once failed: where workers restart all the time, three losses at its beginning gave up a task', () => {
-	runWithRestarts(109, MANY, RESTARTS, 15_000)
-	runWithRestarts(4059, MANY, RESTARTS)
+	runWithRestarts(109, MANY, RESTART_FAULTS, 15_000)
+	runWithRestarts(4059, MANY, RESTART_FAULTS)
 	const run = new JobRun({
 		seed: 4013,
 		faultRate: 4,
@@ -86,7 +92,7 @@
 	readonly play: (seed: number) => unknown
 }
 
-const withMany = (seed: number): unknown => runWithRestarts(seed, MANY, RESTARTS)
+const withMany = (seed: number): unknown => runWithRestarts(seed, MANY, RESTART_FAULTS)
 
 const BREAKS: readonly Break[] = [
 	{
