--- a/packages/runs/src/lib/jobs/CallerAccounts.ts
+++ b/packages/runs/src/lib/jobs/CallerAccounts.ts
@@ -1,22 +1,22 @@
-/** The client accounts that the callers of a run belong to. */
+/** The client accounts that the callers of a simulated run belong to. */
 import type { ClientAccount, JobRequest } from '@rillrudder/jobs'
 import type { RunObserver, ObservedRun } from './JobInvariants'
 
 /**
- * Accounts as a run needs them.
+ * Assigns submitted jobs to client accounts and configures these accounts.
  *
  * @internal
  */
 export abstract class CallerAccounts implements RunObserver {
-	/** The accounts of the next configuration, which may be in force from now on. */
+	/** @returns the accounts of the next configuration, which may be in force from now on. */
 	abstract nextAccounts(): ClientAccount[]
-	/** The newest configuration was confirmed. */
+	/** Handles the confirmation of the newest configuration. */
 	abstract onConfirmed(now: number): void
-	/** @returns whether a change is due; it is made then. */
+	/** Makes a change if one is due. @returns whether a change was made. */
 	abstract changeIfDue(now: number): boolean
-	/** Lifts all quotas, so that nothing has to wait for one. */
+	/** Raises all quotas so high that no job waits for one. */
 	abstract liftQuotas(): void
-	/** A client hands a job in. @returns the digest of the key that it shows. */
+	/** @returns the digest of the key with which a client submits a job. */
 	abstract keyDigestFor(id: string, request: JobRequest): string
 	abstract onRunStarted(worker: string, run: ObservedRun, now: number): void
 	abstract onRunEnded(worker: string, task: string): void
--- a/packages/runs/src/lib/jobs/CrashingTasks.ts
+++ b/packages/runs/src/lib/jobs/CrashingTasks.ts
@@ -1,46 +1,47 @@
-/** Tasks of a run that crash each worker that starts them, and what that costs the others. */
+/** Tasks of a run that crash every worker that starts them, and the effect on other tasks. */
 import { parseTaskName, type JobRequest } from '@rillrudder/jobs'
 import { invariant, Random, type Clock } from '@rillrudder/utils'
 import type { FleetWorker } from './FleetWorker'
 
-/** Share of jobs of which one task crashes its workers. */
+/** Share of jobs with one crashing task. */
 const CRASHING_JOB_SHARE = 0.05
-/** Milliseconds from the task's start to the crash, the least and the most. */
+/** Minimum and maximum time from the start of the task to the crash. */
 const CRASH_DELAY_MS = [3, 30] as const
-/** Milliseconds for which the worker is away, the least and the most. */
+/** Minimum and maximum downtime of the worker. */
 const DOWNTIME_MS = [2000, 5000] as const
-/** The same where it starts again under its name. */
+/** Minimum and maximum downtime of a worker that restarts under its name. */
 const RESTART_DOWNTIME_MS = [10, 5000] as const
-/** Starts of such a task that may follow once three workers have crashed under it. */
+/** Number of starts of a crashing task that are allowed after it has crashed three workers. */
 const MAX_STARTS_AFTER_THIRD = 2
 const THIRD = 3
 
-/** What crashing tasks need of their run. @internal */
+/** Dependencies of {@link CrashingTasks}. @internal */
 export interface CrashingTasksParts {
 	readonly seed: number
 	readonly clock: Clock
-	/** A worker ends without a word and is back after a while, in milliseconds. */
+	/** Crashes a worker, which starts under a new name after a downtime in milliseconds. */
 	readonly crash: (machine: FleetWorker, downtime: number) => void
-	/** The same, and it is back under the name that it had. */
+	/** Crashes a worker, which starts under the same name after a downtime in milliseconds. */
 	readonly restart: (machine: FleetWorker, downtime: number) => void
-	/** Share of crashed workers that are back under their names. */
+	/** Share of crashed workers that restart under their names. */
 	readonly restartedShare: number
 }
 
-/** What crashing tasks did. @public */
+/** Counts of crashing tasks and of what they crashed. @public */
 export interface CrashTally {
 	/** Tasks that crashed at least one worker. */
 	tasks: number
-	/** Workers that they crashed. */
+	/** Crashes of workers by these tasks. */
 	workers: number
-	/** Most workers that one of them crashed. */
+	/** Largest number of crashes by one task. */
 	maxCrashes: number
-	/** Runs of other tasks that ended with those workers. */
+	/** Runs of other tasks that ended in these crashes. */
 	neighbours: number
 }
 
 /**
- * The crashing tasks of a run. It draws from numbers of its own, so that runs without them keep their course.
+ * The crashing tasks of a run. They have a random generator of their own, so that the course of runs without them does
+ * not change.
  *
  * @internal
  */
@@ -54,7 +55,7 @@
 		this.random = new Random(parts.seed)
 	}
 
-	/** A client hands a job in, one task of which may be a crashing one. */
+	/** Picks a crashing task for some of the submitted jobs. */
 	onJobSubmitted(id: string, { steps }: JobRequest): void {
 		if (!this.random.chance(CRASHING_JOB_SHARE)) return
 		const step = this.random.integer(0, steps.length - 1)
@@ -62,13 +63,13 @@
 		this.names.add(`${id}.0.${step}.${index}`)
 	}
 
-	/** @returns whether a task of a job crashes its workers. */
+	/** @returns whether a job has a crashing task. */
 	hasCrashingTask(job: string): boolean {
 		for (const name of this.names) if (parseTaskName(name)?.job === job) return true
 		return false
 	}
 
-	/** A worker begins a task. */
+	/** Schedules the crash of a worker that starts a crashing task. */
 	onRunStarted(machine: FleetWorker, task: string): void {
 		if (!this.names.has(task)) return
 		const before = this.crashes.get(task) ?? 0
@@ -76,7 +77,7 @@
 		invariant(allowed, 'a task that crashes its workers begins no more', { task, before })
 		const { id } = machine.worker
 		this.parts.clock.after(this.random.integer(...CRASH_DELAY_MS), () => {
-			// Its gang may have broken meanwhile: a run that has ended crashes nothing.
+			// The run may have ended meanwhile, for instance with its gang: it crashes nothing then.
 			const isAtWork = machine.isUp && machine.worker.id === id && machine.isRunning(task)
 			if (isAtWork) this.crash(machine, task)
 		})
--- a/packages/runs/src/lib/jobs/GangRegistry.ts
+++ b/packages/runs/src/lib/jobs/GangRegistry.ts
@@ -1,9 +1,9 @@
-/** The members of gangs that run: they work once all of one attempt are there, and end together. */
+/** The running members of gangs: they work once all members of an attempt have started, and end together. */
 import { RunEnd } from '@rillrudder/jobs'
 import type { Clock } from '@rillrudder/utils'
 import type { FleetRun } from './FleetWorker'
 
-/** Milliseconds that a member waits for the others. */
+/** How long a member waits for the others. */
 const JOIN_TIMEOUT_MS = 3000
 /** Share of the work that is left when a member fails. */
 const FAILURE_POINT = 0.5
@@ -15,22 +15,22 @@
 }
 
 /**
- * The gangs that run.
+ * The running gangs.
  *
  * @internal
  */
 export class GangRegistry {
 	private readonly gangs = new Map<string, Gang>()
-	/** How many runs ended because the others did not come. */
+	/** Number of runs that ended because other members of the gang did not start in time. */
 	timedOutMembers = 0
-	/** How many gangs have worked. */
+	/** Number of gangs of which all members have started. */
 	startedGangs = 0
-	/** How many of them worked more slowly than their step declared, for a member's worker is slow. */
+	/** Number of these gangs that ran slower than their step declares because the worker of a member is slow. */
 	slowGangs = 0
 
 	constructor(private readonly clock: Clock) {}
 
-	/** A run has begun. */
+	/** Adds a run that has started to its gang; the gang starts to work once it is complete. */
 	onRunStarted(run: FleetRun): void {
 		if (!run.step.gang) return
 		const gang = this.gangs.get(gangKeyOf(run)) ?? { members: new Set<FleetRun>(), hasEnded: false }
@@ -50,7 +50,7 @@
 		}
 	}
 
-	/** A run has ended: the others of its gang end too. */
+	/** Removes a run that has ended; the other members of its gang end too, unless the gang is done. */
 	onRunEnded(run: FleetRun): void {
 		if (!run.step.gang) return
 		const gang = this.gangs.get(gangKeyOf(run))
--- a/packages/runs/src/lib/jobs/LeaderLoop.ts
+++ b/packages/runs/src/lib/jobs/LeaderLoop.ts
@@ -1,8 +1,8 @@
-/** The event loop of a run's leader: while it stands still, what comes for it waits, as in a process that has lost its processor. */
+/** The event loop of a run's leader. While it is stalled, timers and messages wait, as in a process without CPU time. */
 import type { Clock } from '@rillrudder/utils'
 
 /**
- * The leader's event loop.
+ * The event loop of the leader's process.
  *
  * @internal
  */
@@ -14,29 +14,29 @@
 	/** @param clock - the run's clock. */
 	constructor(private readonly clock: Clock) {}
 
-	/** Whether it stands still now. */
+	/** Whether the loop is stalled now. */
 	get isStalled(): boolean {
 		return this.clock.now() < this.stalledUntil
 	}
 
-	/** It stands still for a span, in milliseconds. */
+	/** Stalls the loop for a number of milliseconds. */
 	stall(span: number): void {
 		this.stalledUntil = Math.max(this.stalledUntil, this.clock.now() + span)
 	}
 
-	/** A message has come. */
+	/** Handles a message, at once or after the stall. */
 	onMessage(callback: () => void): void {
 		if (this.isStalled) this.messages.push(callback)
 		else callback()
 	}
 
-	/** A timer is due. */
+	/** Handles a timer that is due, at once or after the stall. */
 	onTimer(callback: () => void): void {
 		if (this.isStalled) this.timers.push(callback)
 		else callback()
 	}
 
-	/** Goes on with what has waited: timers come before messages, as in Node. */
+	/** Runs what waited during a stall: timers before messages, as in Node.js. */
 	resume(): void {
 		if (this.isStalled) return
 		const due = [...this.timers, ...this.messages]
@@ -45,7 +45,7 @@
 		for (const callback of due) callback()
 	}
 
-	/** The process has ended, with all that waited. */
+	/** Ends a stall and drops all that waits, as when the process ends. */
 	clear(): void {
 		this.stalledUntil = Number.NEGATIVE_INFINITY
 		this.timers = []
--- a/packages/runs/src/lib/jobs/OfferedCapacity.ts
+++ b/packages/runs/src/lib/jobs/OfferedCapacity.ts
@@ -1,23 +1,26 @@
-/** What a worker of a run offers: it may shrink and grow while the worker runs. */
+/** The capacity that a simulated worker offers, which may shrink and grow while the worker runs. */
 import { times, type Resources } from '@rillrudder/scheduler'
 import type { Clock } from '@rillrudder/utils'
 
-/** Milliseconds for which room that has shrunk still counts: what is told of it takes a while, and a heartbeat more. */
+/**
+ * Milliseconds for which a previous capacity still counts: the change reaches the leader with a heartbeat, and starts
+ * that were decided before may still arrive.
+ */
 const PREVIOUS_CAPACITY_VALID_MS = 4500
 
-/** What was offered before a change. */
+/** The capacity that was offered before a change. */
 interface PreviousCapacity {
 	readonly until: number
 	readonly capacity: Resources
 }
 
 /**
- * The room that a worker offers.
+ * The capacity that a worker offers.
  *
  * @internal
  */
 export class OfferedCapacity {
-	/** What it offers now. */
+	/** The capacity that is offered now. */
 	current: Resources
 	private previous: PreviousCapacity[] = []
 
@@ -29,14 +32,14 @@
 		this.current = full
 	}
 
-	/** The most that a start may count on. */
+	/** The largest capacity, per resource, that a start may rely on: the current one or a recent previous one. */
 	get maxRecent(): Resources {
 		const now = this.clock.now()
 		this.previous = this.previous.filter(({ until }) => until > now)
 		return this.previous.reduce((most, { capacity }) => maxOf(most, capacity), this.current)
 	}
 
-	/** It offers a share of the whole from now on. */
+	/** Changes the offered capacity to a share of the full one. */
 	resize(share: number): void {
 		const until = this.clock.now() + PREVIOUS_CAPACITY_VALID_MS
 		this.previous.push({ until, capacity: this.current })
@@ -48,7 +51,7 @@
 		}
 	}
 
-	/** The worker begins a new life. */
+	/** Restores the full capacity when a new incarnation starts. */
 	reset(): void {
 		this.current = this.full
 		this.previous = []
--- a/packages/runs/src/lib/jobs/RunAdvisers.ts
+++ b/packages/runs/src/lib/jobs/RunAdvisers.ts
@@ -1,4 +1,4 @@
-/** The service that knows which workers may run a step, and the instances that ask it. */
+/** A simulated advice service that decides which workers may run a step, and the instances that query it. */
 import {
 	Advisers,
 	workerNameOf,
@@ -9,15 +9,15 @@
 import type { Clock, Random } from '@rillrudder/utils'
 import type { LeaderLoop } from './LeaderLoop'
 
-/** What the service of a run allows, and what its answers cost. @internal */
+/** Which workers the service allows, and how long its answers take. @internal */
 export interface RunAdvice extends AdviceTerms {
-	/** Instances that can ask. */
+	/** Instances that can query the service. */
 	readonly instances: readonly string[]
 	/** Whether a worker may run a step, by a hash of both. */
 	readonly allows: (hash: number) => boolean
 }
 
-/** Quick answers that allow two workers of three. @internal */
+/** Fast answers that allow two of three workers. @internal */
 export const PLENTIFUL_ADVICE: RunAdvice = {
 	base: 40,
 	each: 4,
@@ -25,7 +25,7 @@
 	instances: ['self', 'second', 'third', 'fourth'],
 	allows: (hash) => hash % 3 !== 0,
 }
-/** Answers that take a good part of a ticket's life, and allow one worker of three. @internal */
+/** Answers that take a large part of a ticket's validity, and allow one of three workers. @internal */
 export const SCARCE_ADVICE: RunAdvice = {
 	base: 560,
 	each: 8,
@@ -35,14 +35,14 @@
 }
 
 /**
- * Advice in a run.
+ * The advice service of a run.
  *
  * @internal
  */
 export class RunAdvisers extends Advisers {
 	/** Share of questions that get no answer. */
 	lostAnswerShare = 0
-	/** Milliseconds of answers that were asked for. */
+	/** Total time of all answers. */
 	answerMs = 0
 
 	constructor(
@@ -72,14 +72,14 @@
 		})
 	}
 
-	/** @returns whether a ticket is one of this service for the step and worker, and still holds. */
+	/** @returns whether a ticket was issued for the step and worker and has not expired. */
 	isValidTicket(ticket: string, step: string, worker: string): boolean {
 		const [forStep, forWorker, until] = ticket.split('|')
 		return forStep === step && forWorker === worker && this.clock.now() <= Number(until)
 	}
 }
 
-/** A worker's lives are treated alike. */
+/** @returns a hash that is the same for all incarnations of a worker. */
 function hashOf(step: string, worker: string): number {
 	let hash = 7
 	for (const char of step + workerNameOf(worker)) hash = (hash * 31 + char.charCodeAt(0)) % 100_003
--- a/packages/runs/src/lib/jobs/RunLog.ts
+++ b/packages/runs/src/lib/jobs/RunLog.ts
@@ -1,9 +1,9 @@
-/** The replicated log of a run of jobs: commits take time, and what was not committed may be lost. */
+/** The replicated log of a simulated run: commits take time, and uncommitted entries may be lost. */
 import { encodeCommands, Proposals, type CellCommand, type CellState } from '@rillrudder/jobs'
 import type { Clock, Random } from '@rillrudder/utils'
 import type { LeaderLoop } from './LeaderLoop'
 
-/** Milliseconds that a commit takes, the least and the most. */
+/** Minimum and maximum duration of a commit. */
 const COMMIT_MS = [4, 40] as const
 
 interface Entry {
@@ -13,7 +13,7 @@
 }
 
 /**
- * What one leadership proposes, in order.
+ * The proposals of one term, in order.
  *
  * @internal
  */
@@ -37,7 +37,7 @@
 		if (done) this.callbacks.push(done)
 	}
 
-	/** Sends what has gathered as one entry. */
+	/** Proposes all pending commands as one entry. */
 	flush(): void {
 		if (this.hasEnded || this.commands.length === 0) return
 		const entry = {
@@ -54,7 +54,7 @@
 		})
 	}
 
-	/** The leadership is over. Some of what it proposed may be in the next leader's log. */
+	/** Ends the term. Some of its uncommitted entries may be in the next leader's log: a random number of them is applied. */
 	end(): void {
 		this.hasEnded = true
 		const kept = this.random.integer(0, this.entries.length)
--- a/packages/runs/src/lib/jobs/checkOutcome.ts
+++ b/packages/runs/src/lib/jobs/checkOutcome.ts
@@ -1,29 +1,29 @@
-/** What clients of a run read of their jobs in the end, against what the workers did. */
+/** Compares the final state of jobs, as clients read it, with what the workers did. */
 import { JobState, type JobRecord, type JobRequest } from '@rillrudder/jobs'
 import { invariant } from '@rillrudder/utils'
 import type { JobInvariants } from './JobInvariants'
 
-/** A job that a client of a run hands in. @internal */
+/** A job that a client of a run submits. @internal */
 export interface SubmittedJob {
 	readonly id: string
 	readonly request: JobRequest
 	isAccepted: boolean
-	/** Calls that got no answer: each may have handed it in. */
+	/** Number of calls without an answer: each of them may have submitted the job. */
 	unansweredCalls: number
-	/** Whether it was refused for good, and no call before may have handed it in. */
+	/** Whether the job was refused permanently, and no earlier call may have submitted it. */
 	isRefused: boolean
-	/** Whether a call was refused after one that may have handed it in. */
+	/** Whether a call was refused after one that may have submitted the job. */
 	isUncertain: boolean
 	isCancelRequested: boolean
 	isCancelled: boolean
 }
 
 /**
- * @param asked - a job that a client handed in, with what it was answered.
- * @param job - what is kept of it; undefined for nothing.
- * @param invariants - what the workers did.
+ * @param submitted - a job that a client submitted, with the answers it got.
+ * @param job - the record in the replicated state; undefined if there is none.
+ * @param invariants - the record of what the workers did.
  * @param hasCrashingTask - whether one of its tasks crashes the workers that start it.
- * @throws InvariantBroken when they do not go together.
+ * @throws InvariantBroken when the record contradicts them.
  * @internal
  */
 export function checkOutcome(
--- a/packages/runs/src/lib/jobs/randomJob.ts
+++ b/packages/runs/src/lib/jobs/randomJob.ts
@@ -1,17 +1,17 @@
-/** Jobs as clients might hand them in: small graphs with everything that a step can ask for. */
+/** Generates random jobs: small graphs of steps that use every option of a step. */
 import { PLAIN_STEP, type JobRequest, type Step } from '@rillrudder/jobs'
 import type { Random } from '@rillrudder/utils'
 
-/** Labels of the workers' kinds. @internal */
+/** Labels that divide the workers into kinds. @internal */
 export const WORKER_KINDS = ['a', 'b'] as const
 const RACKS = ['r0', 'r1', 'r2', 'r3']
 /** Image of tasks that always fail. @internal */
 export const FAILING_IMAGE = 'hopeless'
-/** Milliseconds to the first of a repeating job's times, at most. */
+/** Maximum delay before the first repeat of a repeating job. */
 const FIRST_REPEAT_WITHIN_MS = 2000
 
 /**
- * @param random - chooses.
+ * @param random - the source of randomness.
  * @param epoch - now, in milliseconds since the epoch.
  * @returns a job of one to three steps.
  * @internal
@@ -27,12 +27,12 @@
 	return { spec, steps, repeat: { count: random.integer(1, 3), first, interval: 900 } }
 }
 
-/** Text of jobs of one wide gang. @internal */
+/** Spec of jobs that consist of one wide gang. @internal */
 export const WIDE_GANG_SPEC = 'wide'
 
 /**
- * @param random - chooses.
- * @returns a job of one gang that takes most of the workers that may run it.
+ * @param random - the source of randomness.
+ * @returns a job of one gang that needs most of the workers that may run it.
  * @internal
  */
 export function wideGangJob(random: Random): JobRequest {
--- a/packages/runs/src/lib/testing/firstFailure.ts
+++ b/packages/runs/src/lib/testing/firstFailure.ts
@@ -1,10 +1,12 @@
-/** Looks for a seeded run that fails. */
+/** Searches for a seeded run that fails. */
 
 /**
- * @param play - plays the run of a seed; throws when it breaks a rule.
- * @param seeds - how many seeds are played at most, from 1.
- * @param rule - the rule that has to be broken; any if absent. What goes on for long without a mechanism may break others in other runs.
- * @returns what the first seed that breaks it says, else what the last one that failed does, or an empty text when none does.
+ * @param play - runs one seed; throws when a rule is broken.
+ * @param seeds - the number of seeds to try at most, starting from 1.
+ * @param rule - matches the message of the expected failure; any failure if absent. Without a mechanism a long run may
+ * break other rules than the expected one.
+ * @returns the message of the first failure that matches `rule`, else of the last failure, or an empty string if no seed
+ * failed.
  */
 export function firstFailure(play: (seed: number) => unknown, seeds: number, rule = /./): string {
 	let failure = ''
