--- a/packages/runs/src/lib/jobs/CompetingAccounts.ts
+++ b/packages/runs/src/lib/jobs/CompetingAccounts.ts
@@ -1,6 +1,6 @@
 /**
- * Client accounts of one weight that compete for the room of a run, some of which send many times their usual. It draws from a stream of
- * its own, so that runs without accounts keep their course.
+ * Client accounts of equal weight that compete for the capacity of a run, some of which submit many times their usual
+ * rate. They have a random generator of their own, so that the course of runs without accounts does not change.
  */
 import {
 	digestOf,
@@ -13,24 +13,24 @@
 import { Random } from '@rillrudder/utils'
 import { CallerAccounts } from './CallerAccounts'
 
-/** How accounts compete. @public */
+/** The number of competing accounts and their load. @public */
 export interface Competition {
-	/** How many accounts there are. */
+	/** Number of accounts. */
 	readonly accounts: number
-	/** Jobs a second that each sends as a rule. */
+	/** Jobs per second that each account usually submits. */
 	readonly usualRate: number
-	/** How many of them press. */
+	/** Number of accounts that submit more than usual. */
 	readonly overloading: number
-	/** Times its usual that each of these sends. */
+	/** Factor by which each of these exceeds its usual rate. */
 	readonly overloadFactor: number
 }
 
-/** Jobs a second within an account's rate: more than any sends, so that shares alone order their work. */
+/** Weight of an account: its rate limit in jobs per second exceeds any load, so that only shares order the work. */
 const ACCOUNT_WEIGHT = 1000
-/** Set apart from the run's own stream. */
+/** Makes the seed of the accounts' random generator from that of the run. */
 const SEED_MASK = 0xacc7
 
-/** @returns jobs a second that all accounts send together. @internal */
+/** @returns the jobs per second that all accounts submit together. @internal */
 export function totalRateOf({
 	accounts,
 	usualRate,
@@ -41,7 +41,7 @@
 }
 
 /**
- * The accounts of a run, with what each got.
+ * Competing client accounts of equal weight.
  *
  * @internal
  */
@@ -57,12 +57,12 @@
 		this.random = new Random(seed ^ SEED_MASK)
 	}
 
-	/** Whether an account sends more than its usual. */
+	/** Whether an account submits more than its usual rate. */
 	isOverloading(name: string): boolean {
 		return Number(name) < this.competition.overloading
 	}
 
-	/** @returns a job that any account might send: a few tasks of some seconds, or a gang. */
+	/** @returns a random job of any account: a few tasks of up to two seconds, or a gang. */
 	request(random: Random): JobRequest {
 		const gang = random.chance(0.2)
 		const step = {
@@ -109,17 +109,22 @@
 	}
 }
 
-/** What an account of a run asked for and got, in thousandths of processors times milliseconds. @internal */
+/** The work that an account requested and received, in thousandths of processors times milliseconds. @internal */
 export interface ServedWork {
 	readonly account: string
 	requested: number
 	received: number
 	jobs: number
-	/** Jobs that were done within their objectives. */
+	/** Number of jobs that were completed within their latency objective. */
 	inTime: number
 }
 
-/** @returns what each account got of its jobs that were handed in before a moment, in milliseconds since the epoch. @internal */
+/**
+ * @param jobs - all jobs of a run.
+ * @param until - work counts as received if its job ended by then, in milliseconds since the epoch.
+ * @returns the work that each account requested and received.
+ * @internal
+ */
 export function servedWorkOf(jobs: Iterable<JobRecord>, until: number): ServedWork[] {
 	const served = new Map<string, ServedWork>()
 	for (const job of jobs) {
@@ -138,7 +143,11 @@
 	return [...served.values()]
 }
 
-/** @returns Jain's index over what accounts of one weight got of what was theirs by max-min fairness: 1 when all got as much. @internal */
+/**
+ * @returns Jain's fairness index over the fraction that each account of equal weight received of its max-min fair share:
+ * 1 if all fractions are equal.
+ * @internal
+ */
 export function jainIndexOf(served: readonly ServedWork[]): number {
 	const capacity = served.reduce((sum, { received }) => sum + received, 0)
 	const level = maxMinLevel(
--- a/packages/runs/src/lib/jobs/Fleet.ts
+++ b/packages/runs/src/lib/jobs/Fleet.ts
@@ -1,40 +1,40 @@
-/** The workers of a run: their heartbeats, and how they leave and come back. */
+/** The simulated workers of a run: their heartbeats, crashes, restarts and planned departures. */
 import { formatIncarnation, type CellCall, type CellReply, type Worker } from '@rillrudder/jobs'
 import { FleetWorker, type FleetWorkerParts } from './FleetWorker'
 import { GangRegistry } from './GangRegistry'
 import { WORKER_KINDS } from './randomJob'
 
-/** Where the workers are. @internal */
+/** Data centres of the workers. @internal */
 export const FLEET_DATA_CENTRES: readonly string[] = ['vake', 'saburtalo', 'isani']
-/** Workers in each data centre, unless a run asks for more. */
+/** Workers in each data centre, unless the run sets another number. */
 const DEFAULT_WORKERS_EACH = 4
-/** Milliseconds between two heartbeats of a worker. */
+/** Interval between two heartbeats of a worker. */
 const HEARTBEAT_INTERVAL_MS = 1500
-/** Milliseconds that a leaving worker still serves after it was heard. */
+/** How long a leaving worker still serves after its heartbeat was acknowledged. */
 const DRAIN_MS = 2500
-/** Milliseconds after which it ends although nobody has heard it. */
+/** How long a leaving worker waits for the acknowledgement before it ends anyway. */
 const DRAIN_TIMEOUT_MS = 8000
 const RACK_SIZE = 3
-/** Milliseconds for which a cut holds a heartbeat back, the least and the most. */
+/** Minimum and maximum delay of a heartbeat that the network holds back. */
 const HELD_HEARTBEAT_MS = [100, 6000] as const
 
-/** What the fleet needs of its run. @internal */
+/** Dependencies of {@link Fleet}. @internal */
 export interface FleetParts extends Omit<FleetWorkerParts, 'gangs'> {
 	readonly service: string
-	/** Workers in each data centre; a few if absent. */
+	/** Workers in each data centre; a small default if absent. */
 	readonly workersEach?: number
-	/** Whether workers say when they started. */
+	/** Whether workers report when they started. */
 	readonly reportsStartTime: boolean
-	/** How fast each worker works, by its number; as fast as tasks declare if absent. */
+	/** Relative speed of each worker, by its number; 1 if absent. */
 	readonly speedOf?: (worker: number) => number
-	/** Share of heartbeats that are held back on their way. */
+	/** Share of heartbeats that the network holds back. */
 	readonly heldHeartbeatShare: () => number
-	/** Brings a call to the leader, if there is one. */
+	/** Delivers a call to the leader, if there is one. */
 	readonly call: (call: CellCall, reply: (reply: CellReply) => void) => void
 }
 
 /**
- * The workers of a run.
+ * The simulated workers of a run.
  *
  * @internal
  */
@@ -52,31 +52,31 @@
 		}
 	}
 
-	/** @returns the machine at an address. */
+	/** @returns the machine with an address. */
 	machineAt(address: string): FleetWorker {
 		return this.byAddress.get(address)!
 	}
 
-	/** Lets time pass. */
+	/** Advances all machines to the current time. */
 	tick(): void {
 		for (const machine of this.machines) machine.tick()
 	}
 
-	/** A worker ends without a word; its machine comes back under another id after a while. */
+	/** Crashes a worker; its machine starts a worker with another name after a downtime in milliseconds. */
 	crash(machine: FleetWorker, downtime: number): void {
 		if (!machine.isUp) return
 		machine.crash()
 		this.parts.clock.after(downtime, () => machine.startAs(this.nextId()))
 	}
 
-	/** A worker ends without a word, and starts again under the name that it had. */
+	/** Crashes a worker, which starts again under the same name after a downtime in milliseconds. */
 	restart(machine: FleetWorker, downtime: number): void {
 		if (!machine.isUp) return
 		machine.crash()
 		this.parts.clock.after(downtime, () => machine.restart())
 	}
 
-	/** A worker leaves as planned; another life of its machine comes later. */
+	/** Drains a worker, which leaves; its machine starts another worker later. */
 	drain(machine: FleetWorker): void {
 		if (!machine.isUp || machine.isDraining) return
 		machine.isDraining = true
--- a/packages/runs/src/lib/jobs/FleetCarrier.ts
+++ b/packages/runs/src/lib/jobs/FleetCarrier.ts
@@ -1,26 +1,26 @@
 /**
- * An instance of a run that carries orders for leaders: it may stand still and let go late what it took, be killed with
- * all that it held, lose its link to the leader, or be cut off from the workers.
+ * A simulated instance that carries orders for leaders. It may freeze and pass on its orders late, be killed with all
+ * orders that it holds, lose its link to the leader, or be cut off from the workers.
  */
 import type { WorkerOrders } from '@rillrudder/jobs'
 import { OrderCarrier, type Carrier } from '@rillrudder/member'
 import type { OrderBatch, OrderResults } from '@rillrudder/protocol'
 import type { Clock, Random } from '@rillrudder/utils'
 
-/** Milliseconds that a message between two instances takes, the least and the most. */
+/** Minimum and maximum delay of a message between two instances. */
 const NETWORK_DELAY_MS = [1, 5] as const
 
 const LEADER = 'leader'
-/** All leaders of a run count as one process, whose clock is known from its first word on. */
+/** The incarnation of every leader: all leaders of a run share one clock, which carriers know from the first heartbeat. */
 export const LEADER_INCARNATION = 'life'
 
-/** What a carrying instance needs of its run. @internal */
+/** Dependencies of {@link FleetCarrier}. @internal */
 export interface FleetCarrierParts extends Carrier {
 	readonly clock: Clock
 	readonly random: Random
-	/** Reaches workers from this instance. */
+	/** Sends orders to workers from this instance. */
 	readonly orders: WorkerOrders
-	/** Brings results to the leader, if there is one. */
+	/** Delivers results to the leader, if there is one. */
 	readonly deliverResults: (results: OrderResults) => void
 }
 
@@ -32,13 +32,13 @@
 export class FleetCarrier implements Carrier {
 	readonly id: string
 	readonly dataCentre: string
-	/** Whether it is linked to the leader. */
+	/** Whether its link to the leader is up. */
 	isLinked = true
-	/** Whether what passes over its link is lost although the link is up. */
+	/** Whether all messages on its link are lost although the link is up. */
 	isDroppingMessages = false
-	/** Whether no worker hears it. */
+	/** Whether it cannot reach any worker. */
 	isCutOff = false
-	/** When the leader last heard of it. */
+	/** When the leader last received a heartbeat from it. */
 	heardAt = 0
 	private isFrozen = false
 	private held: (() => void)[] = []
@@ -51,7 +51,7 @@
 		this.carrier = this.newCarrier()
 	}
 
-	/** Takes orders. @returns false when they were dropped for certain. */
+	/** Accepts orders. @returns false if they were certainly dropped. */
 	take(batch: OrderBatch): boolean {
 		if (!this.isLinked) return false
 		if (!this.isDroppingMessages)
@@ -59,7 +59,7 @@
 		return true
 	}
 
-	/** Lets time pass: the leader hears of it, and it of the leader. */
+	/** Exchanges heartbeats with the leader. */
 	tick(): void {
 		if (!this.isLinked || this.isDroppingMessages || this.isFrozen) return
 		const now = this.parts.clock.now()
@@ -67,13 +67,13 @@
 		this.carrier.heard(LEADER, { life: LEADER_INCARNATION, at: now })
 	}
 
-	/** It stands still for a while, and then goes on with what it held. */
+	/** Freezes the instance for a number of milliseconds, after which it processes the messages that it held. */
 	freeze(span: number): void {
 		this.isFrozen = true
 		this.parts.clock.after(span, () => this.unfreeze())
 	}
 
-	/** It goes on. */
+	/** Ends a freeze and processes the held messages. */
 	unfreeze(): void {
 		this.isFrozen = false
 		const { held } = this
@@ -81,7 +81,7 @@
 		for (const act of held) act()
 	}
 
-	/** It is killed, and another process takes its place at once. */
+	/** Kills the process; another one replaces it at once. */
 	kill(): void {
 		this.held = []
 		this.carrier = this.newCarrier()
--- a/packages/runs/src/lib/jobs/FleetOrders.ts
+++ b/packages/runs/src/lib/jobs/FleetOrders.ts
@@ -1,4 +1,4 @@
-/** The way between a controller and the workers of a run: calls take time, get lost, or are carried out late. */
+/** The simulated network between a controller and the workers: orders are delayed, lost, or carried out late. */
 import {
 	workerNameOf,
 	WorkerOrders,
@@ -14,37 +14,37 @@
 import type { FleetWorker } from './FleetWorker'
 import type { LeaderLoop } from './LeaderLoop'
 
-/** Milliseconds after which a call without an answer is given up. */
+/** Time after which a call without an answer counts as unanswered. */
 const ANSWER_TIMEOUT_MS = 250
-/** Milliseconds each way, the least and the most. */
+/** Minimum and maximum one-way delay. */
 const NETWORK_DELAY_MS = [1, 9] as const
-/** Milliseconds that a slow answer takes, the least and the most; it may come after its call was given up. */
+/** Minimum and maximum delay of a slow answer; it may arrive after its call has timed out. */
 const SLOW_ANSWER_MS = [60, 290] as const
-/** Seconds after which a late order is carried out, the least and the most, in milliseconds. */
+/** Minimum and maximum delay after which a late order is carried out. */
 const LATE_ORDER_MS = [2000, 12_000] as const
 
 type Answer<T> = (result: T | { readonly kind: 'unknown'; readonly message: string }) => void
 
-/** What the way to the workers needs of its run. @internal */
+/** Dependencies of {@link FleetOrders}. @internal */
 export interface FleetOrdersParts {
 	readonly clock: Clock
 	readonly random: Random
-	/** @returns the machine at an address. */
+	/** @returns the machine with an address. */
 	readonly machineAt: (address: string) => FleetWorker
-	/** @returns whether no worker can be reached from here. */
+	/** @returns whether the sender cannot reach any worker. */
 	readonly isCutOff: () => boolean
-	/** Share of orders that get no answer and are carried out late. */
+	/** Share of orders that are carried out late and get no answer. */
 	readonly lateShare: () => number
-	/** Share of orders that are carried out and whose answer is lost. */
+	/** Share of orders that are carried out but whose answer is lost. */
 	readonly lostShare: () => number
-	/** Share of answers that take long; where there are any, an answer comes although the worker that sent it has ended. */
+	/** Share of slow answers; if it is above 0, answers also arrive after the worker that sent them has ended. */
 	readonly slowShare: number
-	/** Brings answers and limits to the instance that gives the orders. */
+	/** The event loop in which the sender handles answers and timeouts. */
 	readonly loop?: LeaderLoop
 }
 
 /**
- * Orders to the workers of a run.
+ * Sends orders to the workers of a run.
  *
  * @internal
  */
@@ -89,7 +89,7 @@
 		const reached = (): void => {
 			const machine = this.reachableMachine(worker)
 			if (!machine) return
-			// What a worker has taken and not yet carried out is lost with its life.
+			// An order that a worker has accepted but not yet carried out is lost when its incarnation ends.
 			if (late && machine.worker.id !== incarnation) return
 			const result = isAddressedTo(machine, worker) ? act(machine, late) : OTHER_INCARNATION
 			if (!lost) this.sendAnswer(machine, answer, result)
@@ -121,7 +121,7 @@
 		clock.after(random.integer(...NETWORK_DELAY_MS), call)
 	}
 
-	/** @returns what takes the first answer; none by the limit counts as unknown. */
+	/** @returns a callback for the first answer; without an answer within the limit the result is `unknown`. */
 	private withTimeout<T>(done: Answer<T>, limit: number): (result: T) => void {
 		let isSettled = false
 		const settle = (result: Parameters<Answer<T>>[0]): void => {
@@ -136,7 +136,7 @@
 	}
 }
 
-/** A worker knows itself by its name only, and takes what was meant for an earlier life. */
+/** Workers compare only their names, and so accept orders that were meant for an earlier incarnation. */
 function isAddressedTo({ name }: FleetWorker, { id }: OrderTarget): boolean {
 	return workerNameOf(id) === name
 }
--- a/packages/runs/src/lib/jobs/JobFaults.ts
+++ b/packages/runs/src/lib/jobs/JobFaults.ts
@@ -1,9 +1,9 @@
-/** What goes wrong in a run of jobs, alone and in pairs. */
+/** Injects faults into a run of jobs, one or two at a time. */
 import { Refusal } from '@rillrudder/jobs'
 import type { FleetWorker } from './FleetWorker'
 import type { JobRun } from './JobRun'
 
-/** What can go wrong. @public */
+/** The kinds of faults. @public */
 export const JobFault = {
 	LeaderLost: 'leader-lost',
 	WorkerLost: 'worker-lost',
@@ -20,38 +20,38 @@
 	CarrierFrozen: 'carrier-frozen',
 	CarrierKilled: 'carrier-killed',
 	CarrierUnlinked: 'carrier-unlinked',
-	/** The link goes silent without ending. */
+	/** The link stays up but loses all messages. */
 	CarrierSilent: 'carrier-silent',
 	CarrierCut: 'carrier-cut',
-	/** All workers of a rack end at the same moment. */
+	/** All workers of a rack crash at the same time. */
 	RackLost: 'rack-lost',
-	/** All workers of a data centre do. */
+	/** All workers of a data centre crash at the same time. */
 	DataCentreLost: 'data-centre-lost',
-	/** What a worker offers shrinks while it runs, and grows again. */
+	/** The capacity that a worker offers shrinks while it runs, and grows back later. */
 	CapacityShrinks: 'room-shrinks',
-	/** A worker ends without a word and starts again under the id that it had. */
+	/** A worker crashes and starts again under the same name. */
 	WorkerRestarted: 'worker-restarted',
-	/** The same, and it is back before a poll that was out has shown that it was away. */
+	/** A worker restarts under the same name so fast that an open poll does not reveal its absence. */
 	WorkerRestartedAtOnce: 'worker-restarted-at-once',
-	/** Most workers of a rack do so at the same moment. */
+	/** The workers of a rack restart under their names at the same time. */
 	RackRestarted: 'rack-restarted',
-	/** Workers refuse some of the starts that they are ordered. */
+	/** Workers refuse some starts. */
 	StartsRefused: 'starts-refused',
-	/** The leader's process stands still, and then reads all that came meanwhile. */
+	/** The leader's process stalls, and then handles all that arrived meanwhile. */
 	LeaderStalled: 'leader-stalled',
 } as const
-/** One of the faults. @public */
+/** One of the kinds of faults. @public */
 export type JobFault = (typeof JobFault)[keyof typeof JobFault]
 
-/** Everything that can go wrong. @public */
+/** All faults. @public */
 export const ALL_FAULTS: readonly JobFault[] = Object.values(JobFault)
 
-/** Everything but leaders that stand still: what seeds are played with that failed in such runs. @internal */
+/** All faults except stalled leaders, for regression seeds that were found without this fault. @internal */
 export const FAULTS_WITHOUT_LEADER_STALLS: readonly JobFault[] = ALL_FAULTS.filter(
 	(fault) => fault !== JobFault.LeaderStalled
 )
 
-/** What only runs that ask for it have. */
+/** Faults that a run has only if it lists them. */
 const OPTIONAL_FAULTS: readonly JobFault[] = [
 	'rack-lost',
 	'data-centre-lost',
@@ -63,22 +63,22 @@
 	'leader-stalled',
 ]
 
-/** What goes wrong in a run unless it says otherwise. @public */
+/** The default faults of a run. @public */
 export const COMMON_FAULTS: readonly JobFault[] = ALL_FAULTS.filter(
 	(fault) => !OPTIONAL_FAULTS.includes(fault)
 )
 
-/** Waves of crashes besides. @public */
+/** Faults that crash many workers at the same time. @public */
 export const CRASH_WAVES: readonly JobFault[] = [JobFault.RackLost, JobFault.DataCentreLost]
 
-/** Workers that start again under the id that they had. @public */
+/** Faults that restart workers under their names. @public */
 export const RESTART_FAULTS: readonly JobFault[] = [
 	JobFault.WorkerRestarted,
 	JobFault.WorkerRestartedAtOnce,
 	JobFault.RackRestarted,
 ]
 
-/** What goes wrong between a leader and the instances that carry its orders, with what makes that matter. @public */
+/** Faults between a leader and the instances that carry its orders, and those that expose their effects. @public */
 export const CARRIER_FAULTS: readonly JobFault[] = [
 	JobFault.LeaderLost,
 	JobFault.CarrierFrozen,
@@ -90,22 +90,22 @@
 	JobFault.OrdersLate,
 ]
 
-/** Of so many faults one brings a second with it. */
+/** Share of faults that are followed by a second one at once. */
 const SECOND_FAULT_SHARE = 0.3
-/** How long a fault lasts, the least and the most, in milliseconds. */
+/** Minimum and maximum duration of a fault. */
 const DURATION_MS = [300, 7000] as const
-/** How long a worker is away that is back at once, the least and the most, in milliseconds. */
+/** Minimum and maximum downtime of a worker that restarts at once. */
 const IMMEDIATE_RESTART_MS = [10, 200] as const
-/** How long there is no leader, the least and the most, in milliseconds. */
+/** Minimum and maximum time without a leader. */
 const LEADERLESS_MS = [50, 1500] as const
-/** How long a leader stands still, the least and the most, in milliseconds. */
+/** Minimum and maximum stall of a leader. */
 const STALL_MS = [100, 1200] as const
 const LATE_SHARE = 0.06
 const LOST_SHARE = 0.2
 const CANCELLED_SHARE = 0.3
 const HELD_SHARE = 0.5
 const REFUSED_SHARE = 0.08
-/** Why workers refuse a start that they could carry out; the other reasons follow from what they have done. */
+/** Reasons for refusing a start that could be carried out; the other reasons follow from the state of the worker. */
 const REFUSALS = [
 	Refusal.Late,
 	Refusal.Room,
@@ -115,14 +115,14 @@
 ] as const
 
 /**
- * The faults of a run.
+ * Injects the faults of a run.
  *
  * @internal
  */
 export class JobFaults {
 	lateOrderShare = 0
 	lostAnswerShare = 0
-	/** Share of heartbeats that are held back. */
+	/** Share of heartbeats that the network holds back. */
 	heldHeartbeatShare = 0
 	/** Share of starts that are refused. */
 	private refusedStartShare = 0
@@ -135,7 +135,7 @@
 		private readonly faults: readonly JobFault[]
 	) {}
 
-	/** @returns whether something may go wrong. */
+	/** @returns whether a fault may occur in this run. */
 	has(fault: JobFault): boolean {
 		return this.faults.includes(fault)
 	}
@@ -147,7 +147,7 @@
 		return random.pick(REFUSALS)
 	}
 
-	/** Lets something go wrong, where that is due. */
+	/** Injects a fault if one is due. */
 	tick(): void {
 		const { clock, random } = this.run
 		if (this.rate === 0 || clock.now() < this.nextAt) return
@@ -156,7 +156,7 @@
 		if (random.chance(SECOND_FAULT_SHARE)) this.injectFault()
 	}
 
-	/** Mends everything that is wrong. */
+	/** Ends all faults. */
 	endAll(): void {
 		this.lateOrderShare = 0
 		this.lostAnswerShare = 0
--- a/packages/runs/src/lib/jobs/OfferedCapacity.ts
+++ b/packages/runs/src/lib/jobs/OfferedCapacity.ts
@@ -24,7 +24,7 @@
 	current: Resources
 	private previous: PreviousCapacity[] = []
 
-	/** @param full - what it offers at its start. */
+	/** @param full - the capacity when an incarnation starts. */
 	constructor(
 		private readonly clock: Clock,
 		readonly full: Resources
--- a/packages/runs/src/lib/jobs/RunAccounts.ts
+++ b/packages/runs/src/lib/jobs/RunAccounts.ts
@@ -1,7 +1,7 @@
 /**
- * The client accounts of a run: keys that come and go, quotas that are cut and raised, and a record of what each account
- * has running, which knows only what workers do. It draws from a stream of its own, so that runs without accounts keep
- * their course.
+ * The client accounts of a run: keys are replaced, quotas are cut and raised, and the tasks of each account that run on
+ * workers are recorded to check its quota. It has a random generator of its own, so that the course of runs without
+ * accounts does not change.
  */
 import { digestOf, parseTaskName, type ClientAccount, type JobRequest } from '@rillrudder/jobs'
 import {
@@ -16,35 +16,35 @@
 import { CallerAccounts } from './CallerAccounts'
 import type { ObservedRun } from './JobInvariants'
 
-/** Milliseconds after its confirmation for which an older quota may still be obeyed. */
+/** Milliseconds after the confirmation of a new quota for which the previous one may still be applied. */
 const OLD_QUOTA_VALID_MS = 2500
-/** Milliseconds between two configurations, on the mean. */
+/** Mean time between two configurations. */
 const CHANGE_INTERVAL_MS = 3000
-/** Share of jobs that come with a key that no account holds. */
+/** Share of jobs submitted with a key that belongs to no account. */
 const UNKNOWN_KEY_SHARE = 0.1
-/** Thousandths of a processor; the fleet of a run has 48,000. */
+/** Quotas in thousandths of a processor; the fleet of a run has 48,000. */
 const CPU_QUOTAS = [3000, 6000, 12_000] as const
 const ACCOUNT_NAMES = ['town', 'city', 'village'] as const
-/** More than a run's fleet has. */
+/** More than the fleet of a run has, in thousandths of a processor. */
 const UNLIMITED_CPU = 1_000_000
-/** Set apart from the run's own stream. */
+/** Makes the seed of the accounts' random generator from that of the run. */
 const SEED_MASK = 0x5eed
 
 interface QuotaTerm {
 	readonly quota: Quota
-	/** When a later one was confirmed; infinite before. */
+	/** When a later quota was confirmed; infinite before. */
 	supersededAt: number
 }
 
 interface OwnedJob {
-	/** Index of the account that handed it in; undefined for a caller without a valid key. */
+	/** Index of the account that submitted the job; undefined for a caller without a valid key. */
 	readonly owner: number | undefined
 	readonly request: JobRequest
 	readonly key: string
 }
 
 /**
- * The accounts of a run.
+ * Client accounts whose keys and quotas change.
  *
  * @internal
  */
@@ -52,14 +52,14 @@
 	private readonly random: Random
 	private readonly quotas: number[] = ACCOUNT_NAMES.map(() => CPU_QUOTAS[1])
 	private readonly keyGenerations: number[] = ACCOUNT_NAMES.map(() => 0)
-	/** Of each account every quota that was ever sent. */
+	/** All quotas that were ever sent, by account. */
 	private readonly quotaTerms: QuotaTerm[][] = ACCOUNT_NAMES.map(() => [])
 	private readonly jobs = new Map<string, OwnedJob>()
-	/** Of each account its tasks that run, by worker and name. */
+	/** Running tasks, by worker and task name. */
 	private readonly running = new Map<string, { owner: number; amount: Resources }>()
 	private changeAt = CHANGE_INTERVAL_MS
 
-	/** @param seed - of the run. */
+	/** @param seed - the seed of the run. */
 	constructor(seed: number) {
 		super()
 		this.random = new Random(seed ^ SEED_MASK)
@@ -116,7 +116,7 @@
 		this.running.delete(`${worker} ${task}`)
 	}
 
-	/** A start takes no account above the highest quota that may be in force and one task more. */
+	/** Checks that an account was within the highest quota that may be in force before its task started. */
 	private checkQuota(owner: number, amount: Resources, now: number, task: string): void {
 		let used = NO_RESOURCES
 		for (const run of this.running.values()) if (run.owner === owner) used = plus(used, run.amount)
