--- a/packages/runs/src/lib/jobs/FleetWorker.ts
+++ b/packages/runs/src/lib/jobs/FleetWorker.ts
@@ -1,6 +1,6 @@
 /**
- * One worker machine of a run: it carries out orders as the platform's workers do, under a lease on its own
- * clock, and lists what runs and what has ended until that is noted.
+ * A simulated worker machine: it carries out orders as the platform's workers do, under a lease on its own clock, and
+ * lists its runs and their ends until the ends are acknowledged.
  */
 import {
 	formatIncarnation,
@@ -24,13 +24,13 @@
 import { OfferedCapacity } from './OfferedCapacity'
 import { FAILING_IMAGE } from './randomJob'
 
-/** The longest lease that a worker keeps, in milliseconds. */
+/** The longest lease that a worker accepts. */
 const MAX_LEASE_MS = 10_000
-/** Milliseconds of work between two checkpoints. */
+/** Interval between two checkpoints of a run. */
 const CHECKPOINT_INTERVAL_MS = 500
-/** Milliseconds by which a worker's calendar may be wrong when it starts. */
+/** Maximum error of the wall clock from which a worker reports when it started. */
 const START_TIME_ERROR_MS = 5000
-/** Milliseconds that a stop takes. */
+/** How long a run takes to stop. */
 const STOP_DURATION_MS = 200
 
 /** A run on a worker. @internal */
@@ -41,13 +41,13 @@
 	readonly worker: FleetWorker
 	checkpoint: string
 	checkpointCount: number
-	/** Milliseconds that it works in all. */
+	/** Total duration of its work in milliseconds. */
 	readonly workMs: number
-	/** When it ends by itself; infinite while a gang is not complete, and for lasting tasks. */
+	/** When it ends by itself; infinite for a long-running task that does not fail. */
 	endsAt: number
-	/** Whether it will fail, of itself or by its worker. */
+	/** Whether it will fail, because of the task or of the worker. */
 	readonly willFail: boolean
-	/** How it ends then. */
+	/** How it ends at `endsAt`. */
 	endReason: RunEnd
 	nextCheckpointAt: number
 }
@@ -57,7 +57,7 @@
 	readonly answer: () => void
 }
 
-/** What a machine needs of its run. @internal */
+/** Dependencies of {@link FleetWorker}. @internal */
 export interface FleetWorkerParts {
 	readonly clock: Clock
 	readonly random: Random
@@ -65,31 +65,31 @@
 	readonly gangs: GangRegistry
 	/** @returns the step of a task, by the task's name. */
 	readonly stepOf: (task: string) => Step
-	/** @returns whether a ticket lets the worker run the task's step now. */
+	/** @returns whether a ticket allows the worker to run the step of the task now. */
 	readonly mayRun: (task: string, worker: string, ticket: string) => boolean
-	/** @returns why a start is refused that could be carried out; undefined if it is not. */
+	/** @returns the reason for refusing a start that could be carried out; undefined to accept it. */
 	readonly refusal: () => Refusal | undefined
-	/** Told of each run that begins. */
+	/** Called when a run starts. */
 	readonly onRunStarted: (machine: FleetWorker, task: string) => void
 }
 
 /**
- * One machine, one life of which is a worker.
+ * A machine; each incarnation of it is a worker.
  *
  * @internal
  */
 export class FleetWorker {
-	/** What it says of itself; its id changes with each life, also where its name does not. */
+	/** What the worker reports about itself; the id changes with each incarnation even if the name does not. */
 	worker: Worker
 	isUp = true
-	/** Whether nobody hears it, nor it anybody. */
+	/** Whether the machine is cut off from the network. */
 	isCutOff = false
 	isDraining = false
-	/** Whether all that it starts fails. */
+	/** Whether all runs that it starts fail. */
 	isFailing = false
-	/** Whether what it runs stands still. */
+	/** Whether its runs make no progress. */
 	isStalled = false
-	/** How fast it works; 1 is as fast as tasks declare. */
+	/** Relative speed; at 1 tasks take as long as they declare. */
 	speed = 1
 	private tickedAt = 0
 	sequence = 0
@@ -98,12 +98,12 @@
 	private clockOffset: number
 	private fence = 0
 	private leaseUntil = 0
-	/** Whether there is a lease that has not lapsed. */
+	/** Whether there is a lease that has not expired. */
 	private hasLease = false
 	private endCount = 0
 	private readonly runs = new Map<string, FleetRun>()
 	private unacknowledgedEnds: ListedEnd[] = []
-	/** For each task the highest attempt that has ended or was stopped here. */
+	/** The highest attempt of each task that has ended or was stopped here. */
 	private readonly closedAttempts = new Map<string, number>()
 	private pendingPolls: PendingPoll[] = []
 	constructor(
@@ -116,22 +116,22 @@
 		this.clockOffset = parts.random.integer(0, 1_000_000)
 	}
 
-	/** How many runs it has. */
+	/** Number of runs. */
 	get runCount(): number {
 		return this.runs.size
 	}
 
-	/** @returns whether a run of a task is on it. */
+	/** @returns whether a task runs on this worker. */
 	isRunning(task: string): boolean {
 		return this.runs.has(task)
 	}
 
-	/** What its own clock shows, in whole milliseconds. */
+	/** The time of its own clock in whole milliseconds. */
 	get ownClock(): number {
 		return Math.floor(this.clockOffset + this.parts.clock.now() * this.clockRate)
 	}
 
-	/** Ends this life with all that it runs. */
+	/** Ends the incarnation and all its runs. */
 	crash(): void {
 		this.isUp = false
 		const { invariants, gangs } = this.parts
@@ -141,18 +141,18 @@
 		this.pendingPolls = []
 	}
 
-	/** What it offers changes, as its next heartbeat tells. */
+	/** Changes the offered capacity to a share of the full one, which the next heartbeat reports. */
 	resize(share: number): void {
 		this.offered.resize(share)
 		this.worker = { ...this.worker, capacity: this.offered.current }
 	}
 
-	/** What it calls itself. */
+	/** The name of the worker, which incarnations may share. */
 	get name(): string {
 		return workerNameOf(this.worker.id)
 	}
 
-	/** Begins a new life under another name. */
+	/** Starts a new incarnation under another name. */
 	startAs(name: string): void {
 		this.startIncarnation({
 			name,
@@ -160,13 +160,13 @@
 		})
 	}
 
-	/** Begins a new life under the name that it had, with a clock of its own. */
+	/** Starts a new incarnation under the same name, with a new clock offset. */
 	restart(): void {
 		this.clockOffset = this.parts.random.integer(0, 1_000_000)
 		this.startIncarnation({ name: this.name, born: this.reportedStartTime() })
 	}
 
-	/** Calendars are set: a later life may seem to have started before an earlier one. */
+	/** Wall clocks are adjusted: a later incarnation may report an earlier start than the one before it. */
 	private reportedStartTime(): number {
 		const { clock, random } = this.parts
 		return clock.date().getTime() + random.integer(-START_TIME_ERROR_MS, START_TIME_ERROR_MS)
@@ -205,7 +205,7 @@
 		const { invariants, clock } = this.parts
 		const { checkpoint } = order
 		const seen = { worker: this.worker.id, task, attempt, checkpoint, isLate: late }
-		// An order that is carried out late was right when it was sent.
+		// An order that is carried out late fitted the capacity when it was sent.
 		const capacity = late ? this.offered.full : this.offered.maxRecent
 		invariants.onRunStarted({ ...this.worker, capacity }, seen, spec, clock.now())
 		this.startRun(task, attempt, checkpoint)
@@ -227,7 +227,7 @@
 		return this.toDone()
 	}
 
-	/** Answers a poll, at once or when there is an end to list. */
+	/** Answers a poll, at once or when a run has ended. */
 	poll(order: PollOrder, answer: (result: PollResult) => void): void {
 		if (order.fence < this.fence) {
 			answer(this.toRefused(Refusal.Fence) as PollResult)
@@ -236,12 +236,12 @@
 		this.fence = order.fence
 		this.acknowledgeEnds(order.endsSeen)
 		if (order.leaseUntil !== undefined) this.extendLease(order.leaseUntil)
-		const tell = (): void => answer(this.pollResult())
-		if (order.wait === 0 || this.unacknowledgedEnds.length > 0) tell()
-		else this.pendingPolls.push({ until: this.parts.clock.now() + order.wait, answer: tell })
+		const reply = (): void => answer(this.pollResult())
+		if (order.wait === 0 || this.unacknowledgedEnds.length > 0) reply()
+		else this.pendingPolls.push({ until: this.parts.clock.now() + order.wait, answer: reply })
 	}
 
-	/** Lets time pass. */
+	/** Advances to the current time: expires the lease, makes checkpoints, ends runs and answers polls. */
 	tick(): void {
 		if (!this.isUp) return
 		const now = this.parts.clock.now()
@@ -259,7 +259,7 @@
 		for (const { answer } of due) answer()
 	}
 
-	/** Ends a run and lists that. */
+	/** Ends a run and adds it to the list of ends. */
 	endRun(run: FleetRun, how: RunEnd): void {
 		const { task, attempt, checkpoint } = run
 		if (!this.runs.delete(task)) return
@@ -300,7 +300,7 @@
 		this.parts.invariants.onCheckpoint(run.task, run.checkpoint)
 	}
 
-	/** What stands still ends and saves later; stops are not held up. */
+	/** Delays the ends and checkpoints of stalled runs; stops are not delayed. */
 	private delayRuns(span: number): void {
 		for (const run of this.runs.values()) {
 			run.nextCheckpointAt += span
@@ -346,7 +346,7 @@
 		}
 	}
 
-	/** How far a run has got; nothing while a gang is not complete. */
+	/** @returns the progress of a run in percent; 0 while its gang is incomplete. */
 	private percentOf({ step, workMs, endsAt, endReason }: FleetRun): number {
 		if (step.lasting) return 100
 		if (!Number.isFinite(endsAt) || endReason === RunEnd.Alone) return 0
--- a/packages/runs/src/lib/jobs/JobInvariants.ts
+++ b/packages/runs/src/lib/jobs/JobInvariants.ts
@@ -1,17 +1,17 @@
 /**
- * Sees everything that the workers of a run do, and says at once when a rule of jobs is broken. It knows
- * only what was handed in and what workers did, never what the controller believes.
+ * Observes all actions of the workers of a run and throws as soon as a rule of jobs is broken. It knows only the
+ * submitted jobs and the actions of the workers, never the state of the controller.
  */
 import { parseTaskName, RunEnd, type JobRequest, type Queue, type Step } from '@rillrudder/jobs'
 import { fits, NO_RESOURCES, plus, type Resources } from '@rillrudder/scheduler'
 import { invariant } from '@rillrudder/utils'
 
-/** Milliseconds after an acknowledged cancellation from which nothing of the job may begin. */
+/** Time after an acknowledged cancellation from which no task of the job may start. */
 const CANCEL_DEADLINE_MS = 3000
-/** Milliseconds after which a noted end must have reached those who start copies. */
+/** Time after the acknowledged end of a task from which no further copy of it may start. */
 const DONE_NOTICE_MS = 1000
 
-/** A task's run as its worker sees it. @internal */
+/** A run of a task as its worker sees it. @internal */
 export interface ObservedRun {
 	readonly worker: string
 	readonly task: string
@@ -26,7 +26,7 @@
 	readonly attempt: number
 	readonly how: RunEnd
 	isAcknowledged: boolean
-	/** Its worker's lease lapsed before it was noted: the end does not count. */
+	/** Whether the worker's lease expired before the end was acknowledged: the end does not count. */
 	isVoid: boolean
 }
 
@@ -39,7 +39,7 @@
 interface ObservedTask {
 	readonly live: Map<string, ObservedRun>
 	readonly ends: ObservedEnd[]
-	/** For each start, how many ends there were before it. */
+	/** For each start, the number of ends before it. */
 	readonly endsBeforeStarts: number[]
 	doneAcknowledgedAt?: number
 }
@@ -51,7 +51,7 @@
 	cancelledAt?: number
 }
 
-/** A worker as far as the rules ask about it. @internal */
+/** The properties of a worker that the rules check. @internal */
 export interface ObservedWorker {
 	readonly id: string
 	readonly service: string
@@ -59,11 +59,11 @@
 	readonly capacity: Resources
 }
 
-/** Observes the runs of a fleet. @internal */
+/** Observes the runs on the workers. @internal */
 export interface RunObserver {
-	/** A worker has begun a run. */
+	/** Called when a worker has started a run. */
 	onRunStarted(worker: string, run: ObservedRun, now: number): void
-	/** A run is over, however it ended. */
+	/** Called when a run has ended for any reason. */
 	onRunEnded(worker: string, task: string): void
 }
 
@@ -75,14 +75,14 @@
 export class JobInvariants {
 	private readonly jobs = new Map<string, ObservedJob>()
 	private readonly tasks = new Map<string, ObservedTask>()
-	/** Names of the tasks that run on each worker. */
+	/** Names of the running tasks, by worker. */
 	private readonly tasksByWorker = new Map<string, Set<string>>()
 	starts = 0
 
-	/** @param observer - told of what begins and ends too, if there is one. */
+	/** @param observer - is notified of starts and ends of runs, if present. */
 	constructor(private readonly observer?: RunObserver) {}
 
-	/** A client hands a job in; whether it was accepted may not be known yet. */
+	/** Handles the submission of a job, which may not have been accepted yet. */
 	onJobSubmitted(id: string, request: JobRequest, queue: Queue): void {
 		const steps = new Map<string, ObservedStep>()
 		const repeats = request.repeat?.count ?? 1
@@ -94,13 +94,13 @@
 		this.jobs.set(id, { request, queue, steps })
 	}
 
-	/** A client heard that its job is cancelled. */
+	/** Handles the acknowledgement of a cancellation to the client. */
 	onJobCancelled(id: string, now: number): void {
 		const job = this.jobs.get(id)
 		if (job) job.cancelledAt ??= now
 	}
 
-	/** A worker begins a run. */
+	/** Checks the start of a run on a worker. @throws InvariantBroken when a rule is broken. */
 	onRunStarted(worker: ObservedWorker, run: ObservedRun, spec: string, now: number): void {
 		const { task: text } = run
 		const { job, step, name } = this.locate(text)
@@ -126,12 +126,12 @@
 		this.observer?.onRunStarted(worker.id, run, now)
 	}
 
-	/** A running task has made a checkpoint. */
+	/** Handles a checkpoint of a running task. */
 	onCheckpoint(text: string, checkpoint: string): void {
 		this.locate(text).step.checkpoints.add(checkpoint)
 	}
 
-	/** A run has ended, and its worker lists that. */
+	/** Handles the end of a run that its worker lists. */
 	onRunEnded(worker: string, text: string, attempt: number, how: RunEnd): void {
 		const task = this.taskOf(text)
 		task.live.delete(worker)
@@ -140,7 +140,7 @@
 		this.observer?.onRunEnded(worker, text)
 	}
 
-	/** A worker has ended with all that it ran. */
+	/** Handles the end of a worker with all its runs. */
 	onWorkerDied(worker: string): void {
 		for (const text of this.tasksOn(worker)) {
 			this.taskOf(text).live.delete(worker)
@@ -149,7 +149,7 @@
 		this.tasksByWorker.delete(worker)
 	}
 
-	/** A worker's lease has lapsed: ends that were not noted before do not count. */
+	/** Handles the expiry of a worker's lease: ends that were not acknowledged before do not count. */
 	onLeaseExpired(worker: string, tasks: Iterable<string>): void {
 		for (const text of tasks) {
 			for (const end of this.taskOf(text).ends) {
@@ -158,7 +158,7 @@
 		}
 	}
 
-	/** A worker was told that an end has been seen. */
+	/** Handles the acknowledgement of an end to its worker. @throws InvariantBroken when a rule is broken. */
 	onEndAcknowledged(worker: string, text: string, attempt: number, now: number): void {
 		const { job, step } = this.locate(text)
 		const task = this.taskOf(text)
@@ -175,21 +175,21 @@
 		if (end.how === RunEnd.Failed) this.checkAttempts(task, job, step.step, where)
 	}
 
-	/** @returns whether a task has ended as done on some worker; of a gang one member stands for all. */
+	/** @returns whether a task has completed on some worker; a gang is done once one member is. */
 	isDone(text: string): boolean {
 		const { job, step, name } = this.locate(text)
 		if (!step.step.gang) return this.hasDone(text)
 		return this.namesOf(job, name.job, name.repeat, name.step).some((one) => this.hasDone(one))
 	}
 
-	/** @returns whether a task fails often enough for its job to have failed. */
+	/** @returns whether a task has failed often enough to fail its job. */
 	hasFailed(text: string): boolean {
 		const { job } = this.locate(text)
 		const failed = this.taskOf(text).ends.filter((end) => end.how === RunEnd.Failed)
 		return failed.length >= job.queue.maxAttempts
 	}
 
-	/** How many runs of a task go on. */
+	/** @returns the number of current runs of a task. */
 	liveRuns(text: string): number {
 		return this.taskOf(text).live.size
 	}
@@ -235,7 +235,7 @@
 		invariant(run.isLate || since <= CANCEL_DEADLINE_MS, 'nothing of a cancelled job begins', where)
 	}
 
-	/** No start comes after as many failures as the queue allows, once they are known. */
+	/** Checks that no start follows as many acknowledged failures as the queue allows attempts. */
 	private checkAttempts(
 		task: ObservedTask,
 		job: ObservedJob,
@@ -301,6 +301,6 @@
 	}
 }
 
-/** What an error tells of the place. */
+/** Fields that locate an error. */
 type ErrorFields = Record<string, unknown>
 type TaskAddress = NonNullable<ReturnType<typeof parseTaskName>>
--- a/packages/runs/src/lib/jobs/JobRun.ts
+++ b/packages/runs/src/lib/jobs/JobRun.ts
@@ -1,6 +1,6 @@
 /**
- * A seeded run of a cell's jobs on a clock moved by hand: the real controller and the real state under a series of
- * leaders, with workers and clients that behave as on the platform, and faults of every kind.
+ * A seeded simulation of the jobs of a cell on a manual clock: the real controller and replicated state under a series
+ * of leaders, with simulated workers and clients, and faults of every kind.
  */
 import {
 	CellState,
@@ -36,73 +36,73 @@
 import { PLENTIFUL_ADVICE, RunAdvisers, type RunAdvice, SCARCE_ADVICE } from './RunAdvisers'
 import { RunLog } from './RunLog'
 
-/** Milliseconds of one step of a run. */
+/** Length of one step of a run. */
 const STEP_MS = 10
-/** Share of jobs that are wide gangs, in a run with these. */
+/** Share of jobs that are wide gangs in a run with wide gangs. */
 const WIDE_GANG_SHARE = 0.25
-/** Milliseconds between two readings of the leader's clockwork. */
+/** Interval between two ticks of the leader. */
 const TICK_INTERVAL_MS = 20
-/** Milliseconds after which a client without an answer asks again. */
+/** Time after which a client without an answer retries. */
 const RETRY_MS = 400
-/** Everything is over so long after the faults have ended, in milliseconds. */
+/** Time after the end of all faults within which all jobs must end. */
 const SETTLE_MS = 90_000
 
-/** How a run is made. @public */
+/** Options of a {@link JobRun}. @public */
 export interface JobRunOptions {
 	readonly seed: number
-	/** Faults a second; 0 for a calm run. */
+	/** Faults per second; 0 for none. */
 	readonly faultRate: number
-	/** Jobs handed in a second. */
+	/** Jobs submitted per second. */
 	readonly jobRate: number
-	/** What may go wrong; everything if absent. */
+	/** The faults that may occur; {@link COMMON_FAULTS} if absent. */
 	readonly faults?: readonly JobFault[]
-	/** Whether callers belong to accounts, whose keys and quotas change. */
+	/** Whether callers belong to accounts whose keys and quotas change. */
 	readonly accounts?: boolean
-	/** How callers' accounts compete, in place of accounts whose keys and quotas change; gives the rate of jobs too. */
+	/** Competing accounts, in place of accounts whose keys and quotas change; they also set the rate of jobs. */
 	readonly competition?: Competition
-	/** Whether workers say when they started; they do where they start again under their names. */
+	/** Whether workers report when they started; by default only if a fault restarts them under their names. */
 	readonly reportsStartTime?: boolean
 	/** Whether some tasks crash the workers that start them. */
 	readonly crashingTasks?: boolean
-	/** Share of workers crashed by tasks that start again under their names; none if absent. */
+	/** Share of the workers crashed by tasks that restart under their names; 0 if absent. */
 	readonly restartedShare?: number
-	/** Share of workers' answers that take long; where it is given, what a worker has sent comes although it has ended. */
+	/** Share of slow answers of workers; if it is above 0, answers also arrive after the worker has ended. */
 	readonly slowAnswers?: number
-	/** How fast each worker works, by its number; as fast as tasks declare if absent. */
+	/** Relative speed of each worker, by its number; 1 if absent. */
 	readonly speedOf?: (worker: number) => number
-	/** Whether jobs are wide gangs whose tickets run out soon after they have come. */
+	/** Whether some jobs are wide gangs, with advice tickets that expire soon after they arrive. */
 	readonly wideGangs?: boolean
-	/** What is asked of its leaders; nothing more than usual if absent. */
+	/** The policy of the leaders; {@link PLAIN_POLICY} if absent. */
 	readonly policy?: LeaderPolicy
 }
 
-/** What a run has done. @public */
+/** Counts of a run. @public */
 export interface JobRunTally {
 	jobs: number
 	cancelled: number
 	leaders: number
-	/** Runs that began on workers. */
+	/** Runs that started on workers. */
 	readonly starts: number
-	/** Members of gangs that waited in vain for the others. */
+	/** Members of gangs that ended because the others did not start in time. */
 	readonly timedOutMembers: number
-	/** How many gangs worked, and how many of them as slowly as a slow worker lets them. */
+	/** Number of gangs that worked, and of those that a slow worker slowed down. */
 	readonly gangs: number
 	readonly slowGangs: number
-	/** Wide gangs that were done while jobs were handed in or after, and how many milliseconds each took on the mean. */
+	/** Number of wide gangs that completed, and their mean duration in milliseconds. */
 	readonly wideGangs: { readonly done: number; readonly took: number }
-	/** Milliseconds of answers that leaders asked for. */
+	/** Total time of the answers of the advice service, in milliseconds. */
 	readonly adviceMs: number
-	/** What crashing tasks did; undefined in a run without them. */
+	/** Counts of crashing tasks; undefined in a run without them. */
 	readonly crashes: CrashTally | undefined
 	readonly faults: { readonly [fault: string]: number }
 }
 
-/** So many workers that a leader has its orders carried. */
+/** A number of workers that makes a leader send its orders through carriers. */
 const CARRIED_WORKER_COUNT = 1000
 const SERVICE = 'controller'
 const URGENT = queueOf('urgent', 0, 2)
 const BATCH = queueOf('batch', 2, 3)
-/** Workers in each data centre of a run with wide gangs: a question about all of them takes long. */
+/** Workers in each data centre of a run with wide gangs: advice about all of them takes long. */
 const WORKERS_EACH_FOR_WIDE_GANGS = 20
 
 function termsOf({ base, each, valid }: RunAdvice): AdviceTerms {
@@ -124,7 +124,7 @@
 }
 
 /**
- * A seeded run of a cell's jobs.
+ * A seeded simulation of the jobs of a cell.
  *
  * @example
  * ```ts
@@ -137,7 +137,7 @@
 export class JobRun {
 	readonly clock = new ManualClock()
 	readonly random: Random
-	/** Chooses jobs; in a run with wide gangs apart from all else, so that it has the same jobs whatever its leaders decide. */
+	/** Generates jobs; a generator of its own in a run with wide gangs, whose jobs then do not depend on the leaders' decisions. */
 	private readonly jobRandom: Random
 	readonly invariants: JobInvariants
 	private readonly accounts: CallerAccounts | undefined
@@ -147,7 +147,7 @@
 	readonly fleet: Fleet
 	private readonly faults: JobFaults
 	private readonly submitted = new Map<string, SubmittedJob>()
-	/** Instances that carry orders, one in each data centre but the leader's. */
+	/** Instances that carry orders, one in each data centre except the leader's. */
 	readonly carriers: readonly FleetCarrier[]
 	private readonly direct: FleetOrders
 	readonly loop: LeaderLoop
@@ -161,7 +161,7 @@
 	private nextJobAt = 0
 	private tickAt = 0
 
-	/** @param options - seed and rates. */
+	/** @param options - the seed, rates and faults. */
 	constructor(private readonly options: JobRunOptions) {
 		this.random = new Random(options.seed)
 		const { seed, competition } = options
@@ -199,7 +199,7 @@
 		this.advance(2000)
 	}
 
-	/** What was done so far. */
+	/** Counts so far. */
 	get tally(): JobRunTally {
 		const jobs = [...this.submitted.values()]
 		return {
@@ -217,7 +217,7 @@
 		}
 	}
 
-	/** All jobs that are kept. */
+	/** All jobs in the replicated state. */
 	get jobs(): Iterable<JobRecord> {
 		return this.state.jobs.all()
 	}
@@ -231,7 +231,7 @@
 		return { done: done.length, took: Math.round(total / Math.max(1, done.length)) }
 	}
 
-	/** Lets clients hand jobs in and things go wrong for a span, in milliseconds. */
+	/** Submits jobs and injects faults for a number of milliseconds. */
 	run(span: number): void {
 		const until = this.clock.now() + span
 		while (this.clock.now() < until) {
@@ -242,7 +242,7 @@
 		}
 	}
 
-	/** Ends all faults, waits, and checks that nothing accepted is lost. */
+	/** Ends all faults, waits for the jobs to end, and checks that no accepted job is lost. @throws InvariantBroken */
 	settle(): void {
 		this.faults.endAll()
 		if (!this.controller) this.startLeader()
@@ -251,7 +251,9 @@
 		this.advance(SETTLE_MS)
 		for (const { worker } of this.fleet.machines) {
 			const known = this.state.workers.find(worker.id) !== undefined
-			invariant(known, 'a worker that reports is known by its present life', { worker: worker.id })
+			invariant(known, 'a worker that reports is known by its current incarnation', {
+				worker: worker.id,
+			})
 		}
 		for (const job of this.submitted.values()) {
 			const crashes = this.crashingTasks?.hasCrashingTask(job.id) ?? false
@@ -259,7 +261,7 @@
 		}
 	}
 
-	/** The leader is lost; another leads after a while, in milliseconds. */
+	/** Ends the leader; another one starts after `gap` milliseconds. */
 	loseLeader(gap: number): void {
 		if (!this.controller) return
 		this.state.observer = undefined
@@ -271,7 +273,7 @@
 		this.clock.after(gap, () => this.startLeader())
 	}
 
-	/** Cancels some of the jobs that were accepted. */
+	/** Cancels a random share of the accepted jobs. */
 	cancelSome(share: number): void {
 		for (const job of this.submitted.values()) {
 			if (!job.isAccepted || job.isCancelRequested || !this.random.chance(share)) continue
@@ -312,7 +314,7 @@
 		state.observer = (change) => controller.changed(change)
 	}
 
-	/** An operator sends a configuration until it is confirmed. */
+	/** Sends a new configuration; with accounts, until it is confirmed or superseded. */
 	private configure(): void {
 		const services = [{ name: SERVICE, enforcesCapacity: false }]
 		const accounts = this.accounts?.nextAccounts()
@@ -387,13 +389,13 @@
 		})
 	}
 
-	/** A carrying instance loses its link to the leader. */
+	/** Cuts the link between a carrier and the leader. */
 	unlink(carrier: FleetCarrier): void {
 		carrier.isLinked = false
 		this.orders?.lost(carrier.id)
 	}
 
-	/** Only a leader that has been followed by another is refused by a worker. */
+	/** Checks that workers refuse only a leader that another has replaced. */
 	private onDeposed(controller: JobController): void {
 		invariant(this.controller !== controller, 'a leader is not refused for its term', {
 			term: this.term,
@@ -409,7 +411,7 @@
 		}
 	}
 
-	/** The leader reads what has come, and acts. */
+	/** Handles what waits in the leader's event loop, then ticks, places and sends. */
 	private runLeader(): void {
 		this.loop.resume()
 		if (this.clock.now() >= this.tickAt) {
@@ -456,9 +458,9 @@
 	private queueFor({ spec, steps }: JobRequest, random: Random): Queue {
 		const [urgent, batch] = this.queues
 		if (spec === WIDE_GANG_SPEC) return batch
-		// A policy that bars every worker with the label would make the job one that can never run.
+		// Advice that excludes every worker with the label would make the job impossible to run.
 		const plain = steps.every((step) => !step.lasting && step.requires === '')
-		// Shares order work of one priority.
+		// Shares order only work of equal priority.
 		return plain && !this.competingAccounts ? random.pick(this.queues) : urgent
 	}
 
@@ -477,7 +479,7 @@
 		this.clock.after(RETRY_MS, () => this.submit(job, queue))
 	}
 
-	/** A refusal after a call without an answer says nothing of that call; such a job may run, and is asked for no more. */
+	/** After a call without an answer the job may run although a later call is refused; it is not submitted again. */
 	private onRefused(job: SubmittedJob): void {
 		if (job.unansweredCalls > 0) job.isUncertain = true
 		else job.isRefused = true
--- a/packages/runs/src/lib/jobs/restartedRun.test.ts
+++ b/packages/runs/src/lib/jobs/restartedRun.test.ts
@@ -96,7 +96,7 @@
 
 const BREAKS: readonly Break[] = [
 	{
-		rule: /does not begin again|an accepted job ends|is known by its present life/,
+		rule: /does not begin again|an accepted job ends|is known by its current incarnation/,
 		without: 'telling lives apart in lists',
 		breaks: () => [
 			[
@@ -108,7 +108,7 @@
 		play: withMany,
 	},
 	{
-		rule: /is known by its present life/,
+		rule: /is known by its current incarnation/,
 		without: 'telling lives apart in heartbeats',
 		breaks: () => [
 			[
