--- a/packages/runs/src/lib/jobs/CompetingAccounts.ts
+++ b/packages/runs/src/lib/jobs/CompetingAccounts.ts
@@ -1,6 +1,7 @@
 /**
- * Client accounts of equal weight that compete for the capacity of a run, some of which submit many times their usual
- * rate. They have a random generator of their own, so that the course of runs without accounts does not change.
+ * Client accounts of equal weight that compete for the capacity of a run, some of which submit many
+ * times their usual rate. They have a random generator of their own, so that the course of runs
+ * without accounts does not change.
  */
 import {
 	digestOf,
@@ -25,7 +26,10 @@
 	readonly overloadFactor: number
 }
 
-/** Weight of an account: its rate limit in jobs per second exceeds any load, so that only shares order the work. */
+/**
+ * Weight of an account: its rate limit in jobs per second exceeds any load, so that only shares
+ * order the work.
+ */
 const ACCOUNT_WEIGHT = 1000
 /** Makes the seed of the accounts' random generator from that of the run. */
 const SEED_MASK = 0xacc7
@@ -109,7 +113,10 @@
 	}
 }
 
-/** The work that an account requested and received, in thousandths of processors times milliseconds. @internal */
+/**
+ * The work that an account requested and received, in thousandths of processors times milliseconds.
+ * @internal
+ */
 export interface ServedWork {
 	readonly account: string
 	requested: number
@@ -144,8 +151,8 @@
 }
 
 /**
- * @returns Jain's fairness index over the fraction that each account of equal weight received of its max-min fair share:
- * 1 if all fractions are equal.
+ * @returns Jain's fairness index over the fraction that each account of equal weight received of
+ * its max-min fair share: 1 if all fractions are equal.
  * @internal
  */
 export function jainIndexOf(served: readonly ServedWork[]): number {
--- a/packages/runs/src/lib/jobs/CrashingTasks.ts
+++ b/packages/runs/src/lib/jobs/CrashingTasks.ts
@@ -40,8 +40,8 @@
 }
 
 /**
- * The crashing tasks of a run. They have a random generator of their own, so that the course of runs without them does
- * not change.
+ * The crashing tasks of a run. They have a random generator of their own, so that the course of
+ * runs without them does not change.
  *
  * @internal
  */
@@ -77,7 +77,8 @@
 		invariant(allowed, 'a task that crashes its workers begins no more', { task, before })
 		const { id } = machine.worker
 		this.parts.clock.after(this.random.integer(...CRASH_DELAY_MS), () => {
-			// The run may have ended meanwhile, for instance with its gang: it crashes nothing then.
+			// The run may have ended meanwhile, for instance with its gang: it crashes nothing
+			// then.
 			const isAtWork = machine.isUp && machine.worker.id === id && machine.isRunning(task)
 			if (isAtWork) this.crash(machine, task)
 		})
--- a/packages/runs/src/lib/jobs/Fleet.ts
+++ b/packages/runs/src/lib/jobs/Fleet.ts
@@ -62,14 +62,19 @@
 		for (const machine of this.machines) machine.tick()
 	}
 
-	/** Crashes a worker; its machine starts a worker with another name after a downtime in milliseconds. */
+	/**
+	 * Crashes a worker; its machine starts a worker with another name after a downtime in
+	 * milliseconds.
+	 */
 	crash(machine: FleetWorker, downtime: number): void {
 		if (!machine.isUp) return
 		machine.crash()
 		this.parts.clock.after(downtime, () => machine.startAs(this.nextId()))
 	}
 
-	/** Crashes a worker, which starts again under the same name after a downtime in milliseconds. */
+	/**
+	 * Crashes a worker, which starts again under the same name after a downtime in milliseconds.
+	 */
 	restart(machine: FleetWorker, downtime: number): void {
 		if (!machine.isUp) return
 		machine.crash()
--- a/packages/runs/src/lib/jobs/FleetCarrier.ts
+++ b/packages/runs/src/lib/jobs/FleetCarrier.ts
@@ -1,6 +1,7 @@
 /**
- * A simulated instance that carries orders for leaders. It may freeze and pass on its orders late, be killed with all
- * orders that it holds, lose its link to the leader, or be cut off from the workers.
+ * A simulated instance that carries orders for leaders. It may freeze and pass on its orders late,
+ * be killed with all orders that it holds, lose its link to the leader, or be cut off from the
+ * workers.
  */
 import type { WorkerOrders } from '@rillrudder/jobs'
 import { OrderCarrier, type Carrier } from '@rillrudder/member'
@@ -11,7 +12,10 @@
 const NETWORK_DELAY_MS = [1, 5] as const
 
 const LEADER = 'leader'
-/** The incarnation of every leader: all leaders of a run share one clock, which carriers know from the first heartbeat. */
+/**
+ * The incarnation of every leader: all leaders of a run share one clock, which carriers know from
+ * the first heartbeat.
+ */
 export const LEADER_INCARNATION = 'life'
 
 /** Dependencies of {@link FleetCarrier}. @internal */
@@ -67,7 +71,10 @@
 		this.carrier.heard(LEADER, { life: LEADER_INCARNATION, at: now })
 	}
 
-	/** Freezes the instance for a number of milliseconds, after which it processes the messages that it held. */
+	/**
+	 * Freezes the instance for a number of milliseconds, after which it processes the messages that
+	 * it held.
+	 */
 	freeze(span: number): void {
 		this.isFrozen = true
 		this.parts.clock.after(span, () => this.unfreeze())
--- a/packages/runs/src/lib/jobs/FleetOrders.ts
+++ b/packages/runs/src/lib/jobs/FleetOrders.ts
@@ -1,4 +1,7 @@
-/** The simulated network between a controller and the workers: orders are delayed, lost, or carried out late. */
+/**
+ * The simulated network between a controller and the workers: orders are delayed, lost, or carried
+ * out late.
+ */
 import {
 	workerNameOf,
 	WorkerOrders,
@@ -37,7 +40,10 @@
 	readonly lateShare: () => number
 	/** Share of orders that are carried out but whose answer is lost. */
 	readonly lostShare: () => number
-	/** Share of slow answers; if it is above 0, answers also arrive after the worker that sent them has ended. */
+	/**
+	 * Share of slow answers; if it is above 0, answers also arrive after the worker that sent them
+	 * has ended.
+	 */
 	readonly slowShare: number
 	/** The event loop in which the sender handles answers and timeouts. */
 	readonly loop?: LeaderLoop
@@ -89,7 +95,8 @@
 		const reached = (): void => {
 			const machine = this.reachableMachine(worker)
 			if (!machine) return
-			// An order that a worker has accepted but not yet carried out is lost when its incarnation ends.
+			// An order that a worker has accepted but not yet carried out is lost when its
+			// incarnation ends.
 			if (late && machine.worker.id !== incarnation) return
 			const result = isAddressedTo(machine, worker) ? act(machine, late) : OTHER_INCARNATION
 			if (!lost) this.sendAnswer(machine, answer, result)
@@ -121,7 +128,10 @@
 		clock.after(random.integer(...NETWORK_DELAY_MS), call)
 	}
 
-	/** @returns a callback for the first answer; without an answer within the limit the result is `unknown`. */
+	/**
+	 * @returns a callback for the first answer; without an answer within the limit the result is
+	 * `unknown`.
+	 */
 	private withTimeout<T>(done: Answer<T>, limit: number): (result: T) => void {
 		let isSettled = false
 		const settle = (result: Parameters<Answer<T>>[0]): void => {
@@ -136,7 +146,10 @@
 	}
 }
 
-/** Workers compare only their names, and so accept orders that were meant for an earlier incarnation. */
+/**
+ * Workers compare only their names, and so accept orders that were meant for an earlier
+ * incarnation.
+ */
 function isAddressedTo({ name }: FleetWorker, { id }: OrderTarget): boolean {
 	return workerNameOf(id) === name
 }
--- a/packages/runs/src/lib/jobs/FleetWorker.ts
+++ b/packages/runs/src/lib/jobs/FleetWorker.ts
@@ -1,6 +1,6 @@
 /**
- * A simulated worker machine: it carries out orders as the platform's workers do, under a lease on its own clock, and
- * lists its runs and their ends until the ends are acknowledged.
+ * A simulated worker machine: it carries out orders as the platform's workers do, under a lease on
+ * its own clock, and lists its runs and their ends until the ends are acknowledged.
  */
 import {
 	formatIncarnation,
@@ -67,7 +67,9 @@
 	readonly stepOf: (task: string) => Step
 	/** @returns whether a ticket allows the worker to run the step of the task now. */
 	readonly mayRun: (task: string, worker: string, ticket: string) => boolean
-	/** @returns the reason for refusing a start that could be carried out; undefined to accept it. */
+	/**
+	 * @returns the reason for refusing a start that could be carried out; undefined to accept it.
+	 */
 	readonly refusal: () => Refusal | undefined
 	/** Called when a run starts. */
 	readonly onRunStarted: (machine: FleetWorker, task: string) => void
@@ -79,7 +81,10 @@
  * @internal
  */
 export class FleetWorker {
-	/** What the worker reports about itself; the id changes with each incarnation even if the name does not. */
+	/**
+	 * What the worker reports about itself; the id changes with each incarnation even if the name
+	 * does not.
+	 */
 	worker: Worker
 	isUp = true
 	/** Whether the machine is cut off from the network. */
@@ -141,7 +146,9 @@
 		this.pendingPolls = []
 	}
 
-	/** Changes the offered capacity to a share of the full one, which the next heartbeat reports. */
+	/**
+	 * Changes the offered capacity to a share of the full one, which the next heartbeat reports.
+	 */
 	resize(share: number): void {
 		this.offered.resize(share)
 		this.worker = { ...this.worker, capacity: this.offered.current }
@@ -166,7 +173,10 @@
 		this.startIncarnation({ name: this.name, born: this.reportedStartTime() })
 	}
 
-	/** Wall clocks are adjusted: a later incarnation may report an earlier start than the one before it. */
+	/**
+	 * Wall clocks are adjusted: a later incarnation may report an earlier start than the one before
+	 * it.
+	 */
 	private reportedStartTime(): number {
 		const { clock, random } = this.parts
 		return clock.date().getTime() + random.integer(-START_TIME_ERROR_MS, START_TIME_ERROR_MS)
@@ -241,7 +251,10 @@
 		else this.pendingPolls.push({ until: this.parts.clock.now() + order.wait, answer: reply })
 	}
 
-	/** Advances to the current time: expires the lease, makes checkpoints, ends runs and answers polls. */
+	/**
+	 * Advances to the current time: expires the lease, makes checkpoints, ends runs and answers
+	 * polls.
+	 */
 	tick(): void {
 		if (!this.isUp) return
 		const now = this.parts.clock.now()
--- a/packages/runs/src/lib/jobs/GangRegistry.ts
+++ b/packages/runs/src/lib/jobs/GangRegistry.ts
@@ -1,4 +1,7 @@
-/** The running members of gangs: they work once all members of an attempt have started, and end together. */
+/**
+ * The running members of gangs: they work once all members of an attempt have started, and end
+ * together.
+ */
 import { RunEnd } from '@rillrudder/jobs'
 import type { Clock } from '@rillrudder/utils'
 import type { FleetRun } from './FleetWorker'
@@ -25,7 +28,10 @@
 	timedOutMembers = 0
 	/** Number of gangs of which all members have started. */
 	startedGangs = 0
-	/** Number of these gangs that ran slower than their step declares because the worker of a member is slow. */
+	/**
+	 * Number of these gangs that ran slower than their step declares because the worker of a member
+	 * is slow.
+	 */
 	slowGangs = 0
 
 	constructor(private readonly clock: Clock) {}
@@ -50,7 +56,9 @@
 		}
 	}
 
-	/** Removes a run that has ended; the other members of its gang end too, unless the gang is done. */
+	/**
+	 * Removes a run that has ended; the other members of its gang end too, unless the gang is done.
+	 */
 	onRunEnded(run: FleetRun): void {
 		if (!run.step.gang) return
 		const gang = this.gangs.get(gangKeyOf(run))
--- a/packages/runs/src/lib/jobs/JobFaults.ts
+++ b/packages/runs/src/lib/jobs/JobFaults.ts
@@ -31,7 +31,9 @@
 	CapacityShrinks: 'room-shrinks',
 	/** A worker crashes and starts again under the same name. */
 	WorkerRestarted: 'worker-restarted',
-	/** A worker restarts under the same name so fast that an open poll does not reveal its absence. */
+	/**
+	 * A worker restarts under the same name so fast that an open poll does not reveal its absence.
+	 */
 	WorkerRestartedAtOnce: 'worker-restarted-at-once',
 	/** The workers of a rack restart under their names at the same time. */
 	RackRestarted: 'rack-restarted',
@@ -46,7 +48,10 @@
 /** All faults. @public */
 export const ALL_FAULTS: readonly JobFault[] = Object.values(JobFault)
 
-/** All faults except stalled leaders, for regression seeds that were found without this fault. @internal */
+/**
+ * All faults except stalled leaders, for regression seeds that were found without this fault.
+ * @internal
+ */
 export const FAULTS_WITHOUT_LEADER_STALLS: readonly JobFault[] = ALL_FAULTS.filter(
 	(fault) => fault !== JobFault.LeaderStalled
 )
@@ -78,7 +83,11 @@
 	JobFault.RackRestarted,
 ]
 
-/** Faults between a leader and the instances that carry its orders, and those that expose their effects. @public */
+/**
+ * Faults between a leader and the instances that carry its orders, and those that expose their
+ * effects.
+ * @public
+ */
 export const CARRIER_FAULTS: readonly JobFault[] = [
 	JobFault.LeaderLost,
 	JobFault.CarrierFrozen,
@@ -105,7 +114,10 @@
 const CANCELLED_SHARE = 0.3
 const HELD_SHARE = 0.5
 const REFUSED_SHARE = 0.08
-/** Reasons for refusing a start that could be carried out; the other reasons follow from the state of the worker. */
+/**
+ * Reasons for refusing a start that could be carried out; the other reasons follow from the state
+ * of the worker.
+ */
 const REFUSALS = [
 	Refusal.Late,
 	Refusal.Room,
@@ -140,7 +152,10 @@
 		return this.faults.includes(fault)
 	}
 
-	/** @returns why a worker refuses the start that it is about to carry out; undefined if it does not. */
+	/**
+	 * @returns why a worker refuses the start that it is about to carry out; undefined if it does
+	 * not.
+	 */
 	randomRefusal(): Refusal | undefined {
 		const { random } = this.run
 		if (this.refusedStartShare === 0 || !random.chance(this.refusedStartShare)) return undefined
--- a/packages/runs/src/lib/jobs/JobInvariants.ts
+++ b/packages/runs/src/lib/jobs/JobInvariants.ts
@@ -1,6 +1,6 @@
 /**
- * Observes all actions of the workers of a run and throws as soon as a rule of jobs is broken. It knows only the
- * submitted jobs and the actions of the workers, never the state of the controller.
+ * Observes all actions of the workers of a run and throws as soon as a rule of jobs is broken. It
+ * knows only the submitted jobs and the actions of the workers, never the state of the controller.
  */
 import { parseTaskName, RunEnd, type JobRequest, type Queue, type Step } from '@rillrudder/jobs'
 import { fits, NO_RESOURCES, plus, type Resources } from '@rillrudder/scheduler'
@@ -26,7 +26,9 @@
 	readonly attempt: number
 	readonly how: RunEnd
 	isAcknowledged: boolean
-	/** Whether the worker's lease expired before the end was acknowledged: the end does not count. */
+	/**
+	 * Whether the worker's lease expired before the end was acknowledged: the end does not count.
+	 */
 	isVoid: boolean
 }
 
@@ -149,7 +151,9 @@
 		this.tasksByWorker.delete(worker)
 	}
 
-	/** Handles the expiry of a worker's lease: ends that were not acknowledged before do not count. */
+	/**
+	 * Handles the expiry of a worker's lease: ends that were not acknowledged before do not count.
+	 */
 	onLeaseExpired(worker: string, tasks: Iterable<string>): void {
 		for (const text of tasks) {
 			for (const end of this.taskOf(text).ends) {
@@ -158,7 +162,10 @@
 		}
 	}
 
-	/** Handles the acknowledgement of an end to its worker. @throws InvariantBroken when a rule is broken. */
+	/**
+	 * Handles the acknowledgement of an end to its worker.
+	 * @throws InvariantBroken when a rule is broken.
+	 */
 	onEndAcknowledged(worker: string, text: string, attempt: number, now: number): void {
 		const { job, step } = this.locate(text)
 		const task = this.taskOf(text)
--- a/packages/runs/src/lib/jobs/JobRun.ts
+++ b/packages/runs/src/lib/jobs/JobRun.ts
@@ -1,6 +1,6 @@
 /**
- * A seeded simulation of the jobs of a cell on a manual clock: the real controller and replicated state under a series
- * of leaders, with simulated workers and clients, and faults of every kind.
+ * A seeded simulation of the jobs of a cell on a manual clock: the real controller and replicated
+ * state under a series of leaders, with simulated workers and clients, and faults of every kind.
  */
 import {
 	CellState,
@@ -58,15 +58,24 @@
 	readonly faults?: readonly JobFault[]
 	/** Whether callers belong to accounts whose keys and quotas change. */
 	readonly accounts?: boolean
-	/** Competing accounts, in place of accounts whose keys and quotas change; they also set the rate of jobs. */
+	/**
+	 * Competing accounts, in place of accounts whose keys and quotas change; they also set the rate
+	 * of jobs.
+	 */
 	readonly competition?: Competition
-	/** Whether workers report when they started; by default only if a fault restarts them under their names. */
+	/**
+	 * Whether workers report when they started; by default only if a fault restarts them under
+	 * their names.
+	 */
 	readonly reportsStartTime?: boolean
 	/** Whether some tasks crash the workers that start them. */
 	readonly crashingTasks?: boolean
 	/** Share of the workers crashed by tasks that restart under their names; 0 if absent. */
 	readonly restartedShare?: number
-	/** Share of slow answers of workers; if it is above 0, answers also arrive after the worker has ended. */
+	/**
+	 * Share of slow answers of workers; if it is above 0, answers also arrive after the worker has
+	 * ended.
+	 */
 	readonly slowAnswers?: number
 	/** Relative speed of each worker, by its number; 1 if absent. */
 	readonly speedOf?: (worker: number) => number
@@ -137,7 +146,10 @@
 export class JobRun {
 	readonly clock = new ManualClock()
 	readonly random: Random
-	/** Generates jobs; a generator of its own in a run with wide gangs, whose jobs then do not depend on the leaders' decisions. */
+	/**
+	 * Generates jobs; a generator of its own in a run with wide gangs, whose jobs then do not
+	 * depend on the leaders' decisions.
+	 */
 	private readonly jobRandom: Random
 	readonly invariants: JobInvariants
 	private readonly accounts: CallerAccounts | undefined
@@ -242,7 +254,10 @@
 		}
 	}
 
-	/** Ends all faults, waits for the jobs to end, and checks that no accepted job is lost. @throws InvariantBroken */
+	/**
+	 * Ends all faults, waits for the jobs to end, and checks that no accepted job is lost.
+	 * @throws InvariantBroken
+	 */
 	settle(): void {
 		this.faults.endAll()
 		if (!this.controller) this.startLeader()
@@ -479,7 +494,10 @@
 		this.clock.after(RETRY_MS, () => this.submit(job, queue))
 	}
 
-	/** After a call without an answer the job may run although a later call is refused; it is not submitted again. */
+	/**
+	 * After a call without an answer the job may run although a later call is refused; it is not
+	 * submitted again.
+	 */
 	private onRefused(job: SubmittedJob): void {
 		if (job.unansweredCalls > 0) job.isUncertain = true
 		else job.isRefused = true
--- a/packages/runs/src/lib/jobs/LeaderLoop.ts
+++ b/packages/runs/src/lib/jobs/LeaderLoop.ts
@@ -1,4 +1,7 @@
-/** The event loop of a run's leader. While it is stalled, timers and messages wait, as in a process without CPU time. */
+/**
+ * The event loop of a run's leader. While it is stalled, timers and messages wait, as in a process
+ * without CPU time.
+ */
 import type { Clock } from '@rillrudder/utils'
 
 /**
--- a/packages/runs/src/lib/jobs/OfferedCapacity.ts
+++ b/packages/runs/src/lib/jobs/OfferedCapacity.ts
@@ -3,8 +3,8 @@
 import type { Clock } from '@rillrudder/utils'
 
 /**
- * Milliseconds for which a previous capacity still counts: the change reaches the leader with a heartbeat, and starts
- * that were decided before may still arrive.
+ * Milliseconds for which a previous capacity still counts: the change reaches the leader with a
+ * heartbeat, and starts that were decided before may still arrive.
  */
 const PREVIOUS_CAPACITY_VALID_MS = 4500
 
@@ -32,7 +32,10 @@
 		this.current = full
 	}
 
-	/** The largest capacity, per resource, that a start may rely on: the current one or a recent previous one. */
+	/**
+	 * The largest capacity, per resource, that a start may rely on: the current one or a recent
+	 * previous one.
+	 */
 	get maxRecent(): Resources {
 		const now = this.clock.now()
 		this.previous = this.previous.filter(({ until }) => until > now)
--- a/packages/runs/src/lib/jobs/RunAccounts.ts
+++ b/packages/runs/src/lib/jobs/RunAccounts.ts
@@ -1,7 +1,7 @@
 /**
- * The client accounts of a run: keys are replaced, quotas are cut and raised, and the tasks of each account that run on
- * workers are recorded to check its quota. It has a random generator of its own, so that the course of runs without
- * accounts does not change.
+ * The client accounts of a run: keys are replaced, quotas are cut and raised, and the tasks of each
+ * account that run on workers are recorded to check its quota. It has a random generator of its
+ * own, so that the course of runs without accounts does not change.
  */
 import { digestOf, parseTaskName, type ClientAccount, type JobRequest } from '@rillrudder/jobs'
 import {
@@ -16,7 +16,10 @@
 import { CallerAccounts } from './CallerAccounts'
 import type { ObservedRun } from './JobInvariants'
 
-/** Milliseconds after the confirmation of a new quota for which the previous one may still be applied. */
+/**
+ * Milliseconds after the confirmation of a new quota for which the previous one may still be
+ * applied.
+ */
 const OLD_QUOTA_VALID_MS = 2500
 /** Mean time between two configurations. */
 const CHANGE_INTERVAL_MS = 3000
@@ -116,7 +119,10 @@
 		this.running.delete(`${worker} ${task}`)
 	}
 
-	/** Checks that an account was within the highest quota that may be in force before its task started. */
+	/**
+	 * Checks that an account was within the highest quota that may be in force before its task
+	 * started.
+	 */
 	private checkQuota(owner: number, amount: Resources, now: number, task: string): void {
 		let used = NO_RESOURCES
 		for (const run of this.running.values()) if (run.owner === owner) used = plus(used, run.amount)
--- a/packages/runs/src/lib/jobs/RunAdvisers.ts
+++ b/packages/runs/src/lib/jobs/RunAdvisers.ts
@@ -1,4 +1,7 @@
-/** A simulated advice service that decides which workers may run a step, and the instances that query it. */
+/**
+ * A simulated advice service that decides which workers may run a step, and the instances that
+ * query it.
+ */
 import {
 	Advisers,
 	workerNameOf,
@@ -25,7 +28,10 @@
 	instances: ['self', 'second', 'third', 'fourth'],
 	allows: (hash) => hash % 3 !== 0,
 }
-/** Answers that take a large part of a ticket's validity, and allow one of three workers. @internal */
+/**
+ * Answers that take a large part of a ticket's validity, and allow one of three workers.
+ * @internal
+ */
 export const SCARCE_ADVICE: RunAdvice = {
 	base: 560,
 	each: 8,
--- a/packages/runs/src/lib/jobs/RunLog.ts
+++ b/packages/runs/src/lib/jobs/RunLog.ts
@@ -1,4 +1,6 @@
-/** The replicated log of a simulated run: commits take time, and uncommitted entries may be lost. */
+/**
+ * The replicated log of a simulated run: commits take time, and uncommitted entries may be lost.
+ */
 import { encodeCommands, Proposals, type CellCommand, type CellState } from '@rillrudder/jobs'
 import type { Clock, Random } from '@rillrudder/utils'
 import type { LeaderLoop } from './LeaderLoop'
@@ -54,7 +56,10 @@
 		})
 	}
 
-	/** Ends the term. Some of its uncommitted entries may be in the next leader's log: a random number of them is applied. */
+	/**
+	 * Ends the term. Some of its uncommitted entries may be in the next leader's log: a random
+	 * number of them is applied.
+	 */
 	end(): void {
 		this.hasEnded = true
 		const kept = this.random.integer(0, this.entries.length)
--- a/packages/runs/src/lib/jobs/accountRun.test.ts
+++ b/packages/runs/src/lib/jobs/accountRun.test.ts
@@ -1,6 +1,6 @@
 /**
- * What must always hold of client accounts, shown twice: runs under faults, with keys and quotas that change, hold it, and
- * the same runs fail once the mechanism that it rests on is taken out.
+ * Invariants of client accounts: runs under faults, with keys and quotas that change, keep them,
+ * and the same runs fail without the mechanism that ensures them.
  */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
@@ -12,9 +12,9 @@
 } from '../testing/withPatchedMethods'
 import { JobRun } from './JobRun'
 
-const CALM = 0
-const ROUGH = 1
-const WILD = 4
+const NO_FAULTS = 0
+const SOME_FAULTS = 1
+const MANY_FAULTS = 4
 const SPAN = 12_000
 
 function runOnce(seed: number, faultRate: number): JobRun {
@@ -24,11 +24,11 @@
 	return run
 }
 
-/** @returns what the first seed that fails says, or an empty text when none does. */
+/** @returns the message of the first seed that fails, or an empty string if none does. */
 function firstFailure(): string {
 	for (let seed = 1; seed <= 20; seed++) {
 		try {
-			runOnce(seed, ROUGH)
+			runOnce(seed, SOME_FAULTS)
 		} catch (fault) {
 			return (fault as Error).message
 		}
@@ -36,39 +36,39 @@
 	return ''
 }
 
-test('calm runs, and runs with some faults and with many, hold every rule of accounts', () => {
-	for (let seed = 1; seed <= 4; seed++) runOnce(seed, CALM)
-	for (let seed = 1; seed <= 8; seed++) runOnce(seed, ROUGH)
-	for (let seed = 101; seed <= 108; seed++) runOnce(seed, WILD)
+test('runs with no, some and many faults keep every rule of accounts', () => {
+	for (let seed = 1; seed <= 4; seed++) runOnce(seed, NO_FAULTS)
+	for (let seed = 1; seed <= 8; seed++) runOnce(seed, SOME_FAULTS)
+	for (let seed = 101; seed <= 108; seed++) runOnce(seed, MANY_FAULTS)
 })
 
-test('the run with seed 70100, which once failed: a key went after a call whose leader was lost had handed a job in', () => {
-	const run = new JobRun({ seed: 70100, faultRate: WILD, jobRate: 4, accounts: true })
+test('regression, seed 70100: a key was replaced after a call had submitted a job and its leader was lost', () => {
+	const run = new JobRun({ seed: 70100, faultRate: MANY_FAULTS, jobRate: 4, accounts: true })
 	run.run(20_000)
 	run.settle()
 })
 
-const COUNTED = /no account has more running than its quota/
+const QUOTA_EXCEEDED = /no account has more running than its quota/
 
-const BREAKS: readonly { rule: RegExp; without: string; breaks: () => MethodPatch[] }[] = [
+const PATCHES: readonly { rule: RegExp; without: string; patches: () => MethodPatch[] }[] = [
 	{
-		rule: COUNTED,
-		without: 'counting what accounts have',
-		breaks: () => [
+		rule: QUOTA_EXCEEDED,
+		without: 'counting the usage of accounts',
+		patches: () => [
 			[internalClass('@rillrudder/scheduler', 'QuotaAccount'), 'addUsage', () => () => undefined],
 		],
 	},
 	{
-		rule: COUNTED,
-		without: 'asking the quota',
-		breaks: () => [
+		rule: QUOTA_EXCEEDED,
+		without: 'checking the quota',
+		patches: () => [
 			[internalClass('@rillrudder/scheduler', 'QuotaAccount'), 'allows', () => () => true],
 		],
 	},
 	{
 		rule: /nothing runs for a caller without a key/,
 		without: 'checking keys',
-		breaks: () => [
+		patches: () => [
 			[
 				jobsClass('accounts', 'Access'),
 				'callerOf',
@@ -82,10 +82,10 @@
 	},
 ]
 
-for (const { rule, without, breaks } of BREAKS) {
-	test(`without ${without} the runs fail`, () => {
+for (const { rule, without, patches } of PATCHES) {
+	test(`runs fail without ${without}`, () => {
 		assert.match(
-			withPatchedMethods(breaks(), () => firstFailure()),
+			withPatchedMethods(patches(), () => firstFailure()),
 			rule
 		)
 	})
--- a/packages/runs/src/lib/jobs/gangRun.test.ts
+++ b/packages/runs/src/lib/jobs/gangRun.test.ts
@@ -1,4 +1,7 @@
-/** Wide gangs under scarce advice: every rule of jobs holds, all are done, and the plan is what brings their tickets and room together. */
+/**
+ * Wide gangs under scarce advice: every rule of jobs holds and all gangs complete, because the plan
+ * aligns their tickets with free capacity.
+ */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import { jobsClass, withPatchedMethods, type MethodPatch } from '../testing/withPatchedMethods'
@@ -6,12 +9,12 @@
 import { JobFault } from './JobFaults'
 import { JobRun } from './JobRun'
 
-const CALM = 0
-const ROUGH = 1
-const WILD = 4
+const NO_FAULTS = 0
+const SOME_FAULTS = 1
+const MANY_FAULTS = 4
 const SPAN = 10_000
-/** Seeds among which a protection that is taken out must show. */
-const MOST_SEEDS = 6
+/** Number of seeds among which a run must fail without a protection. */
+const MAX_SEEDS = 6
 
 function runOnce(seed: number, faultRate: number): JobRun {
 	const run = new JobRun({ seed, faultRate, jobRate: 6, wideGangs: true })
@@ -20,55 +23,59 @@
 	return run
 }
 
-test('wide gangs are done in calm runs, and no member waits in vain for the others', () => {
+test('wide gangs complete in runs without faults, and no member times out waiting for the others', () => {
 	let done = 0
 	for (let seed = 1; seed <= 3; seed++) {
-		const { timedOutMembers, wideGangs } = runOnce(seed, CALM).tally
+		const { timedOutMembers, wideGangs } = runOnce(seed, NO_FAULTS).tally
 		assert.equal(timedOutMembers, 0)
 		done += wideGangs.done
 	}
 	assert.ok(done > 20, `${done}`)
 })
 
-test('wide gangs under some faults and under many hold every rule of jobs', () => {
-	for (let seed = 1; seed <= 3; seed++) runOnce(seed, ROUGH)
-	for (let seed = 101; seed <= 103; seed++) runOnce(seed, WILD)
+test('wide gangs keep every rule of jobs under some and many faults', () => {
+	for (let seed = 1; seed <= 3; seed++) runOnce(seed, SOME_FAULTS)
+	for (let seed = 101; seed <= 103; seed++) runOnce(seed, MANY_FAULTS)
 })
 
-/** Nothing goes wrong but that workers refuse starts, for each reason that they may give, and what else is named. */
+/**
+ * The only faults are workers that refuse starts, for any reason they may give, and the given ones.
+ */
 function runWithRefusals(seed: number, ...others: JobFault[]): JobRun {
 	const faults = [JobFault.StartsRefused, ...others]
-	const run = new JobRun({ seed, faultRate: ROUGH, jobRate: 6, wideGangs: true, faults })
+	const run = new JobRun({ seed, faultRate: SOME_FAULTS, jobRate: 6, wideGangs: true, faults })
 	run.run(SPAN)
 	run.settle()
 	return run
 }
 
-// Guards against gangs that begin in part: those that had begun waited for the one that was refused.
-test('no member of a gang waits in vain for one whose start is refused', () => {
+// Guards against gangs that start in part: the members that had started waited for the one whose
+// start was refused.
+test('no member of a gang times out waiting for one whose start is refused', () => {
 	for (let seed = 1; seed <= 4; seed++) assert.equal(runWithRefusals(seed).tally.timedOutMembers, 0)
 })
 
-test('no member of a gang waits in vain where the leader changes while starts are refused', () => {
+test('no member of a gang times out when the leader changes while starts are refused', () => {
 	for (let seed = 11; seed <= 14; seed++) {
 		assert.equal(runWithRefusals(seed, JobFault.LeaderLost).tally.timedOutMembers, 0)
 	}
 })
 
-test('members wait in vain when nobody decides for all of an attempt', () => {
+test('members time out without one decision for all members of an attempt', () => {
 	const unowned: MethodPatch = [jobsClass('gangs', 'GangAttempts'), 'fail', () => () => undefined]
-	const play = (seed: number): void => assert.equal(runWithRefusals(seed).tally.timedOutMembers, 0)
+	const runSeed = (seed: number): void =>
+		assert.equal(runWithRefusals(seed).tally.timedOutMembers, 0)
 	assert.match(
-		withPatchedMethods([unowned], () => firstFailure(play, MOST_SEEDS)),
+		withPatchedMethods([unowned], () => firstFailure(runSeed, MAX_SEEDS)),
 		/strictly equal/
 	)
 })
 
-test('without new tickets for the planned moment, gangs wait for good', () => {
+test('without new tickets for the planned start, gangs wait forever', () => {
 	const unrenewed: MethodPatch = [jobsClass('gangs', 'GangPlanner'), 'renew', () => () => undefined]
-	const play = (seed: number): unknown => runOnce(seed, CALM)
+	const runSeed = (seed: number): unknown => runOnce(seed, NO_FAULTS)
 	assert.match(
-		withPatchedMethods([unrenewed], () => firstFailure(play, MOST_SEEDS)),
+		withPatchedMethods([unrenewed], () => firstFailure(runSeed, MAX_SEEDS)),
 		/an accepted job ends/
 	)
 })
--- a/packages/runs/src/lib/jobs/jobRun.test.ts
+++ b/packages/runs/src/lib/jobs/jobRun.test.ts
@@ -1,6 +1,6 @@
 /**
- * What must always hold of jobs, shown twice: runs under faults hold it, and the same runs fail once the
- * mechanism that it rests on is taken out.
+ * Invariants of jobs: runs under faults keep them, and the same runs fail without the mechanism
+ * that ensures them.
  */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
@@ -21,11 +21,11 @@
 } from './JobFaults'
 import { JobRun } from './JobRun'
 
-const CALM = 0
-const ROUGH = 1
-const WILD = 4
+const NO_FAULTS = 0
+const SOME_FAULTS = 1
+const MANY_FAULTS = 4
 const SPAN = 12_000
-/** Long enough for several crashes of one task and what follows. */
+/** Long enough for several crashes by one task and their consequences. */
 const LONG_SPAN = 20_000
 
 function runOnce(seed: number, faultRate: number, span = SPAN): JobRun {
@@ -36,11 +36,11 @@
 }
 
 /**
- * Again and again the instances that carry orders stand still, the leader is lost before it has noticed, and what they
- * held is let go under the next leader.
+ * Repeatedly freezes the carriers and ends the leader before it notices, so that the orders they
+ * held reach the workers under the next leader.
  */
 function runWithLateCarriers(seed: number): void {
-	const run = new JobRun({ seed, faultRate: CALM, jobRate: 4 })
+	const run = new JobRun({ seed, faultRate: NO_FAULTS, jobRate: 4 })
 	for (let round = 0; round < 8; round++) {
 		run.run(600)
 		for (const carrier of run.carriers) carrier.freeze(run.random.integer(300, 1800))
@@ -51,39 +51,42 @@
 	run.settle()
 }
 
-/** Seeds among which a protection that is taken out must show. */
-const MOST_SEEDS = 80
+/** Number of seeds among which a run must fail without a protection. */
+const MAX_SEEDS = 80
 
-function failureOf(play = (seed: number): unknown => runOnce(seed, WILD)): string {
-	return firstFailure(play, MOST_SEEDS)
+function failureOf(runSeed = (seed: number): unknown => runOnce(seed, MANY_FAULTS)): string {
+	return firstFailure(runSeed, MAX_SEEDS)
 }
 
-test('a calm run does all its jobs, and no member of a gang waits in vain', () => {
+test('a run without faults completes its jobs, and no member of a gang times out waiting for the others', () => {
 	for (let seed = 1; seed <= 4; seed++) {
-		const { timedOutMembers, jobs, starts } = runOnce(seed, CALM).tally
+		const { timedOutMembers, jobs, starts } = runOnce(seed, NO_FAULTS).tally
 		assert.equal(timedOutMembers, 0)
 		assert.ok(jobs > 20 && starts > 100)
 	}
 })
 
-test('runs with some faults and with many hold every rule of jobs', () => {
-	for (let seed = 1; seed <= 12; seed++) runOnce(seed, ROUGH)
-	for (let seed = 101; seed <= 112; seed++) runOnce(seed, WILD)
+test('runs with some and many faults keep every rule of jobs', () => {
+	for (let seed = 1; seed <= 12; seed++) runOnce(seed, SOME_FAULTS)
+	for (let seed = 101; seed <= 112; seed++) runOnce(seed, MANY_FAULTS)
 })
 
-test('orders that carriers let go late, under another leader, break no rule', () => {
+test('orders that carriers release late, under another leader, break no rule', () => {
 	for (let seed = 1; seed <= 12; seed++) runWithLateCarriers(seed)
 })
 
-test('runs in which only carriers and leaders fail hold every rule of jobs', () => {
+test('runs in which only carriers and leaders fail keep every rule of jobs', () => {
 	for (let seed = 1; seed <= 8; seed++) {
-		const run = new JobRun({ seed, faultRate: WILD, jobRate: 4, faults: CARRIER_FAULTS })
+		const run = new JobRun({ seed, faultRate: MANY_FAULTS, jobRate: 4, faults: CARRIER_FAULTS })
 		run.run(SPAN)
 		run.settle()
 	}
 })
 
-/** Some tasks crash the workers that start them, and racks and data centres crash beside all other faults. */
+/**
+ * Some tasks crash the workers that start them, and racks and data centres crash in addition to the
+ * common faults.
+ */
 function runWithCrashes(seed: number, faultRate: number, span = SPAN): JobRun {
 	const faults = [...COMMON_FAULTS, ...CRASH_WAVES]
 	const run = new JobRun({ seed, faultRate, jobRate: 4, crashingTasks: true, faults })
@@ -92,38 +95,39 @@
 	return run
 }
 
-test('tasks that crash their workers are bounded, and no other task is given up for it', () => {
+test('the crashes by one task are bounded, and no other task fails because of them', () => {
 	let crashing = 0
 	for (let seed = 1; seed <= 8; seed++) {
-		crashing += runWithCrashes(seed, ROUGH).tally.crashes!.tasks
-		crashing += runWithCrashes(seed + 100, WILD).tally.crashes!.tasks
+		crashing += runWithCrashes(seed, SOME_FAULTS).tally.crashes!.tasks
+		crashing += runWithCrashes(seed + 100, MANY_FAULTS).tally.crashes!.tasks
 	}
 	assert.ok(crashing > 20)
 })
 
 interface CrashRegression {
 	readonly seed: number
-	/** Why it once failed, and with it the bound. */
+	/** Why the seed failed, exceeding the bound on crashes. */
 	readonly cause: string
 }
 
 const CRASH_REGRESSIONS: readonly CrashRegression[] = [
-	{ seed: 2260, cause: 'a crash counted for nothing while the run was being stopped' },
-	{ seed: 1124, cause: 'a crash counted for nothing on a worker that was leaving' },
+	{ seed: 2260, cause: 'a crash was not counted while the run was being stopped' },
+	{ seed: 1124, cause: 'a crash was not counted on a worker that was leaving' },
 	{
 		seed: 1105,
-		cause: 'a task was given up for crashes of one that began on its worker at the same time',
+		cause:
+			'a task failed for the crashes of another that started on the same worker at the same time',
 	},
-	{ seed: 1000, cause: 'a lasting task was given up for crashes long after its beginning' },
+	{ seed: 1000, cause: 'a long-running task failed for crashes long after its start' },
 ]
 
 for (const { seed, cause } of CRASH_REGRESSIONS) {
-	test(`the run of crashing tasks with seed ${seed}, which once failed: ${cause}`, () => {
-		runWithCrashes(seed, [0.5, 1.5, WILD][seed % 3], LONG_SPAN)
+	test(`regression with crashing tasks, seed ${seed}: ${cause}`, () => {
+		runWithCrashes(seed, [0.5, 1.5, MANY_FAULTS][seed % 3], LONG_SPAN)
 	})
 }
 
-/** Everything goes wrong, with tasks that crash their workers. */
+/** All faults except stalled leaders, with tasks that crash their workers. */
 function runWithEverything(seed: number, faultRate: number): void {
 	const faults = FAULTS_WITHOUT_LEADER_STALLS
 	const run = new JobRun({ seed, faultRate, jobRate: 4, crashingTasks: true, faults })
@@ -131,19 +135,24 @@
 	run.settle()
 }
 
-// Guards against a task that fails for workers which crashed long after it had begun there, under leaders that were lost before they knew.
-test('the run of every fault with seed 7238, which once failed: a task was blamed for workers that had outlived its beginning', () => {
-	runWithEverything(7238, WILD)
+// Guards against a task that fails because of workers that crashed long after it had started there,
+// under leaders that were lost before they learned of it.
+test('regression with every fault, seed 7238: a task was blamed for workers that had survived its start', () => {
+	runWithEverything(7238, MANY_FAULTS)
 })
 
-// Guards against a task that runs twice: a frozen carrier let an order go to the next life of its worker, which has forgotten what it ran.
-test('the run of every fault with seed 7004, which once failed: a task that was done began again on a worker that had started again', () => {
-	runWithEverything(7004, WILD)
+// Guards against a task that runs twice: a frozen carrier released an order to the next incarnation
+// of its worker, which has no memory of its earlier runs.
+test('regression with every fault, seed 7004: a completed task started again on a restarted worker', () => {
+	runWithEverything(7004, MANY_FAULTS)
 })
 
-/** Again and again carriers stand still with orders that they took, and workers start again under their names before they go on. */
+/**
+ * Repeatedly freezes carriers that hold orders, and restarts the workers under their names before
+ * the carriers resume.
+ */
 function runWithHeldOrders(seed: number): void {
-	const run = new JobRun({ seed, faultRate: CALM, jobRate: 8, reportsStartTime: true })
+	const run = new JobRun({ seed, faultRate: NO_FAULTS, jobRate: 8, reportsStartTime: true })
 	for (let round = 0; round < 3; round++) {
 		run.run(run.random.integer(300, 900))
 		for (const carrier of run.carriers) carrier.freeze(run.random.integer(1500, 2500))
@@ -154,11 +163,11 @@
 	run.settle()
 }
 
-test('orders that frozen carriers held up do not reach the next lives of their workers', () => {
+test('orders that frozen carriers held do not reach the next incarnations of their workers', () => {
 	for (let seed = 1; seed <= 8; seed++) runWithHeldOrders(seed)
 })
 
-test('without dropping orders that were held up, such runs fail', () => {
+test('without dropping held orders, runs with frozen carriers and restarts fail', () => {
 	const undropped: MethodPatch = [
 		internalClass('@rillrudder/member/dist/lib/carriers/MessageAges', 'MessageAges'),
 		'took',
@@ -166,19 +175,22 @@
 	]
 	const rule = /does not begin again|runs once at a time/
 	assert.match(
-		withPatchedMethods([undropped], () => firstFailure(runWithHeldOrders, MOST_SEEDS, rule)),
+		withPatchedMethods([undropped], () => firstFailure(runWithHeldOrders, MAX_SEEDS, rule)),
 		rule
 	)
 })
 
-// Guards against a task that crashes its workers and begins once more than the bound allows.
-test('the run of every fault with seed 7111, which once failed: a start that was confirmed after its run was to stop counted as one that never began', () => {
+// Guards against a crashing task that starts once more than the bound allows.
+test('regression with every fault, seed 7111: a start confirmed after the stop of its run counted as never started', () => {
 	runWithEverything(7111, 1.5)
 })
 
-/** Everything goes wrong, answers take long and outlive the worker that sent them, and crashed workers keep their names or not. */
+/**
+ * All faults, with slow answers that arrive even after the worker has ended; a share of crashed
+ * workers keep their names.
+ */
 function runWithSlowAnswers(seed: number, slowAnswers: number, restartedShare = 0): void {
-	const faultRate = [0.5, ROUGH, WILD][seed % 3]
+	const faultRate = [0.5, SOME_FAULTS, MANY_FAULTS][seed % 3]
 	const faults = ALL_FAULTS
 	const common = { seed, faultRate, jobRate: 4, crashingTasks: true, faults }
 	const run = new JobRun({ ...common, slowAnswers, restartedShare })
@@ -186,45 +198,52 @@
 	run.settle()
 }
 
-// Guards against a task that crashes its workers and begins a sixth time: an answer from before a crash that came after it made the crash look late.
+// Guards against a crashing task that starts a sixth time: an answer that was sent before a crash
+// but arrived after it made the crash appear later than it was.
 for (const [first, slowAnswers] of [
 	[3000007, 0.4],
 	[3200003, 0.1],
 ] as const) {
-	test(`runs of every fault in which ${slowAnswers * 100}% of the answers come late, also after their workers' ends, bound crashing tasks`, () => {
+	test(`runs of every fault bound crashing tasks when ${slowAnswers * 100}% of the answers are slow and may outlive their workers`, () => {
 		for (let seed = first; seed < first + 12; seed++) runWithSlowAnswers(seed, slowAnswers)
 	})
 }
 
-/** What workers offer shrinks and grows beside all other faults, and tasks crash them. */
-function runWithShrinkingRoom(seed: number, faultRate: number, span = SPAN): JobRun {
-	const shrinks = Array<JobFault>(3).fill(JobFault.CapacityShrinks)
-	const faults = [...COMMON_FAULTS, ...CRASH_WAVES, ...shrinks]
+/**
+ * The capacity of workers shrinks and grows in addition to the common faults, and tasks crash
+ * workers.
+ */
+function runWithShrinkingCapacity(seed: number, faultRate: number, span = SPAN): JobRun {
+	const shrinkFaults = Array<JobFault>(3).fill(JobFault.CapacityShrinks)
+	const faults = [...COMMON_FAULTS, ...CRASH_WAVES, ...shrinkFaults]
 	const run = new JobRun({ seed, faultRate, jobRate: 4, crashingTasks: true, faults })
 	run.run(span)
 	run.settle()
 	return run
 }
 
-test('nothing is started into room that has shrunk', () => {
+test('no start exceeds a capacity that has shrunk', () => {
 	for (let seed = 1; seed <= 8; seed++) {
-		runWithShrinkingRoom(seed, ROUGH)
-		runWithShrinkingRoom(seed + 100, WILD)
+		runWithShrinkingCapacity(seed, SOME_FAULTS)
+		runWithShrinkingCapacity(seed + 100, MANY_FAULTS)
 	}
 })
 
 for (const [seed, cause] of [
-	[5129, 'five leaders in six seconds, none of which had heard a worker whose room shrank'],
-	[5114, 'a start that an earlier leader had decided went to a worker that was not heard'],
-	[5021, 'a new leader gave work to a worker that it had not heard since a cut'],
-	[6127, 'a heartbeat that a cut had held back was taken for a fresh one'],
+	[
+		5129,
+		'five leaders in six seconds, none of which had a heartbeat of a worker whose capacity shrank',
+	],
+	[5114, 'a start that an earlier leader had decided went to a worker without heartbeat'],
+	[5021, 'a new leader placed work on a worker without heartbeat since a network cut'],
+	[6127, 'a heartbeat that the network had held back counted as recent'],
 ] as const) {
-	test(`the run of shrinking room with seed ${seed}, which once failed: ${cause}`, () => {
-		runWithShrinkingRoom(seed, [0.5, 1.5, WILD][seed % 3], LONG_SPAN)
+	test(`regression with shrinking capacity, seed ${seed}: ${cause}`, () => {
+		runWithShrinkingCapacity(seed, [0.5, 1.5, MANY_FAULTS][seed % 3], LONG_SPAN)
 	})
 }
 
-test('without taking up what a worker offers anew, starts go into room that has shrunk', () => {
+test('without updating the offered capacity of a worker, starts exceed a capacity that has shrunk', () => {
 	const unchecked: MethodPatch = [
 		internalClass('@rillrudder/scheduler/dist/lib/capacity/Ledger', 'Ledger'),
 		'join',
@@ -235,14 +254,14 @@
 				return self.find(id) === undefined ? original.call(this, offer) : undefined
 			},
 	]
-	const play = (seed: number): unknown => runWithShrinkingRoom(seed, ROUGH)
+	const runSeed = (seed: number): unknown => runWithShrinkingCapacity(seed, SOME_FAULTS)
 	assert.match(
-		withPatchedMethods([unchecked], () => failureOf(play)),
+		withPatchedMethods([unchecked], () => failureOf(runSeed)),
 		/no worker is given more than it has/
 	)
 })
 
-test('without fences at the workers, orders that carriers let go late break a rule', () => {
+test('without fences at the workers, orders that carriers release late break a rule', () => {
 	const unfenced: MethodPatch = [
 		internalClass('../jobs/FleetWorker', 'FleetWorker'),
 		'start',
@@ -259,82 +278,82 @@
 interface Regression {
 	readonly seed: number
 	readonly faultRate: number
-	/** Why it once failed. */
+	/** Why the seed failed. */
 	readonly cause: string
 }
 
-const UNCOUNTED = 'a new leader gave away the room of runs that it did not know'
+const UNCOUNTED = 'a new leader assigned capacity of runs that it did not know'
 const REGRESSIONS: readonly Regression[] = [
 	...[1012, 1019, 1031, 1060, 1061, 1083].map((seed) => ({
 		seed,
-		faultRate: WILD,
+		faultRate: MANY_FAULTS,
 		cause: UNCOUNTED,
 	})),
 	{
 		seed: 10360,
 		faultRate: 0.7,
-		cause: 'a run was ordered again at a worker that answered just after the run was given up',
+		cause: 'a run was ordered again at a worker that answered just after the run was abandoned',
 	},
 ]
 
 for (const { seed, faultRate, cause } of REGRESSIONS) {
-	test(`the run with seed ${seed}, which once failed: ${cause}`, () => {
+	test(`regression, seed ${seed}: ${cause}`, () => {
 		runOnce(seed, faultRate, 20_000)
 	})
 }
 
-interface Break {
+interface PatchCase {
 	readonly rule: RegExp
 	readonly without: string
-	readonly breaks: () => MethodPatch[]
+	readonly patches: () => MethodPatch[]
 }
 
-const CRASH_BREAKS: readonly Break[] = [
+const CRASH_PATCHES: readonly PatchCase[] = [
 	{
 		rule: /a task that crashes its workers begins no more|a job with a task that crashes its workers ends/,
-		without: 'counting crashes where the state is replicated',
-		breaks: () => [[jobsClass('state', 'JobTable'), 'countCrash', () => () => undefined]],
+		without: 'counting crashes in the replicated state',
+		patches: () => [[jobsClass('state', 'JobTable'), 'countCrash', () => () => undefined]],
 	},
 	{
 		rule: /a task that crashes its workers begins no more/,
-		without: 'waiting to hear of the workers that fell silent',
-		breaks: () => [[jobsClass('state', 'JobTable'), 'noteSilent', () => () => undefined]],
+		without: 'waiting for the fate of unreachable workers',
+		patches: () => [[jobsClass('state', 'JobTable'), 'noteSilent', () => () => undefined]],
 	},
 	{
 		rule: /a failed job has failed for a cause/,
-		without: 'isolating a task before it is given up',
-		breaks: () => [
+		without: 'isolating a task before it fails for its crashes',
+		patches: () => [
 			[jobsClass('leader/steps', 'Quarantine'), 'isSettled', () => () => true],
 			[jobsClass('leader/steps', 'Quarantine'), 'admits', () => () => true],
 		],
 	},
 ]
 
-for (const { rule, without, breaks } of CRASH_BREAKS) {
-	test(`without ${without} runs of crashing tasks fail`, () => {
-		const play = (seed: number): unknown => runWithCrashes(seed, WILD, LONG_SPAN)
+for (const { rule, without, patches } of CRASH_PATCHES) {
+	test(`runs with crashing tasks fail without ${without}`, () => {
+		const runSeed = (seed: number): unknown => runWithCrashes(seed, MANY_FAULTS, LONG_SPAN)
 		assert.match(
-			withPatchedMethods(breaks(), () => firstFailure(play, MOST_SEEDS, rule)),
+			withPatchedMethods(patches(), () => firstFailure(runSeed, MAX_SEEDS, rule)),
 			rule
 		)
 	})
 }
 
-const BREAKS: readonly Break[] = [
+const PATCHES: readonly PatchCase[] = [
 	{
 		rule: /no worker is given more than it has|a task runs once at a time/,
-		without: 'closing a worker while it has what it should not have',
-		breaks: () => [[jobsClass('leader/runs', 'SuspectRuns'), 'raise', () => () => undefined]],
+		without: 'excluding a worker while it has runs that it should not have',
+		patches: () => [[jobsClass('leader/runs', 'SuspectRuns'), 'raise', () => () => undefined]],
 	},
 	{
 		rule: /a task runs once at a time/,
 		without: 'waiting for the end of a lease',
-		breaks: () => [[jobsClass('leader/workers', 'Lease'), 'isOver', () => () => true]],
+		patches: () => [[jobsClass('leader/workers', 'Lease'), 'isOver', () => () => true]],
 	},
 	{
 		rule: /a task that is done does not begin again|an accepted job ends|a task begins no more often/,
-		without: 'committing ends before they are noted',
-		breaks: () => [
+		without: 'committing ends before they are acknowledged',
+		patches: () => [
 			[
 				jobsClass('leader/workers', 'WorkerRegistry'),
 				'takeEnds',
@@ -350,30 +369,30 @@
 	{
 		rule: /a task begins no more often than its queue allows/,
 		without: 'counting failures',
-		breaks: () => [
+		patches: () => [
 			[
 				jobsClass('state', 'JobTable'),
 				'end',
 				(original) =>
 					function (run, at) {
 						const { how } = run as { how: string }
-						const told = how === 'failed' ? { ...(run as object), how: 'stopped' } : run
-						return original.call(this, told, at)
+						const recorded = how === 'failed' ? { ...(run as object), how: 'stopped' } : run
+						return original.call(this, recorded, at)
 					},
 			],
 		],
 	},
 	{
 		rule: /a step's tasks are kept apart/,
-		without: 'an allowance for each worker',
-		breaks: () => [
+		without: 'a limit of tasks per worker',
+		patches: () => [
 			[jobsClass('leader/steps', 'StepWork'), 'allowance', () => () => Number.MAX_VALUE],
 		],
 	},
 	{
 		rule: /a worker has the label that its task asks for/,
-		without: 'polling labels',
-		breaks: () => [
+		without: 'checking labels',
+		patches: () => [
 			[
 				jobsClass('leader/steps', 'PlacementPass'),
 				'eligible',
@@ -387,7 +406,7 @@
 	{
 		rule: /nothing of a cancelled job begins/,
 		without: 'committing a cancellation before it is acknowledged',
-		breaks: () => [
+		patches: () => [
 			[
 				jobsClass('leader/callers', 'ClientCalls'),
 				'cancel',
@@ -398,7 +417,7 @@
 	{
 		rule: /an accepted job is kept/,
 		without: 'committing a job before it is accepted',
-		breaks: () => [
+		patches: () => [
 			[
 				jobsClass('leader/callers', 'ClientCalls'),
 				'submit',
@@ -412,10 +431,10 @@
 	},
 ]
 
-for (const { rule, without, breaks } of BREAKS) {
-	test(`without ${without} the runs fail`, () => {
+for (const { rule, without, patches } of PATCHES) {
+	test(`runs fail without ${without}`, () => {
 		assert.match(
-			withPatchedMethods(breaks(), () => failureOf()),
+			withPatchedMethods(patches(), () => failureOf()),
 			rule
 		)
 	})
--- a/packages/runs/src/lib/jobs/missedWork.test.ts
+++ b/packages/runs/src/lib/jobs/missedWork.test.ts
@@ -1,6 +1,7 @@
 /**
- * Work that could run begins although the change was missed that should have told of it: each wake-up is taken out once, and runs still end
- * all that they accepted, since the controller looks again at what is replicated. With the looking again taken out too, they fail.
+ * Runnable work starts even if the scheduler misses the notification of the change that made it
+ * runnable. Without any one of the notifications runs still end all accepted jobs, because the
+ * controller rescans the replicated state. Without the rescan as well they fail.
  */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
@@ -11,61 +12,66 @@
 const SEEDS = 6
 const FAULT_RATE = 1
 
-interface WakeUp {
-	/** What it tells of. */
+interface Notification {
+	/** The change that it reports. */
 	readonly of: string
-	/** The scheduler's method that is told. */
+	/** The method of the scheduler that is called. */
 	readonly method: string
 }
 
-const WAKE_UPS: readonly WakeUp[] = [
+const NOTIFICATIONS: readonly Notification[] = [
 	{ of: 'jobs that are accepted', method: 'accept' },
 	{
-		of: 'steps whose predecessors are done, and tasks that have to begin again',
+		of: 'steps whose predecessors are done, and tasks that have to start again',
 		method: 'settled',
 	},
-	{ of: 'tasks that have to begin again', method: 'reopen' },
-	{ of: 'tasks under suspicion that may go on', method: 'reconsider' },
+	{ of: 'tasks that have to start again', method: 'reopen' },
+	{ of: 'suspected tasks that may continue', method: 'reconsider' },
 	{ of: 'steps that are ready', method: 'openReady' },
 ]
 
 const SCHEDULER = jobsClass('leader/steps', 'StepScheduler')
-const BLIND: MethodPatch = [SCHEDULER, 'lookAgain', () => () => []]
+const NO_RESCAN: MethodPatch = [SCHEDULER, 'lookAgain', () => () => []]
 
-function silenced({ method }: WakeUp): MethodPatch {
+function withoutNotification({ method }: Notification): MethodPatch {
 	return [SCHEDULER, method, () => () => undefined]
 }
 
-function play(seed: number): void {
+function runSeed(seed: number): void {
 	const run = new JobRun({ seed, faultRate: FAULT_RATE, jobRate: 4, crashingTasks: true })
 	run.run(12_000)
 	run.settle()
 }
 
-/** @returns what the first seed says that fails with some parts broken, or an empty text when none does. */
-function failureWithout(...broken: MethodPatch[]): string {
-	return withPatchedMethods(broken, () => firstFailure(play, SEEDS))
+/**
+ * @returns the message of the first seed that fails with the patches, or an empty string if none
+ * does.
+ */
+function failureWithout(...patches: MethodPatch[]): string {
+	return withPatchedMethods(patches, () => firstFailure(runSeed, SEEDS))
 }
 
-for (const wakeUp of WAKE_UPS) {
-	test(`without being told of ${wakeUp.of}, runs end all the same`, () => {
-		assert.equal(failureWithout(silenced(wakeUp)), '')
+for (const notification of NOTIFICATIONS) {
+	test(`runs end without being notified of ${notification.of}`, () => {
+		assert.equal(failureWithout(withoutNotification(notification)), '')
 	})
 }
 
-/** Tasks under suspicion are tried by each full pass besides, so they alone go on without either. */
-test('without being told, and without looking again, accepted jobs do not end', () => {
-	const failures = WAKE_UPS.map((wakeUp) => failureWithout(silenced(wakeUp), BLIND))
+/** Each full pass also tries suspected tasks, so only these continue without both. */
+test('without a notification and without the rescan, accepted jobs do not end', () => {
+	const failures = NOTIFICATIONS.map((notification) =>
+		failureWithout(withoutNotification(notification), NO_RESCAN)
+	)
 	const ends = /an accepted job ends|a lasting task is at work|crashes its workers ends/
 	const found = failures.filter((failure) => ends.test(failure))
-	assert.ok(found.length >= WAKE_UPS.length - 1, failures.join('\n'))
+	assert.ok(found.length >= NOTIFICATIONS.length - 1, failures.join('\n'))
 })
 
-test('a run that nobody is told has begun is not found by looking again: the runs fail', () => {
-	const untold: MethodPatch = [
+test('runs fail without the notification of started runs, which the rescan does not replace', () => {
+	const unnotified: MethodPatch = [
 		jobsClass('leader/runs', 'RunController'),
 		'begun',
 		() => () => undefined,
 	]
-	assert.match(failureWithout(untold), /an accepted job ends|a lasting task is at work/)
+	assert.match(failureWithout(unnotified), /an accepted job ends|a lasting task is at work/)
 })
--- a/packages/runs/src/lib/jobs/restartedRun.test.ts
+++ b/packages/runs/src/lib/jobs/restartedRun.test.ts
@@ -1,6 +1,7 @@
 /**
- * Seeded runs in which workers end without a word and start again under the id that they had, singly and a rack at a time, within a poll and
- * after seconds, alone and beside all other faults: each life numbers its heartbeats and ends from 1, has a clock of its own, and has seen no fence.
+ * Seeded runs in which workers crash and restart under the same name: one worker or a rack at a
+ * time, within a poll or after seconds, without and with all other faults. Each incarnation numbers
+ * its heartbeats and ends from 1, has a clock of its own, and has seen no fence.
  */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
@@ -9,12 +10,12 @@
 import { COMMON_FAULTS, RESTART_FAULTS, CRASH_WAVES, type JobFault } from './JobFaults'
 import { JobRun } from './JobRun'
 
-const SOME = 0.3
-const MANY = 1
+const SOME_FAULTS = 0.3
+const MANY_FAULTS = 1
 const SPAN = 12_000
-/** Seeds among which a protection that is taken out must show. */
-const MOST_SEEDS = 30
-const EVERYTHING = [
+/** Number of seeds among which a run must fail without a protection. */
+const MAX_SEEDS = 30
+const EVERY_FAULT = [
 	...COMMON_FAULTS,
 	...CRASH_WAVES,
 	...RESTART_FAULTS,
@@ -34,13 +35,21 @@
 	return run
 }
 
-/** Milliseconds for which carriers stand still: most orders are too old to be carried then. */
+/**
+ * Minimum and maximum freeze of carriers after which most orders are too old to be delivered, in
+ * milliseconds.
+ */
 const LONG_HOLD = [600, 2500] as const
-/** The same, where orders are still carried. */
+/** Minimum and maximum freeze after which orders are still delivered, in milliseconds. */
 const BRIEF_HOLD = [250, 480] as const
 
-/** Instances that carry orders stand still, workers start again meanwhile, and what was held reaches their next lives. */
-function runWithOrdersAcrossLives(seed: number, hold: readonly [number, number] = LONG_HOLD): void {
+/**
+ * Freezes carriers and restarts workers meanwhile, so that held orders reach the next incarnations.
+ */
+function runWithOrdersAcrossIncarnations(
+	seed: number,
+	hold: readonly [number, number] = LONG_HOLD
+): void {
 	const run = new JobRun({ seed, faultRate: 0, jobRate: 6, reportsStartTime: true })
 	for (let round = 0; round < 8; round++) {
 		run.run(600)
@@ -54,25 +63,25 @@
 	run.settle()
 }
 
-test('workers that start again under their id break no rule', () => {
-	for (let seed = 1; seed <= 12; seed++) runWithRestarts(seed, SOME, RESTART_FAULTS)
-	for (let seed = 1; seed <= 12; seed++) runWithRestarts(seed, MANY, RESTART_FAULTS)
-	for (let seed = 101; seed <= 112; seed++) runWithRestarts(seed, MANY, EVERYTHING)
+test('workers that restart under their name break no rule', () => {
+	for (let seed = 1; seed <= 12; seed++) runWithRestarts(seed, SOME_FAULTS, RESTART_FAULTS)
+	for (let seed = 1; seed <= 12; seed++) runWithRestarts(seed, MANY_FAULTS, RESTART_FAULTS)
+	for (let seed = 101; seed <= 112; seed++) runWithRestarts(seed, MANY_FAULTS, EVERY_FAULT)
 })
 
-test('orders that are let go after their workers have started again break no rule', () => {
-	for (let seed = 1; seed <= 12; seed++) runWithOrdersAcrossLives(seed)
-	for (let seed = 1; seed <= 12; seed++) runWithOrdersAcrossLives(seed, BRIEF_HOLD)
+test('orders released after the restart of their workers break no rule', () => {
+	for (let seed = 1; seed <= 12; seed++) runWithOrdersAcrossIncarnations(seed)
+	for (let seed = 1; seed <= 12; seed++) runWithOrdersAcrossIncarnations(seed, BRIEF_HOLD)
 })
 
-test('the runs with seeds 109, 4059 and 4013, which once failed: where workers restart all the time, three losses at its beginning gave up a task', () => {
-	runWithRestarts(109, MANY, RESTART_FAULTS, 15_000)
-	runWithRestarts(4059, MANY, RESTART_FAULTS)
+test('regression, seeds 109, 4059 and 4013: a task failed after three losses at its start while workers restart all the time', () => {
+	runWithRestarts(109, MANY_FAULTS, RESTART_FAULTS, 15_000)
+	runWithRestarts(4059, MANY_FAULTS, RESTART_FAULTS)
 	const run = new JobRun({
 		seed: 4013,
 		faultRate: 4,
 		jobRate: 4,
-		faults: EVERYTHING,
+		faults: EVERY_FAULT,
 		crashingTasks: true,
 	})
 	run.run(SPAN)
@@ -80,49 +89,50 @@
 })
 
 for (const seed of [2021, 2062]) {
-	test(`the run with seed ${seed}, which once failed: a new life kept what it ran by the lease and clock of the earlier one`, () => {
-		runWithRestarts(seed, MANY, EVERYTHING)
+	test(`regression, seed ${seed}: a new incarnation kept its runs by the lease and clock of the earlier one`, () => {
+		runWithRestarts(seed, MANY_FAULTS, EVERY_FAULT)
 	})
 }
 
-interface Break {
+interface PatchCase {
 	readonly rule: RegExp
 	readonly without: string
-	readonly breaks: () => MethodPatch[]
-	readonly play: (seed: number) => unknown
+	readonly patches: () => MethodPatch[]
+	readonly runSeed: (seed: number) => unknown
 }
 
-const withMany = (seed: number): unknown => runWithRestarts(seed, MANY, RESTART_FAULTS)
+const runWithManyRestarts = (seed: number): unknown =>
+	runWithRestarts(seed, MANY_FAULTS, RESTART_FAULTS)
 
-const BREAKS: readonly Break[] = [
+const PATCHES: readonly PatchCase[] = [
 	{
 		rule: /does not begin again|an accepted job ends|is known by its current incarnation/,
-		without: 'telling lives apart in lists',
-		breaks: () => [
+		without: 'distinguishing incarnations in lists of runs',
+		patches: () => [
 			[
 				jobsClass('leader/workers', 'IncarnationChanges'),
 				'onOtherIncarnation',
 				() => () => undefined,
 			],
 		],
-		play: withMany,
+		runSeed: runWithManyRestarts,
 	},
 	{
 		rule: /is known by its current incarnation/,
-		without: 'telling lives apart in heartbeats',
-		breaks: () => [
+		without: 'distinguishing incarnations in heartbeats',
+		patches: () => [
 			[
 				jobsClass('leader/workers', 'IncarnationChanges'),
 				'resolveOccupant',
 				() => (_known, _claimant, done) => (done as (occupant: string) => void)('known'),
 			],
 		],
-		play: withMany,
+		runSeed: runWithManyRestarts,
 	},
 	{
 		rule: /an accepted job ends|crashes its workers ends|a lasting task is at work/,
-		without: 'telling lives apart in evidence of crashes',
-		breaks: () => [
+		without: 'distinguishing incarnations in evidence of crashes',
+		patches: () => [
 			[
 				jobsClass('state', 'JobTable'),
 				'countCrash',
@@ -132,12 +142,12 @@
 					},
 			],
 		],
-		play: withMany,
+		runSeed: runWithManyRestarts,
 	},
 	{
 		rule: /a task runs once at a time|does not begin again/,
-		without: 'stopping what a new life began by orders for the earlier one',
-		breaks: () => [
+		without: 'stopping runs that a new incarnation started by orders for the earlier one',
+		patches: () => [
 			[
 				jobsClass('leader/workers', 'IncarnationChanges'),
 				'onRunsListed',
@@ -147,12 +157,12 @@
 					},
 			],
 		],
-		play: withMany,
+		runSeed: runWithManyRestarts,
 	},
 	{
 		rule: /a task runs once at a time|does not begin again|more than it has/,
-		without: 'a fence that rises with each life',
-		breaks: () => [
+		without: 'a fence that rises with each incarnation',
+		patches: () => [
 			[
 				jobsClass('leader/workers', 'FenceTokens'),
 				'next',
@@ -162,14 +172,14 @@
 					},
 			],
 		],
-		play: (seed) => runWithOrdersAcrossLives(seed, BRIEF_HOLD),
+		runSeed: (seed) => runWithOrdersAcrossIncarnations(seed, BRIEF_HOLD),
 	},
 ]
 
-for (const { rule, without, breaks, play } of BREAKS) {
-	test(`without ${without} runs with restarts fail`, () => {
+for (const { rule, without, patches, runSeed } of PATCHES) {
+	test(`runs with restarts fail without ${without}`, () => {
 		assert.match(
-			withPatchedMethods(breaks(), () => firstFailure(play, MOST_SEEDS)),
+			withPatchedMethods(patches(), () => firstFailure(runSeed, MAX_SEEDS)),
 			rule
 		)
 	})
--- a/packages/runs/src/lib/jobs/shareRun.test.ts
+++ b/packages/runs/src/lib/jobs/shareRun.test.ts
@@ -1,6 +1,7 @@
 /**
- * Accounts of one weight that compete for a full service, of which one or two send seven times their usual: what the others get, shown
- * twice, with their shares and without.
+ * Accounts of equal weight compete for a service at full load, and one or two of them submit seven
+ * times their usual rate: the others receive their shares, and do not without the mechanism of
+ * shares.
  */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
@@ -10,18 +11,26 @@
 
 const SPAN = 30_000
 const SEEDS = [1, 2, 3]
-/** Jain's index over what accounts got of what was theirs. */
-const FAIR = 0.95
+/**
+ * Minimum of Jain's fairness index over the fractions of their fair shares that accounts receive.
+ */
+const MIN_FAIRNESS = 0.95
 const USUAL: Competition = { accounts: 6, usualRate: 1.2, overloading: 0, overloadFactor: 7 }
 const ONE: Competition = { ...USUAL, overloading: 1 }
 const TWO: Competition = { ...USUAL, overloading: 2 }
-/** By how much the share of jobs in time of those who send their usual may fall while one presses. */
-const MOST_LOSS = 0.05
-/** The same while two press: they leave less room that comes free soon, and shares stop nothing that runs. */
-const MOST_LOSS_BY_TWO = 0.1
+/**
+ * How far the share of jobs in time of the other accounts may fall while one account overloads the
+ * service.
+ */
+const MAX_LOSS = 0.05
+/**
+ * The same while two overload it: less capacity becomes free soon, and shares do not stop running
+ * work.
+ */
+const MAX_LOSS_BY_TWO = 0.1
 
-/** @returns what accounts got in a run of each seed. */
-function play(competition: Competition, faultRate = 0): ServedWork[][] {
+/** @returns the work that accounts received in the run of each seed. */
+function runSeeds(competition: Competition, faultRate = 0): ServedWork[][] {
 	return SEEDS.map((seed) => {
 		const policy = { overload: true, shares: true }
 		const run = new JobRun({ seed, faultRate, jobRate: 0, competition, policy })
@@ -32,7 +41,10 @@
 	})
 }
 
-/** @returns the share of jobs in time of the accounts that send their usual, in all runs. */
+/**
+ * @returns the share of jobs in time, over all runs, of the accounts that submit at their usual
+ * rate.
+ */
 function inTimeOf(runs: readonly ServedWork[][], { overloading }: Competition): number {
 	const others = runs.flat().filter(({ account }) => Number(account) >= overloading)
 	const inTime = others.reduce((sum, entry) => sum + entry.inTime, 0)
@@ -43,26 +55,30 @@
 	return runs.reduce((sum, served) => sum + jainIndexOf(served), 0) / runs.length
 }
 
-const calm = inTimeOf(play(USUAL), USUAL)
+const usualInTime = inTimeOf(runSeeds(USUAL), USUAL)
 
 for (const [text, competition, loss] of [
-	['one account sends', ONE, MOST_LOSS],
-	['two accounts send', TWO, MOST_LOSS_BY_TWO],
+	['one account submits', ONE, MAX_LOSS],
+	['two accounts submit', TWO, MAX_LOSS_BY_TWO],
 ] as const) {
-	test(`while ${text} seven times the usual, all get what is theirs and the others stay in time`, () => {
-		const runs = play(competition)
-		assert.ok(meanFairness(runs) >= FAIR, `Jain's index ${meanFairness(runs)}`)
+	test(`while ${text} seven times the usual rate, all receive their fair shares and the others stay in time`, () => {
+		const runs = runSeeds(competition)
+		assert.ok(meanFairness(runs) >= MIN_FAIRNESS, `Jain's index ${meanFairness(runs)}`)
 		const inTime = inTimeOf(runs, competition)
-		assert.ok(inTime >= calm - loss, `in time ${inTime}, ${calm} without`)
+		assert.ok(inTime >= usualInTime - loss, `in time ${inTime}, ${usualInTime} without overload`)
 	})
 }
 
-test('runs with losses of leaders, workers and links under such load hold every rule', () => {
-	play(ONE, 1)
+test('runs with losses of leaders, workers and links under overload keep every rule', () => {
+	runSeeds(ONE, 1)
 })
 
-test('without shares the others are late with the account that presses', () => {
-	const blind: MethodPatch = [jobsClass('shares', 'AccountShares'), 'isOver', () => () => false]
-	const runs = withPatchedMethods([blind], () => play(ONE))
-	assert.ok(inTimeOf(runs, ONE) < calm - MOST_LOSS_BY_TWO)
+test('without shares the other accounts are late too', () => {
+	const withoutShares: MethodPatch = [
+		jobsClass('shares', 'AccountShares'),
+		'isOver',
+		() => () => false,
+	]
+	const runs = withPatchedMethods([withoutShares], () => runSeeds(ONE))
+	assert.ok(inTimeOf(runs, ONE) < usualInTime - MAX_LOSS_BY_TWO)
 })
--- a/packages/runs/src/lib/jobs/unevenRun.test.ts
+++ b/packages/runs/src/lib/jobs/unevenRun.test.ts
@@ -1,18 +1,21 @@
-/** Workers of uneven speed: every rule of jobs holds, and gangs keep off slow workers as long as these are known. */
+/**
+ * Workers of uneven speed: every rule of jobs holds, and gangs avoid workers that are known to be
+ * slow.
+ */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import { jobsClass, withPatchedMethods } from '../testing/withPatchedMethods'
 import { JobRun } from './JobRun'
 
-const CALM = 0
-const WILD = 4
+const NO_FAULTS = 0
+const MANY_FAULTS = 4
 const SPAN = 20_000
 const SEEDS = 16
-const SLOW = 0.45
+const SLOW_SPEED = 0.45
 
-/** One worker in four is slow. */
+/** @returns the speed of a worker; one of four is slow. */
 function quarterSlow(worker: number): number {
-	return worker % 4 === 0 ? SLOW : 1
+	return worker % 4 === 0 ? SLOW_SPEED : 1
 }
 
 function runOnce(seed: number, faultRate: number): JobRun {
@@ -21,12 +24,12 @@
 	return run
 }
 
-/** Share of the gangs that went as slowly as a slow worker. */
+/** @returns the share of gangs that a slow worker slowed down. */
 function slowShare(): number {
 	let gangs = 0
 	let slow = 0
 	for (let seed = 1; seed <= SEEDS; seed++) {
-		const run = runOnce(seed, CALM)
+		const run = runOnce(seed, NO_FAULTS)
 		run.settle()
 		gangs += run.tally.gangs
 		slow += run.tally.slowGangs
@@ -34,9 +37,9 @@
 	return slow / gangs
 }
 
-test('runs with workers of uneven speed that changes hold every rule of jobs', () => {
+test('runs with workers of uneven, changing speed keep every rule of jobs', () => {
 	for (let seed = 1; seed <= SEEDS; seed++) {
-		const run = runOnce(seed, WILD)
+		const run = runOnce(seed, MANY_FAULTS)
 		run.fleet.machines.forEach((machine, number) => {
 			machine.speed = quarterSlow(number + 1)
 		})
@@ -46,7 +49,7 @@
 	}
 })
 
-test('gangs keep off slow workers; without learning their speed a third more of them are slow at least', () => {
+test('gangs avoid slow workers; without learning their speed at least a third more gangs are slow', () => {
 	const learned = slowShare()
 	const unlearned = withPatchedMethods(
 		[[jobsClass('speeds', 'WorkerSpeeds'), 'speedOf', () => () => 1]],
--- a/packages/runs/src/lib/testing/firstFailure.ts
+++ b/packages/runs/src/lib/testing/firstFailure.ts
@@ -3,10 +3,10 @@
 /**
  * @param play - runs one seed; throws when a rule is broken.
  * @param seeds - the number of seeds to try at most, starting from 1.
- * @param rule - matches the message of the expected failure; any failure if absent. Without a mechanism a long run may
- * break other rules than the expected one.
- * @returns the message of the first failure that matches `rule`, else of the last failure, or an empty string if no seed
- * failed.
+ * @param rule - matches the message of the expected failure; any failure if absent. Without a
+ * mechanism a long run may break other rules than the expected one.
+ * @returns the message of the first failure that matches `rule`, else of the last failure, or an
+ * empty string if no seed failed.
  */
 export function firstFailure(play: (seed: number) => unknown, seeds: number, rule = /./): string {
 	let failure = ''
--- a/packages/runs/src/lib/testing/withPatchedMethods.ts
+++ b/packages/runs/src/lib/testing/withPatchedMethods.ts
@@ -1,4 +1,7 @@
-/** Patches methods of classes for the duration of a test, to show that a run fails without the mechanism. */
+/**
+ * Patches methods of classes for the duration of a test, to show that a run fails without the
+ * mechanism.
+ */
 import { createRequire } from 'node:module'
 
 /** A method of a patched class. */
