--- a/packages/runs/src/lib/jobs/CallerAccounts.ts
+++ b/packages/runs/src/lib/jobs/CallerAccounts.ts
@@ -1,23 +1,23 @@
-/** The client accounts that the callers of a run belong to. */
+/** The client accounts that the callers of a simulated run belong to. */
 import type { ClientAccount, JobRequest } from '@rillrudder/jobs'
-import type { JobWitness, WitnessedRun } from './JobInvariants'
+import type { RunObserver, ObservedRun } from './JobInvariants'
 
 /**
- * Accounts as a run needs them.
+ * Assigns submitted jobs to client accounts and configures these accounts.
  *
  * @internal
  */
-export abstract class CallerAccounts implements JobWitness {
-	/** The accounts of the next configuration, which may be in force from now on. */
-	abstract send(): ClientAccount[]
-	/** The newest configuration was confirmed. */
-	abstract confirmed(now: number): void
-	/** @returns whether a change is due; it is made then. */
-	abstract change(now: number): boolean
-	/** Lifts all quotas, so that nothing has to wait for one. */
-	abstract lift(): void
-	/** A client hands a job in. @returns the digest of the key that it shows. */
-	abstract owned(id: string, request: JobRequest): string
-	abstract began(worker: string, run: WitnessedRun, now: number): void
-	abstract ended(worker: string, task: string): void
+export abstract class CallerAccounts implements RunObserver {
+	/** @returns the accounts of the next configuration, which may be in force from now on. */
+	abstract nextAccounts(): ClientAccount[]
+	/** Handles the confirmation of the newest configuration. */
+	abstract onConfirmed(now: number): void
+	/** Makes a change if one is due. @returns whether a change was made. */
+	abstract changeIfDue(now: number): boolean
+	/** Raises all quotas so high that no job waits for one. */
+	abstract liftQuotas(): void
+	/** @returns the digest of the key with which a client submits a job. */
+	abstract keyDigestFor(id: string, request: JobRequest): string
+	abstract onRunStarted(worker: string, run: ObservedRun, now: number): void
+	abstract onRunEnded(worker: string, task: string): void
 }
--- a/packages/runs/src/lib/jobs/CompetingAccounts.ts
+++ b/packages/runs/src/lib/jobs/CompetingAccounts.ts
@@ -1,6 +1,7 @@
 /**
- * Client accounts of one weight that compete for the room of a run, some of which send many times their usual. It draws from a stream of
- * its own, so that runs without accounts keep their course.
+ * Client accounts of equal weight that compete for the capacity of a run, some of which submit many
+ * times their usual rate. They have a random generator of their own, so that the course of runs
+ * without accounts does not change.
  */
 import {
 	digestOf,
@@ -13,30 +14,38 @@
 import { Random } from '@rillrudder/utils'
 import { CallerAccounts } from './CallerAccounts'
 
-/** How accounts compete. @public */
+/** The number of competing accounts and their load. @public */
 export interface Competition {
-	/** How many accounts there are. */
+	/** Number of accounts. */
 	readonly accounts: number
-	/** Jobs a second that each sends as a rule. */
-	readonly usual: number
-	/** How many of them press. */
-	readonly pressing: number
-	/** Times its usual that each of these sends. */
-	readonly times: number
+	/** Jobs per second that each account usually submits. */
+	readonly usualRate: number
+	/** Number of accounts that submit more than usual. */
+	readonly overloading: number
+	/** Factor by which each of these exceeds its usual rate. */
+	readonly overloadFactor: number
 }
 
-/** Jobs a second within an account's rate: more than any sends, so that shares alone order their work. */
-const WEIGHT = 1000
-/** Set apart from the run's own stream. */
-const STREAM = 0xacc7
+/**
+ * Weight of an account: its rate limit in jobs per second exceeds any load, so that only shares
+ * order the work.
+ */
+const ACCOUNT_WEIGHT = 1000
+/** Makes the seed of the accounts' random generator from that of the run. */
+const SEED_MASK = 0xacc7
 
-/** @returns jobs a second that all accounts send together. @internal */
-export function rateOf({ accounts, usual, pressing, times }: Competition): number {
-	return usual * (accounts - pressing + pressing * times)
+/** @returns the jobs per second that all accounts submit together. @internal */
+export function totalRateOf({
+	accounts,
+	usualRate,
+	overloading,
+	overloadFactor,
+}: Competition): number {
+	return usualRate * (accounts - overloading + overloading * overloadFactor)
 }
 
 /**
- * The accounts of a run, with what each got.
+ * Competing client accounts of equal weight.
  *
  * @internal
  */
@@ -49,15 +58,15 @@
 		private readonly competition: Competition
 	) {
 		super()
-		this.random = new Random(seed ^ STREAM)
+		this.random = new Random(seed ^ SEED_MASK)
 	}
 
-	/** Whether an account sends more than its usual. */
-	presses(name: string): boolean {
-		return Number(name) < this.competition.pressing
+	/** Whether an account submits more than its usual rate. */
+	isOverloading(name: string): boolean {
+		return Number(name) < this.competition.overloading
 	}
 
-	/** @returns a job that any account might send: a few tasks of some seconds, or a gang. */
+	/** @returns a random job of any account: a few tasks of up to two seconds, or a gang. */
 	request(random: Random): JobRequest {
 		const gang = random.chance(0.2)
 		const step = {
@@ -70,29 +79,33 @@
 		return { spec: 'text', steps: [step] }
 	}
 
-	override send(): ClientAccount[] {
-		return this.names().map((name) => ({ name, weight: WEIGHT, keyDigests: [digestOf(name)] }))
+	override nextAccounts(): ClientAccount[] {
+		return this.names().map((name) => ({
+			name,
+			weight: ACCOUNT_WEIGHT,
+			keyDigests: [digestOf(name)],
+		}))
 	}
 
-	override owned(id: string): string {
-		const owner = this.owners.get(id) ?? this.pick()
+	override keyDigestFor(id: string): string {
+		const owner = this.owners.get(id) ?? this.pickOwner()
 		this.owners.set(id, owner)
 		return digestOf(owner)
 	}
 
-	override confirmed(): void {}
-	override change(): boolean {
+	override onConfirmed(): void {}
+	override changeIfDue(): boolean {
 		return false
 	}
-	override lift(): void {}
-	override began(): void {}
-	override ended(): void {}
+	override liftQuotas(): void {}
+	override onRunStarted(): void {}
+	override onRunEnded(): void {}
 
-	private pick(): string {
-		const { pressing, times, accounts } = this.competition
-		const at = this.random.integer(0, accounts - pressing + pressing * times - 1)
-		const pressed = Math.floor(at / times)
-		return String(pressed < pressing ? pressed : at - pressing * (times - 1))
+	private pickOwner(): string {
+		const { overloading, overloadFactor, accounts } = this.competition
+		const at = this.random.integer(0, accounts - overloading + overloading * overloadFactor - 1)
+		const overloader = Math.floor(at / overloadFactor)
+		return String(overloader < overloading ? overloader : at - overloading * (overloadFactor - 1))
 	}
 
 	private names(): string[] {
@@ -100,44 +113,56 @@
 	}
 }
 
-/** What an account of a run asked for and got, in thousandths of processors times milliseconds. @internal */
-export interface Served {
+/**
+ * The work that an account requested and received, in thousandths of processors times milliseconds.
+ * @internal
+ */
+export interface ServedWork {
 	readonly account: string
-	asked: number
-	got: number
+	requested: number
+	received: number
 	jobs: number
-	/** Jobs that were done within their objectives. */
+	/** Number of jobs that were completed within their latency objective. */
 	inTime: number
 }
 
-/** @returns what each account got of its jobs that were handed in before a moment, in milliseconds since the epoch. @internal */
-export function servedOf(jobs: Iterable<JobRecord>, until: number): Served[] {
-	const served = new Map<string, Served>()
+/**
+ * @param jobs - all jobs of a run.
+ * @param until - work counts as received if its job ended by then, in milliseconds since the epoch.
+ * @returns the work that each account requested and received.
+ * @internal
+ */
+export function servedWorkOf(jobs: Iterable<JobRecord>, until: number): ServedWork[] {
+	const served = new Map<string, ServedWork>()
 	for (const job of jobs) {
 		const account = job.account?.name ?? ''
-		const entry = served.get(account) ?? { account, asked: 0, got: 0, jobs: 0, inTime: 0 }
+		const entry = served.get(account) ?? { account, requested: 0, received: 0, jobs: 0, inTime: 0 }
 		served.set(account, entry)
 		const [{ count, need, expectedTime }] = job.request.steps
 		const work = count * need.cpu * expectedTime
 		const done = job.ended > 0 && job.ended <= until
 		const objective = job.queue.latencyTarget + job.queue.stretch * expectedTime
-		entry.asked += work
-		entry.got += done ? work : 0
+		entry.requested += work
+		entry.received += done ? work : 0
 		entry.jobs += 1
 		entry.inTime += done && job.ended - job.submitted <= objective ? 1 : 0
 	}
 	return [...served.values()]
 }
 
-/** @returns Jain's index over what accounts of one weight got of what was theirs by max-min fairness: 1 when all got as much. @internal */
-export function fairnessOf(served: readonly Served[]): number {
-	const room = served.reduce((sum, { got }) => sum + got, 0)
+/**
+ * @returns Jain's fairness index over the fraction that each account of equal weight received of
+ * its max-min fair share: 1 if all fractions are equal.
+ * @internal
+ */
+export function jainIndexOf(served: readonly ServedWork[]): number {
+	const capacity = served.reduce((sum, { received }) => sum + received, 0)
 	const level = maxMinLevel(
-		served.map(({ asked }) => ({ weight: 1, maxUse: asked })),
-		room
+		served.map(({ requested }) => ({ weight: 1, maxUse: requested })),
+		capacity
 	)
-	const parts = served.map(({ asked, got }) => got / Math.min(asked, level))
-	const sum = parts.reduce((total, part) => total + part, 0)
-	const squares = parts.reduce((total, part) => total + part * part, 0)
-	return (sum * sum) / (parts.length * squares)
+	const fractions = served.map(({ requested, received }) => received / Math.min(requested, level))
+	const sum = fractions.reduce((total, fraction) => total + fraction, 0)
+	const squares = fractions.reduce((total, fraction) => total + fraction * fraction, 0)
+	return (sum * sum) / (fractions.length * squares)
 }
--- a/packages/runs/src/lib/jobs/FleetOrders.ts
+++ b/packages/runs/src/lib/jobs/FleetOrders.ts
@@ -1,4 +1,7 @@
-/** The way between a controller and the workers of a run: calls take time, get lost, or are carried out late. */
+/**
+ * The simulated network between a controller and the workers: orders are delayed, lost, or carried
+ * out late.
+ */
 import {
 	workerNameOf,
 	WorkerOrders,
@@ -14,37 +17,40 @@
 import type { FleetWorker } from './FleetWorker'
 import type { LeaderLoop } from './LeaderLoop'
 
-/** Milliseconds after which a call without an answer is given up. */
-const ANSWER_LIMIT = 250
-/** Milliseconds each way, the least and the most. */
-const WAY = [1, 9] as const
-/** Milliseconds that a slow answer takes, the least and the most; it may come after its call was given up. */
-const SLOW = [60, 290] as const
-/** Seconds after which a late order is carried out, the least and the most, in milliseconds. */
-const LATE = [2000, 12_000] as const
+/** Time after which a call without an answer counts as unanswered. */
+const ANSWER_TIMEOUT_MS = 250
+/** Minimum and maximum one-way delay. */
+const NETWORK_DELAY_MS = [1, 9] as const
+/** Minimum and maximum delay of a slow answer; it may arrive after its call has timed out. */
+const SLOW_ANSWER_MS = [60, 290] as const
+/** Minimum and maximum delay after which a late order is carried out. */
+const LATE_ORDER_MS = [2000, 12_000] as const
 
 type Answer<T> = (result: T | { readonly kind: 'unknown'; readonly message: string }) => void
 
-/** What the way to the workers needs of its run. @internal */
+/** Dependencies of {@link FleetOrders}. @internal */
 export interface FleetOrdersParts {
 	readonly clock: Clock
 	readonly random: Random
-	/** @returns the machine at an address. */
-	readonly at: (address: string) => FleetWorker
-	/** @returns whether no worker can be reached from here. */
-	readonly cut: () => boolean
-	/** Share of orders that get no answer and are carried out late. */
+	/** @returns the machine with an address. */
+	readonly machineAt: (address: string) => FleetWorker
+	/** @returns whether the sender cannot reach any worker. */
+	readonly isCutOff: () => boolean
+	/** Share of orders that are carried out late and get no answer. */
 	readonly lateShare: () => number
-	/** Share of orders that are carried out and whose answer is lost. */
+	/** Share of orders that are carried out but whose answer is lost. */
 	readonly lostShare: () => number
-	/** Share of answers that take long; where there are any, an answer comes although the worker that sent it has ended. */
+	/**
+	 * Share of slow answers; if it is above 0, answers also arrive after the worker that sent them
+	 * has ended.
+	 */
 	readonly slowShare: number
-	/** Brings answers and limits to the instance that gives the orders. */
+	/** The event loop in which the sender handles answers and timeouts. */
 	readonly loop?: LeaderLoop
 }
 
 /**
- * Orders to the workers of a run.
+ * Sends orders to the workers of a run.
  *
  * @internal
  */
@@ -54,90 +60,98 @@
 	}
 
 	override start(worker: OrderTarget, order: StartOrder, done: Answer<OrderResult>): void {
-		this.carry(worker, done, (machine, late) => machine.start(order, late))
+		this.send(worker, done, (machine, late) => machine.start(order, late))
 	}
 
 	override stop(worker: OrderTarget, order: StopOrder, done: Answer<OrderResult>): void {
-		this.carry(worker, done, (machine) => machine.stop(order))
+		this.send(worker, done, (machine) => machine.stop(order))
 	}
 
 	override pace(worker: OrderTarget, _order: PaceOrder, done: Answer<OrderResult>): void {
-		this.carry(worker, done, () => ({ kind: 'done' }))
+		this.send(worker, done, () => ({ kind: 'done' }))
 	}
 
 	override poll(worker: OrderTarget, order: PollOrder, done: Answer<PollResult>): void {
-		const answer = this.limited(done, ANSWER_LIMIT + order.wait)
-		this.after(() => {
-			const machine = this.reach(worker)
+		const answer = this.withTimeout(done, ANSWER_TIMEOUT_MS + order.wait)
+		this.afterDelay(() => {
+			const machine = this.reachableMachine(worker)
 			if (!machine) return
-			if (!isMeant(machine, worker)) return this.answer(machine, answer, OTHER)
-			machine.poll(order, (result) => this.answer(machine, answer, result))
+			if (!isAddressedTo(machine, worker))
+				return this.sendAnswer(machine, answer, OTHER_INCARNATION)
+			machine.poll(order, (result) => this.sendAnswer(machine, answer, result))
 		})
 	}
 
-	private carry(
+	private send(
 		worker: OrderTarget,
 		done: Answer<OrderResult>,
 		act: (machine: FleetWorker, late: boolean) => OrderResult
 	): void {
 		const { clock, random, lateShare, lostShare } = this.parts
-		const answer = this.limited(done, ANSWER_LIMIT)
+		const answer = this.withTimeout(done, ANSWER_TIMEOUT_MS)
 		const late = random.chance(lateShare())
 		const lost = late || random.chance(lostShare())
-		const { id: life } = this.parts.at(worker.address).worker
+		const { id: incarnation } = this.parts.machineAt(worker.address).worker
 		const reached = (): void => {
-			const machine = this.reach(worker)
+			const machine = this.reachableMachine(worker)
 			if (!machine) return
-			// What a worker has taken and not yet carried out is lost with its life.
-			if (late && machine.worker.id !== life) return
-			const result = isMeant(machine, worker) ? act(machine, late) : OTHER
-			if (!lost) this.answer(machine, answer, result)
+			// An order that a worker has accepted but not yet carried out is lost when its
+			// incarnation ends.
+			if (late && machine.worker.id !== incarnation) return
+			const result = isAddressedTo(machine, worker) ? act(machine, late) : OTHER_INCARNATION
+			if (!lost) this.sendAnswer(machine, answer, result)
 		}
-		if (late) clock.after(random.integer(...LATE), reached)
-		else this.after(reached)
+		if (late) clock.after(random.integer(...LATE_ORDER_MS), reached)
+		else this.afterDelay(reached)
 	}
 
-	private reach({ address }: OrderTarget): FleetWorker | undefined {
-		const { at, cut } = this.parts
-		const machine = at(address)
-		return machine.up && !machine.cut && !cut() ? machine : undefined
+	private reachableMachine({ address }: OrderTarget): FleetWorker | undefined {
+		const { machineAt, isCutOff } = this.parts
+		const machine = machineAt(address)
+		return machine.isUp && !machine.isCutOff && !isCutOff() ? machine : undefined
 	}
 
-	private answer<T>(machine: FleetWorker, answer: (result: T) => void, result: T): void {
+	private sendAnswer<T>(machine: FleetWorker, answer: (result: T) => void, result: T): void {
 		const { clock, random, slowShare, loop } = this.parts
 		const isSlow = slowShare > 0 && random.chance(slowShare)
-		const [least, most] = isSlow ? SLOW : WAY
+		const [least, most] = isSlow ? SLOW_ANSWER_MS : NETWORK_DELAY_MS
 		clock.after(random.integer(least, most), () => {
-			const isSent = slowShare > 0 || machine.up
-			if (!isSent || machine.cut || this.parts.cut()) return
-			if (loop) loop.arrived(() => answer(result))
+			const isSent = slowShare > 0 || machine.isUp
+			if (!isSent || machine.isCutOff || this.parts.isCutOff()) return
+			if (loop) loop.onMessage(() => answer(result))
 			else answer(result)
 		})
 	}
 
-	private after(call: () => void): void {
+	private afterDelay(call: () => void): void {
 		const { clock, random } = this.parts
-		clock.after(random.integer(...WAY), call)
+		clock.after(random.integer(...NETWORK_DELAY_MS), call)
 	}
 
-	/** @returns what takes the first answer; none by the limit counts as unknown. */
-	private limited<T>(done: Answer<T>, limit: number): (result: T) => void {
-		let settled = false
+	/**
+	 * @returns a callback for the first answer; without an answer within the limit the result is
+	 * `unknown`.
+	 */
+	private withTimeout<T>(done: Answer<T>, limit: number): (result: T) => void {
+		let isSettled = false
 		const settle = (result: Parameters<Answer<T>>[0]): void => {
-			if (settled) return
-			settled = true
+			if (isSettled) return
+			isSettled = true
 			done(result)
 		}
 		const { clock, loop } = this.parts
-		const giveUp = (): void => settle({ kind: 'unknown', message: 'no answer' })
-		clock.after(limit, () => (loop ? loop.timerDue(giveUp) : giveUp()))
+		const onTimeout = (): void => settle({ kind: 'unknown', message: 'no answer' })
+		clock.after(limit, () => (loop ? loop.onTimer(onTimeout) : onTimeout()))
 		return settle
 	}
 }
 
-/** A worker knows itself by its name only, and takes what was meant for an earlier life. */
-function isMeant({ name }: FleetWorker, { id }: OrderTarget): boolean {
+/**
+ * Workers compare only their names, and so accept orders that were meant for an earlier
+ * incarnation.
+ */
+function isAddressedTo({ name }: FleetWorker, { id }: OrderTarget): boolean {
 	return workerNameOf(id) === name
 }
 
-const OTHER = { kind: 'other-incarnation' } as const
+const OTHER_INCARNATION = { kind: 'other-incarnation' } as const
--- a/packages/runs/src/lib/jobs/GangRegistry.ts
+++ b/packages/runs/src/lib/jobs/GangRegistry.ts
@@ -1,72 +1,80 @@
-/** The members of gangs that run: they work once all of one attempt are there, and end together. */
+/**
+ * The running members of gangs: they work once all members of an attempt have started, and end
+ * together.
+ */
 import { RunEnd } from '@rillrudder/jobs'
 import type { Clock } from '@rillrudder/utils'
 import type { FleetRun } from './FleetWorker'
 
-/** Milliseconds that a member waits for the others. */
-const PATIENCE = 3000
+/** How long a member waits for the others. */
+const JOIN_TIMEOUT_MS = 3000
 /** Share of the work that is left when a member fails. */
-const FAILS_AFTER = 0.5
+const FAILURE_POINT = 0.5
 
 interface Gang {
 	readonly members: Set<FleetRun>
-	worksUntil?: number
-	over: boolean
+	doneAt?: number
+	hasEnded: boolean
 }
 
 /**
- * The gangs that run.
+ * The running gangs.
  *
  * @internal
  */
 export class GangRegistry {
 	private readonly gangs = new Map<string, Gang>()
-	/** How many runs ended because the others did not come. */
-	alone = 0
-	/** How many gangs have worked. */
-	worked = 0
-	/** How many of them worked more slowly than their step declared, for a member's worker is slow. */
-	slow = 0
+	/** Number of runs that ended because other members of the gang did not start in time. */
+	timedOutMembers = 0
+	/** Number of gangs of which all members have started. */
+	startedGangs = 0
+	/**
+	 * Number of these gangs that ran slower than their step declares because the worker of a member
+	 * is slow.
+	 */
+	slowGangs = 0
 
 	constructor(private readonly clock: Clock) {}
 
-	/** A run has begun. */
-	joined(run: FleetRun): void {
+	/** Adds a run that has started to its gang; the gang starts to work once it is complete. */
+	onRunStarted(run: FleetRun): void {
 		if (!run.step.gang) return
-		const gang = this.gangs.get(keyOf(run)) ?? { members: new Set<FleetRun>(), over: false }
-		this.gangs.set(keyOf(run), gang)
+		const gang = this.gangs.get(gangKeyOf(run)) ?? { members: new Set<FleetRun>(), hasEnded: false }
+		this.gangs.set(gangKeyOf(run), gang)
 		gang.members.add(run)
-		run.endsAt = this.clock.now() + PATIENCE
-		run.endsAs = RunEnd.GangTimeout
-		if (gang.members.size < run.step.count || gang.over) return
+		run.endsAt = this.clock.now() + JOIN_TIMEOUT_MS
+		run.endReason = RunEnd.GangTimeout
+		if (gang.members.size < run.step.count || gang.hasEnded) return
 		const slowest = Math.min(...[...gang.members].map(({ worker }) => worker.speed))
-		this.worked += 1
-		if (slowest < 1) this.slow += 1
+		this.startedGangs += 1
+		if (slowest < 1) this.slowGangs += 1
 		const work = run.step.expectedTime / slowest
-		gang.worksUntil = this.clock.now() + work
+		gang.doneAt = this.clock.now() + work
 		for (const member of gang.members) {
-			member.endsAt = gang.worksUntil - (member.fails ? work * FAILS_AFTER : 0)
-			member.endsAs = member.fails ? RunEnd.Failed : RunEnd.Done
+			member.endsAt = gang.doneAt - (member.willFail ? work * FAILURE_POINT : 0)
+			member.endReason = member.willFail ? RunEnd.Failed : RunEnd.Done
 		}
 	}
 
-	/** A run has ended: the others of its gang end too. */
-	left(run: FleetRun): void {
+	/**
+	 * Removes a run that has ended; the other members of its gang end too, unless the gang is done.
+	 */
+	onRunEnded(run: FleetRun): void {
 		if (!run.step.gang) return
-		const gang = this.gangs.get(keyOf(run))
+		const gang = this.gangs.get(gangKeyOf(run))
 		if (!gang?.members.delete(run)) return
-		if (run.endsAs === RunEnd.GangTimeout && run.endsAt <= this.clock.now()) this.alone += 1
+		if (run.endReason === RunEnd.GangTimeout && run.endsAt <= this.clock.now()) this.timedOutMembers += 1
 		const now = this.clock.now()
-		const done = gang.worksUntil !== undefined && gang.worksUntil <= now
-		gang.over = true
+		const done = gang.doneAt !== undefined && gang.doneAt <= now
+		gang.hasEnded = true
 		if (done) return
 		for (const member of gang.members) {
 			member.endsAt = Math.min(member.endsAt, now)
-			if (member.endsAs !== RunEnd.Stopped) member.endsAs = RunEnd.GangMemberEnded
+			if (member.endReason !== RunEnd.Stopped) member.endReason = RunEnd.GangMemberEnded
 		}
 	}
 }
 
-function keyOf({ task, attempt }: FleetRun): string {
+function gangKeyOf({ task, attempt }: FleetRun): string {
 	return `${task.slice(0, task.lastIndexOf('.'))}@${attempt}`
 }
--- a/packages/runs/src/lib/jobs/JobRun.ts
+++ b/packages/runs/src/lib/jobs/JobRun.ts
@@ -1,6 +1,6 @@
 /**
- * A seeded run of a cell's jobs on a clock moved by hand: the real controller and the real state under a series of
- * leaders, with workers and clients that behave as on the platform, and faults of every kind.
+ * A seeded simulation of the jobs of a cell on a manual clock: the real controller and replicated
+ * state under a series of leaders, with simulated workers and clients, and faults of every kind.
  */
 import {
 	CellState,
@@ -20,90 +20,99 @@
 import { Ledger, WorkerHealth } from '@rillrudder/scheduler'
 import { Log, Meter } from '@rillrudder/telemetry'
 import { invariant, ManualClock, Random } from '@rillrudder/utils'
-import { DATA_CENTRES, Fleet } from './Fleet'
-import { FleetCarrier, LEADER_LIFE } from './FleetCarrier'
+import { FLEET_DATA_CENTRES, Fleet } from './Fleet'
+import { FleetCarrier, LEADER_INCARNATION } from './FleetCarrier'
 import { FleetOrders } from './FleetOrders'
 import type { FleetWorker } from './FleetWorker'
-import { COMMON_FAULTS, JobFaults, RESTARTS, type JobFault } from './JobFaults'
+import { COMMON_FAULTS, JobFaults, RESTART_FAULTS, type JobFault } from './JobFaults'
 import { JobInvariants } from './JobInvariants'
 import { LeaderLoop } from './LeaderLoop'
-import { randomJob, WIDE, wideGang } from './randomJob'
-import { checkOutcome, type Asked } from './checkOutcome'
+import { randomJob, WIDE_GANG_SPEC, wideGangJob } from './randomJob'
+import { checkOutcome, type SubmittedJob } from './checkOutcome'
 import { CrashingTasks, type CrashTally } from './CrashingTasks'
 import type { CallerAccounts } from './CallerAccounts'
-import { CompetingAccounts, rateOf, type Competition } from './CompetingAccounts'
+import { CompetingAccounts, totalRateOf, type Competition } from './CompetingAccounts'
 import { RunAccounts } from './RunAccounts'
 import { PLENTIFUL_ADVICE, RunAdvisers, type RunAdvice, SCARCE_ADVICE } from './RunAdvisers'
 import { RunLog } from './RunLog'
 
-/** Milliseconds of one step of a run. */
-const STEP = 10
-/** Share of jobs that are wide gangs, in a run with these. */
-const WIDE_SHARE = 0.25
-/** Milliseconds between two readings of the leader's clockwork. */
-const TICK = 20
-/** Milliseconds after which a client without an answer asks again. */
-const ASK_AGAIN = 400
-/** Everything is over so long after the faults have ended, in milliseconds. */
-const SETTLE_FOR = 90_000
-
-/** How a run is made. @public */
+/** Length of one step of a run. */
+const STEP_MS = 10
+/** Share of jobs that are wide gangs in a run with wide gangs. */
+const WIDE_GANG_SHARE = 0.25
+/** Interval between two ticks of the leader. */
+const TICK_INTERVAL_MS = 20
+/** Time after which a client without an answer retries. */
+const RETRY_MS = 400
+/** Time after the end of all faults within which all jobs must end. */
+const SETTLE_MS = 90_000
+
+/** Options of a {@link JobRun}. @public */
 export interface JobRunOptions {
 	readonly seed: number
-	/** Faults a second; 0 for a calm run. */
+	/** Faults per second; 0 for none. */
 	readonly faultRate: number
-	/** Jobs handed in a second. */
+	/** Jobs submitted per second. */
 	readonly jobRate: number
-	/** What may go wrong; everything if absent. */
+	/** The faults that may occur; {@link COMMON_FAULTS} if absent. */
 	readonly faults?: readonly JobFault[]
-	/** Whether callers belong to accounts, whose keys and quotas change. */
+	/** Whether callers belong to accounts whose keys and quotas change. */
 	readonly accounts?: boolean
-	/** How callers' accounts compete, in place of accounts whose keys and quotas change; gives the rate of jobs too. */
+	/**
+	 * Competing accounts, in place of accounts whose keys and quotas change; they also set the rate
+	 * of jobs.
+	 */
 	readonly competition?: Competition
-	/** Whether workers say when they started; they do where they start again under their names. */
-	readonly tellBorn?: boolean
+	/**
+	 * Whether workers report when they started; by default only if a fault restarts them under
+	 * their names.
+	 */
+	readonly reportsStartTime?: boolean
 	/** Whether some tasks crash the workers that start them. */
 	readonly crashingTasks?: boolean
-	/** Share of workers crashed by tasks that start again under their names; none if absent. */
+	/** Share of the workers crashed by tasks that restart under their names; 0 if absent. */
 	readonly restartedShare?: number
-	/** Share of workers' answers that take long; where it is given, what a worker has sent comes although it has ended. */
+	/**
+	 * Share of slow answers of workers; if it is above 0, answers also arrive after the worker has
+	 * ended.
+	 */
 	readonly slowAnswers?: number
-	/** How fast each worker works, by its number; as fast as tasks declare if absent. */
+	/** Relative speed of each worker, by its number; 1 if absent. */
 	readonly speedOf?: (worker: number) => number
-	/** Whether jobs are wide gangs whose tickets run out soon after they have come. */
+	/** Whether some jobs are wide gangs, with advice tickets that expire soon after they arrive. */
 	readonly wideGangs?: boolean
-	/** What is asked of its leaders; nothing more than usual if absent. */
+	/** The policy of the leaders; {@link PLAIN_POLICY} if absent. */
 	readonly policy?: LeaderPolicy
 }
 
-/** What a run has done. @public */
+/** Counts of a run. @public */
 export interface JobRunTally {
 	jobs: number
 	cancelled: number
 	leaders: number
-	/** Runs that began on workers. */
+	/** Runs that started on workers. */
 	readonly starts: number
-	/** Members of gangs that waited in vain for the others. */
-	readonly alone: number
-	/** How many gangs worked, and how many of them as slowly as a slow worker lets them. */
+	/** Members of gangs that ended because the others did not start in time. */
+	readonly timedOutMembers: number
+	/** Number of gangs that worked, and of those that a slow worker slowed down. */
 	readonly gangs: number
 	readonly slowGangs: number
-	/** Wide gangs that were done while jobs were handed in or after, and how many milliseconds each took on the mean. */
-	readonly wide: { readonly done: number; readonly took: number }
-	/** Milliseconds of answers that leaders asked for. */
-	readonly advice: number
-	/** What crashing tasks did; undefined in a run without them. */
+	/** Number of wide gangs that completed, and their mean duration in milliseconds. */
+	readonly wideGangs: { readonly done: number; readonly took: number }
+	/** Total time of the answers of the advice service, in milliseconds. */
+	readonly adviceMs: number
+	/** Counts of crashing tasks; undefined in a run without them. */
 	readonly crashes: CrashTally | undefined
 	readonly faults: { readonly [fault: string]: number }
 }
 
-/** So many workers that a leader has its orders carried. */
-const AS_MANY_AS_CARRIED = 1000
+/** A number of workers that makes a leader send its orders through carriers. */
+const CARRIED_WORKER_COUNT = 1000
 const SERVICE = 'controller'
 const URGENT = queueOf('urgent', 0, 2)
 const BATCH = queueOf('batch', 2, 3)
-/** Workers in each data centre of a run with wide gangs: a question about all of them takes long. */
-const WORKERS_FOR_WIDE = 20
+/** Workers in each data centre of a run with wide gangs: advice about all of them takes long. */
+const WORKERS_EACH_FOR_WIDE_GANGS = 20
 
 function termsOf({ base, each, valid }: RunAdvice): AdviceTerms {
 	return { base, each, valid }
@@ -124,7 +133,7 @@
 }
 
 /**
- * A seeded run of a cell's jobs.
+ * A seeded simulation of the jobs of a cell.
  *
  * @example
  * ```ts
@@ -137,17 +146,20 @@
 export class JobRun {
 	readonly clock = new ManualClock()
 	readonly random: Random
-	/** Chooses jobs; in a run with wide gangs apart from all else, so that it has the same jobs whatever its leaders decide. */
+	/**
+	 * Generates jobs; a generator of its own in a run with wide gangs, whose jobs then do not
+	 * depend on the leaders' decisions.
+	 */
 	private readonly jobRandom: Random
-	readonly witness: JobInvariants
+	readonly invariants: JobInvariants
 	private readonly accounts: CallerAccounts | undefined
-	private readonly competing: CompetingAccounts | undefined
-	private readonly crashing: CrashingTasks | undefined
+	private readonly competingAccounts: CompetingAccounts | undefined
+	private readonly crashingTasks: CrashingTasks | undefined
 	private version = 0
 	readonly fleet: Fleet
 	private readonly faults: JobFaults
-	private readonly asked = new Map<string, Asked>()
-	/** Instances that carry orders, one in each data centre but the leader's. */
+	private readonly submitted = new Map<string, SubmittedJob>()
+	/** Instances that carry orders, one in each data centre except the leader's. */
 	readonly carriers: readonly FleetCarrier[]
 	private readonly direct: FleetOrders
 	readonly loop: LeaderLoop
@@ -161,17 +173,17 @@
 	private nextJobAt = 0
 	private tickAt = 0
 
-	/** @param options - seed and rates. */
+	/** @param options - the seed, rates and faults. */
 	constructor(private readonly options: JobRunOptions) {
 		this.random = new Random(options.seed)
 		const { seed, competition } = options
 		this.jobRandom = options.wideGangs ? new Random(seed) : this.random
-		this.competing = competition && new CompetingAccounts(seed, competition)
-		this.accounts = this.competing ?? (options.accounts ? new RunAccounts(seed) : undefined)
-		this.witness = new JobInvariants(this.accounts)
-		const { clock, random, witness } = this
+		this.competingAccounts = competition && new CompetingAccounts(seed, competition)
+		this.accounts = this.competingAccounts ?? (options.accounts ? new RunAccounts(seed) : undefined)
+		this.invariants = new JobInvariants(this.accounts)
+		const { clock, random, invariants } = this
 		this.loop = new LeaderLoop(clock)
-		this.crashing = options.crashingTasks ? this.crashingTasks() : undefined
+		this.crashingTasks = options.crashingTasks ? this.newCrashingTasks() : undefined
 		const advice = options.wideGangs ? SCARCE_ADVICE : PLENTIFUL_ADVICE
 		this.queues = [URGENT, { ...BATCH, advice: termsOf(advice) }]
 		this.advisers = new RunAdvisers(clock, random, advice, this.loop)
@@ -179,117 +191,123 @@
 		this.fleet = new Fleet({
 			clock,
 			random,
-			witness,
+			invariants,
 			service: SERVICE,
-			workersEach: options.wideGangs ? WORKERS_FOR_WIDE : undefined,
-			tellBorn: options.tellBorn ?? RESTARTS.some((fault) => this.faults.has(fault)),
+			workersEach: options.wideGangs ? WORKERS_EACH_FOR_WIDE_GANGS : undefined,
+			reportsStartTime:
+				options.reportsStartTime ?? RESTART_FAULTS.some((fault) => this.faults.has(fault)),
 			speedOf: options.speedOf,
 			stepOf: (task) => this.stepOf(task),
 			mayRun: (task, worker, ticket) => this.mayRun(task, worker, ticket),
-			heldShare: () => this.faults.heldShare,
-			refusal: () => this.faults.refusal(),
-			began: (machine, task) => this.crashing?.began(machine, task),
-			call: (call, reply) => this.loop.arrived(() => this.controller?.call(call, reply)),
+			heldHeartbeatShare: () => this.faults.heldHeartbeatShare,
+			refusal: () => this.faults.randomRefusal(),
+			onRunStarted: (machine, task) => this.crashingTasks?.onRunStarted(machine, task),
+			call: (call, reply) => this.loop.onMessage(() => this.controller?.call(call, reply)),
 		})
-		this.direct = this.ordersFrom(() => false, this.loop)
-		this.carriers = DATA_CENTRES.slice(1).map((dataCentre) => this.carrierIn(dataCentre))
-		this.lead()
+		this.direct = this.newOrders(() => false, this.loop)
+		this.carriers = FLEET_DATA_CENTRES.slice(1).map((dataCentre) => this.newCarrier(dataCentre))
+		this.startLeader()
 		this.configure()
 		this.advance(2000)
 	}
 
-	/** What was done so far. */
+	/** Counts so far. */
 	get tally(): JobRunTally {
-		const jobs = [...this.asked.values()]
+		const jobs = [...this.submitted.values()]
 		return {
 			jobs: jobs.length,
-			cancelled: jobs.filter((job) => job.cancelled).length,
+			cancelled: jobs.filter((job) => job.isCancelled).length,
 			leaders: this.term,
-			starts: this.witness.starts,
-			alone: this.fleet.gangs.alone,
-			gangs: this.fleet.gangs.worked,
-			slowGangs: this.fleet.gangs.slow,
-			wide: this.wideTally,
-			advice: this.advisers.took,
-			crashes: this.crashing?.tally,
+			starts: this.invariants.starts,
+			timedOutMembers: this.fleet.gangs.timedOutMembers,
+			gangs: this.fleet.gangs.startedGangs,
+			slowGangs: this.fleet.gangs.slowGangs,
+			wideGangs: this.wideTally,
+			adviceMs: this.advisers.answerMs,
+			crashes: this.crashingTasks?.tally,
 			faults: this.faults.counts,
 		}
 	}
 
-	/** All jobs that are kept. */
+	/** All jobs in the replicated state. */
 	get jobs(): Iterable<JobRecord> {
 		return this.state.jobs.all()
 	}
 
 	private get wideTally() {
-		const records = [...this.asked.values()]
-			.filter(({ request }) => request.spec === WIDE)
+		const records = [...this.submitted.values()]
+			.filter(({ request }) => request.spec === WIDE_GANG_SPEC)
 			.map(({ id }) => this.state.jobs.find(id))
 		const done = records.filter((job) => job?.state === JobState.Completed)
 		const total = done.reduce((sum, job) => sum + (job?.ended ?? 0) - (job?.submitted ?? 0), 0)
 		return { done: done.length, took: Math.round(total / Math.max(1, done.length)) }
 	}
 
-	/** Lets clients hand jobs in and things go wrong for a span, in milliseconds. */
+	/** Submits jobs and injects faults for a number of milliseconds. */
 	run(span: number): void {
 		const until = this.clock.now() + span
 		while (this.clock.now() < until) {
-			if (this.clock.now() >= this.nextJobAt) this.handIn()
-			this.faults.step()
-			if (this.accounts?.change(this.clock.now())) this.configure()
-			this.advance(STEP)
+			if (this.clock.now() >= this.nextJobAt) this.submitNewJob()
+			this.faults.tick()
+			if (this.accounts?.changeIfDue(this.clock.now())) this.configure()
+			this.advance(STEP_MS)
 		}
 	}
 
-	/** Ends all faults, waits, and checks that nothing accepted is lost. */
+	/**
+	 * Ends all faults, waits for the jobs to end, and checks that no accepted job is lost.
+	 * @throws InvariantBroken
+	 */
 	settle(): void {
-		this.faults.end()
-		if (!this.controller) this.lead()
-		this.accounts?.lift()
+		this.faults.endAll()
+		if (!this.controller) this.startLeader()
+		this.accounts?.liftQuotas()
 		if (this.accounts) this.configure()
-		this.advance(SETTLE_FOR)
+		this.advance(SETTLE_MS)
 		for (const { worker } of this.fleet.machines) {
 			const known = this.state.workers.find(worker.id) !== undefined
-			invariant(known, 'a worker that reports is known by its present life', { worker: worker.id })
+			invariant(known, 'a worker that reports is known by its current incarnation', {
+				worker: worker.id,
+			})
 		}
-		for (const job of this.asked.values()) {
-			const crashes = this.crashing?.isIn(job.id) ?? false
-			checkOutcome(job, this.state.jobs.find(job.id), this.witness, crashes)
+		for (const job of this.submitted.values()) {
+			const crashes = this.crashingTasks?.hasCrashingTask(job.id) ?? false
+			checkOutcome(job, this.state.jobs.find(job.id), this.invariants, crashes)
 		}
 	}
 
-	/** The leader is lost; another leads after a while, in milliseconds. */
+	/** Ends the leader; another one starts after `gap` milliseconds. */
 	loseLeader(gap: number): void {
 		if (!this.controller) return
 		this.state.observer = undefined
 		this.log?.end()
 		this.orders?.end()
-		this.loop.end()
+		this.loop.clear()
 		this.controller = undefined
 		this.log = undefined
-		this.clock.after(gap, () => this.lead())
+		this.clock.after(gap, () => this.startLeader())
 	}
 
-	/** Cancels some of the jobs that were accepted. */
+	/** Cancels a random share of the accepted jobs. */
 	cancelSome(share: number): void {
-		for (const job of this.asked.values()) {
-			if (!job.accepted || job.cancelAsked || !this.random.chance(share)) continue
-			job.cancelAsked = true
+		for (const job of this.submitted.values()) {
+			if (!job.isAccepted || job.isCancelRequested || !this.random.chance(share)) continue
+			job.isCancelRequested = true
 			this.cancel(job)
 		}
 	}
 
-	private lead(): void {
+	private startLeader(): void {
 		if (this.controller) return
 		const { clock, random, advisers } = this
 		const term = ++this.term
-		const orders = this.carriedOrders(term)
+		const orders = this.newCarriedOrders(term)
 		this.orders = orders
 		const state = new CellState()
 		state.restore(this.state.snapshot())
 		this.state = state
 		const log = new RunLog(clock, random, state, this.loop)
-		const silent = (): void => undefined
+		const discard = (): void => undefined
 		const controller: JobController = new JobController({
 			state,
 			ledger: new Ledger(new Random(this.options.seed)),
@@ -302,19 +320,19 @@
 			orders,
 			advisers,
 			proposals: log,
-			log: new Log('run', clock, 'silent', silent),
+			log: new Log('run', clock, 'silent', discard),
 			meter: new Meter(),
-			onDeposed: () => this.deposed(controller),
+			onDeposed: () => this.onDeposed(controller),
 		})
 		this.log = log
 		this.controller = controller
 		state.observer = (change) => controller.onChange(change)
 	}
 
-	/** An operator sends a configuration until it is confirmed. */
+	/** Sends a new configuration; with accounts, until it is confirmed or superseded. */
 	private configure(): void {
 		const services = [{ name: SERVICE, enforcesCapacity: false }]
-		const accounts = this.accounts?.send()
+		const accounts = this.accounts?.nextAccounts()
 		const version = ++this.version
 		this.sendConfiguration({ version, queues: this.queues, services, accounts, document: '{}' })
 	}
@@ -324,94 +342,95 @@
 		this.controller?.call({ kind: 'configure', configuration }, ({ kind }) => {
 			confirmed = kind === 'noted'
 			if (confirmed && configuration.version === this.version) {
-				this.accounts?.confirmed(this.clock.now())
+				this.accounts?.onConfirmed(this.clock.now())
 			}
 		})
 		if (!this.accounts) return
-		this.clock.after(ASK_AGAIN, () => {
+		this.clock.after(RETRY_MS, () => {
 			if (!confirmed && configuration.version === this.version) {
 				this.sendConfiguration(configuration)
 			}
 		})
 	}
 
-	private crashingTasks(): CrashingTasks {
+	private newCrashingTasks(): CrashingTasks {
 		const crash = (machine: FleetWorker, away: number): void => this.fleet.crash(machine, away)
 		const restart = (machine: FleetWorker, away: number): void => this.fleet.restart(machine, away)
 		const { seed, restartedShare = 0 } = this.options
 		return new CrashingTasks({ seed, clock: this.clock, crash, restart, restartedShare })
 	}
 
-	private ordersFrom(cut: () => boolean, loop?: LeaderLoop): FleetOrders {
+	private newOrders(cut: () => boolean, loop?: LeaderLoop): FleetOrders {
 		const { clock, random } = this
 		return new FleetOrders({
 			clock,
 			random,
-			at: (address) => this.fleet.at(address),
-			cut,
-			lateShare: () => this.faults.lateShare,
-			lostShare: () => this.faults.lostShare,
+			machineAt: (address) => this.fleet.machineAt(address),
+			isCutOff: cut,
+			lateShare: () => this.faults.lateOrderShare,
+			lostShare: () => this.faults.lostAnswerShare,
 			slowShare: this.options.slowAnswers ?? 0,
 			loop,
 		})
 	}
 
-	private carrierIn(dataCentre: string): FleetCarrier {
+	private newCarrier(dataCentre: string): FleetCarrier {
 		const { clock, random } = this
 		const carrier: FleetCarrier = new FleetCarrier({
 			id: `core-${dataCentre}`,
 			dataCentre,
 			clock,
 			random,
-			orders: this.ordersFrom(() => carrier.cut),
-			results: (results) => this.loop.arrived(() => this.orders?.onResults(results)),
+			orders: this.newOrders(() => carrier.isCutOff),
+			deliverResults: (results) => this.loop.onMessage(() => this.orders?.onResults(results)),
 		})
 		return carrier
 	}
 
-	private carriedOrders(term: number): CarriedOrders {
+	private newCarriedOrders(term: number): CarriedOrders {
 		const { clock, direct, carriers } = this
-		const named = (id: string): FleetCarrier | undefined => carriers.find((one) => one.id === id)
+		const carrierById = (id: string): FleetCarrier | undefined =>
+			carriers.find((one) => one.id === id)
 		return new CarriedOrders({
 			direct,
 			term,
-			incarnation: LEADER_LIFE,
+			incarnation: LEADER_INCARNATION,
 			clock,
 			log: new Log('run', clock, 'silent', () => undefined),
-			linkedCarriers: () => carriers.filter((carrier) => carrier.linked),
-			lastHeardAt: (id) => named(id)?.heardAt ?? Number.NEGATIVE_INFINITY,
-			workerCount: () => AS_MANY_AS_CARRIED,
-			send: (to, batch) => named(to)?.take(batch) ?? false,
+			linkedCarriers: () => carriers.filter((carrier) => carrier.isLinked),
+			lastHeardAt: (id) => carrierById(id)?.heardAt ?? Number.NEGATIVE_INFINITY,
+			workerCount: () => CARRIED_WORKER_COUNT,
+			send: (to, batch) => carrierById(to)?.take(batch) ?? false,
 		})
 	}
 
-	/** A carrying instance loses its link to the leader. */
+	/** Cuts the link between a carrier and the leader. */
 	unlink(carrier: FleetCarrier): void {
-		carrier.linked = false
+		carrier.isLinked = false
 		this.orders?.onLinkLost(carrier.id)
 	}
 
-	/** Only a leader that has been followed by another is refused by a worker. */
-	private deposed(controller: JobController): void {
+	/** Checks that workers refuse only a leader that another has replaced. */
+	private onDeposed(controller: JobController): void {
 		invariant(this.controller !== controller, 'a leader is not refused for its term', {
 			term: this.term,
 		})
 	}
 
 	private advance(span: number): void {
-		for (let spent = 0; spent < span; spent += STEP) {
-			this.clock.advance(STEP)
+		for (let spent = 0; spent < span; spent += STEP_MS) {
+			this.clock.advance(STEP_MS)
 			this.fleet.tick()
 			for (const carrier of this.carriers) carrier.tick()
-			if (!this.loop.isStalled) this.turn()
+			if (!this.loop.isStalled) this.runLeader()
 		}
 	}
 
-	/** The leader reads what has come, and acts. */
-	private turn(): void {
+	/** Handles what waits in the leader's event loop, then ticks, places and sends. */
+	private runLeader(): void {
 		this.loop.resume()
 		if (this.clock.now() >= this.tickAt) {
-			this.tickAt = this.clock.now() + TICK
+			this.tickAt = this.clock.now() + TICK_INTERVAL_MS
 			this.orders?.tick(this.clock.now())
 			this.controller?.tick()
 		}
@@ -420,82 +439,85 @@
 		this.orders?.flush()
 	}
 
-	private handIn(): void {
-		const { clock, options, witness, jobRandom: random } = this
-		const rate = options.competition ? rateOf(options.competition) : options.jobRate
+	private submitNewJob(): void {
+		const { clock, options, invariants, jobRandom: random } = this
+		const rate = options.competition ? totalRateOf(options.competition) : options.jobRate
 		this.nextJobAt = clock.now() + random.exponential(1000 / rate)
 		const id = random.integer(0, 0x7fffffff).toString(16).padStart(16, '0')
-		if (this.asked.has(id)) return
+		if (this.submitted.has(id)) return
 		const request = this.newRequest(random)
 		const queue = this.queueFor(request, random)
 		const job = {
 			id,
 			request,
-			accepted: false,
-			unanswered: 0,
-			refused: false,
-			uncertain: false,
-			cancelAsked: false,
-			cancelled: false,
+			isAccepted: false,
+			unansweredCalls: 0,
+			isRefused: false,
+			isUncertain: false,
+			isCancelRequested: false,
+			isCancelled: false,
 		}
-		this.asked.set(id, job)
-		witness.asked(id, request, queue)
-		this.crashing?.asked(id, request)
+		this.submitted.set(id, job)
+		invariants.onJobSubmitted(id, request, queue)
+		this.crashingTasks?.onJobSubmitted(id, request)
 		this.submit(job, queue.name)
 	}
 
 	private newRequest(random: Random): JobRequest {
-		const { competing, options, clock } = this
-		if (competing) return competing.request(random)
-		if (options.wideGangs && random.chance(WIDE_SHARE)) return wideGang(random)
+		const { competingAccounts, options, clock } = this
+		if (competingAccounts) return competingAccounts.request(random)
+		if (options.wideGangs && random.chance(WIDE_GANG_SHARE)) return wideGangJob(random)
 		return randomJob(random, clock.date().getTime())
 	}
 
 	private queueFor({ spec, steps }: JobRequest, random: Random): Queue {
 		const [urgent, batch] = this.queues
-		if (spec === WIDE) return batch
-		// A policy that bars every worker with the label would make the job one that can never run.
+		if (spec === WIDE_GANG_SPEC) return batch
+		// Advice that excludes every worker with the label would make the job impossible to run.
 		const plain = steps.every((step) => !step.lasting && step.requires === '')
-		// Shares order work of one priority.
-		return plain && !this.competing ? random.pick(this.queues) : urgent
+		// Shares order only work of equal priority.
+		return plain && !this.competingAccounts ? random.pick(this.queues) : urgent
 	}
 
-	private submit(job: Asked, queue: string): void {
-		if (job.accepted || job.refused || job.uncertain) return
-		const keyDigest = this.accounts?.owned(job.id, job.request)
+	private submit(job: SubmittedJob, queue: string): void {
+		if (job.isAccepted || job.isRefused || job.isUncertain) return
+		const keyDigest = this.accounts?.keyDigestFor(job.id, job.request)
 		const to = { queue, id: job.id, keyDigest }
-		if (this.controller) job.unanswered += 1
-		const answered = ({ kind }: CellReply): void => {
-			job.unanswered -= 1
-			if (kind === 'accepted') job.accepted = true
-			if (kind === 'unauthorized' || kind === 'impossible') this.refused(job)
+		if (this.controller) job.unansweredCalls += 1
+		const onReply = ({ kind }: CellReply): void => {
+			job.unansweredCalls -= 1
+			if (kind === 'accepted') job.isAccepted = true
+			if (kind === 'unauthorized' || kind === 'impossible') this.onRefused(job)
 		}
 		const call = { kind: 'submit', to, job: job.request } as const
-		this.loop.arrived(() => this.controller?.call(call, answered))
-		this.clock.after(ASK_AGAIN, () => this.submit(job, queue))
+		this.loop.onMessage(() => this.controller?.call(call, onReply))
+		this.clock.after(RETRY_MS, () => this.submit(job, queue))
 	}
 
-	/** A refusal after a call without an answer says nothing of that call; such a job may run, and is asked for no more. */
-	private refused(job: Asked): void {
-		if (job.unanswered > 0) job.uncertain = true
-		else job.refused = true
+	/**
+	 * After a call without an answer the job may run although a later call is refused; it is not
+	 * submitted again.
+	 */
+	private onRefused(job: SubmittedJob): void {
+		if (job.unansweredCalls > 0) job.isUncertain = true
+		else job.isRefused = true
 	}
 
-	private cancel(job: Asked): void {
-		if (job.cancelled) return
-		const answered = ({ kind }: CellReply): void => {
+	private cancel(job: SubmittedJob): void {
+		if (job.isCancelled) return
+		const onReply = ({ kind }: CellReply): void => {
 			if (kind !== 'noted') return
-			job.cancelled = true
-			this.witness.cancelled(job.id, this.clock.now())
+			job.isCancelled = true
+			this.invariants.onJobCancelled(job.id, this.clock.now())
 		}
 		const call = { kind: 'cancel', to: { id: job.id } } as const
-		this.loop.arrived(() => this.controller?.call(call, answered))
-		this.clock.after(ASK_AGAIN, () => this.cancel(job))
+		this.loop.onMessage(() => this.controller?.call(call, onReply))
+		this.clock.after(RETRY_MS, () => this.cancel(job))
 	}
 
 	private stepOf(task: string) {
 		const [id, , step] = task.split('.')
-		const job = this.asked.get(id)
+		const job = this.submitted.get(id)
 		invariant(job !== undefined, 'only what a client asked for begins', { task })
 		return job.request.steps[Number(step)]
 	}
@@ -503,6 +525,8 @@
 	private mayRun(task: string, worker: string, ticket: string): boolean {
 		const [id] = task.split('.')
 		const advised = this.state.jobs.find(id)?.queue.advice !== undefined
-		return !advised || this.advisers.holds(ticket, task.slice(0, task.lastIndexOf('.')), worker)
+		return (
+			!advised || this.advisers.isValidTicket(ticket, task.slice(0, task.lastIndexOf('.')), worker)
+		)
 	}
 }
--- a/packages/runs/src/lib/jobs/RunAccounts.ts
+++ b/packages/runs/src/lib/jobs/RunAccounts.ts
@@ -1,7 +1,7 @@
 /**
- * The client accounts of a run: keys that come and go, quotas that are cut and raised, and a witness of what each account
- * has running, which knows only what workers do. It draws from a stream of its own, so that runs without accounts keep
- * their course.
+ * The client accounts of a run: keys are replaced, quotas are cut and raised, and the tasks of each
+ * account that run on workers are recorded to check its quota. It has a random generator of its
+ * own, so that the course of runs without accounts does not change.
  */
 import { digestOf, parseTaskName, type ClientAccount, type JobRequest } from '@rillrudder/jobs'
 import {
@@ -14,119 +14,127 @@
 } from '@rillrudder/scheduler'
 import { invariant, Random } from '@rillrudder/utils'
 import { CallerAccounts } from './CallerAccounts'
-import type { WitnessedRun } from './JobInvariants'
+import type { ObservedRun } from './JobInvariants'
 
-/** Milliseconds after its confirmation for which an older quota may still be obeyed. */
-const OBEYED_WITHIN = 2500
-/** Milliseconds between two configurations, on the mean. */
-const CHANGE_EVERY = 3000
-/** Share of jobs that come with a key that no account holds. */
-const STRANGERS = 0.1
-/** Thousandths of a processor; the fleet of a run has 48,000. */
-const QUOTAS = [3000, 6000, 12_000] as const
-const NAMES = ['town', 'city', 'village'] as const
-/** More than a run's fleet has. */
-const LIFTED = 1_000_000
-/** Set apart from the run's own stream. */
-const STREAM = 0x5eed
+/**
+ * Milliseconds after the confirmation of a new quota for which the previous one may still be
+ * applied.
+ */
+const OLD_QUOTA_VALID_MS = 2500
+/** Mean time between two configurations. */
+const CHANGE_INTERVAL_MS = 3000
+/** Share of jobs submitted with a key that belongs to no account. */
+const UNKNOWN_KEY_SHARE = 0.1
+/** Quotas in thousandths of a processor; the fleet of a run has 48,000. */
+const CPU_QUOTAS = [3000, 6000, 12_000] as const
+const ACCOUNT_NAMES = ['town', 'city', 'village'] as const
+/** More than the fleet of a run has, in thousandths of a processor. */
+const UNLIMITED_CPU = 1_000_000
+/** Makes the seed of the accounts' random generator from that of the run. */
+const SEED_MASK = 0x5eed
 
-interface Term {
+interface QuotaTerm {
 	readonly quota: Quota
-	/** When a later one was confirmed; infinite before. */
-	until: number
+	/** When a later quota was confirmed; infinite before. */
+	supersededAt: number
 }
 
-interface Owned {
-	/** Index of the account that handed it in; undefined for a caller without a valid key. */
+interface OwnedJob {
+	/** Index of the account that submitted the job; undefined for a caller without a valid key. */
 	readonly owner: number | undefined
 	readonly request: JobRequest
 	readonly key: string
 }
 
 /**
- * The accounts of a run.
+ * Client accounts whose keys and quotas change.
  *
  * @internal
  */
 export class RunAccounts extends CallerAccounts {
 	private readonly random: Random
-	private readonly quotas: number[] = NAMES.map(() => QUOTAS[1])
-	private readonly generations: number[] = NAMES.map(() => 0)
-	/** Of each account every quota that was ever sent. */
-	private readonly terms: Term[][] = NAMES.map(() => [])
-	private readonly jobs = new Map<string, Owned>()
-	/** Of each account its tasks that run, by worker and name. */
-	private readonly live = new Map<string, { owner: number; amount: Resources }>()
-	private changeAt = CHANGE_EVERY
+	private readonly quotas: number[] = ACCOUNT_NAMES.map(() => CPU_QUOTAS[1])
+	private readonly keyGenerations: number[] = ACCOUNT_NAMES.map(() => 0)
+	/** All quotas that were ever sent, by account. */
+	private readonly quotaTerms: QuotaTerm[][] = ACCOUNT_NAMES.map(() => [])
+	private readonly jobs = new Map<string, OwnedJob>()
+	/** Running tasks, by worker and task name. */
+	private readonly running = new Map<string, { owner: number; amount: Resources }>()
+	private changeAt = CHANGE_INTERVAL_MS
 
-	/** @param seed - of the run. */
+	/** @param seed - the seed of the run. */
 	constructor(seed: number) {
 		super()
-		this.random = new Random(seed ^ STREAM)
+		this.random = new Random(seed ^ SEED_MASK)
 	}
 
-	override send(): ClientAccount[] {
-		return NAMES.map((name, index) => {
+	override nextAccounts(): ClientAccount[] {
+		return ACCOUNT_NAMES.map((name, index) => {
 			const quota = { cpu: this.quotas[index] }
-			this.terms[index].push({ quota, until: Number.POSITIVE_INFINITY })
+			this.quotaTerms[index].push({ quota, supersededAt: Number.POSITIVE_INFINITY })
 			return { name, weight: 2, quota, keyDigests: [digestOf(this.keyOf(index))] }
 		})
 	}
 
-	override confirmed(now: number): void {
-		for (const terms of this.terms) {
-			for (const term of terms.slice(0, -1)) term.until = Math.min(term.until, now)
+	override onConfirmed(now: number): void {
+		for (const terms of this.quotaTerms) {
+			for (const term of terms.slice(0, -1)) term.supersededAt = Math.min(term.supersededAt, now)
 		}
 	}
 
-	override change(now: number): boolean {
+	override changeIfDue(now: number): boolean {
 		if (now < this.changeAt) return false
-		this.changeAt = now + this.random.exponential(CHANGE_EVERY)
-		const index = this.random.integer(0, NAMES.length - 1)
-		if (this.random.chance(0.3)) this.generations[index] += 1
-		else this.quotas[index] = this.random.pick(QUOTAS)
+		this.changeAt = now + this.random.exponential(CHANGE_INTERVAL_MS)
+		const index = this.random.integer(0, ACCOUNT_NAMES.length - 1)
+		if (this.random.chance(0.3)) this.keyGenerations[index] += 1
+		else this.quotas[index] = this.random.pick(CPU_QUOTAS)
 		return true
 	}
 
-	override lift(): void {
-		this.quotas.fill(LIFTED)
+	override liftQuotas(): void {
+		this.quotas.fill(UNLIMITED_CPU)
 	}
 
-	override owned(id: string, request: JobRequest): string {
+	override keyDigestFor(id: string, request: JobRequest): string {
 		const known = this.jobs.get(id)
 		if (known) return digestOf(known.key)
-		const stranger = this.random.chance(STRANGERS)
-		const owner = this.random.integer(0, NAMES.length - 1)
-		const key = stranger ? 'nobody' : this.keyOf(owner)
-		this.jobs.set(id, { owner: stranger ? undefined : owner, request, key })
+		const hasUnknownKey = this.random.chance(UNKNOWN_KEY_SHARE)
+		const owner = this.random.integer(0, ACCOUNT_NAMES.length - 1)
+		const key = hasUnknownKey ? 'nobody' : this.keyOf(owner)
+		this.jobs.set(id, { owner: hasUnknownKey ? undefined : owner, request, key })
 		return digestOf(key)
 	}
 
-	override began(worker: string, { task, late }: WitnessedRun, now: number): void {
+	override onRunStarted(worker: string, { task, isLate }: ObservedRun, now: number): void {
 		const name = parseTaskName(task)
 		const job = name && this.jobs.get(name.job)
 		if (!name || !job) return
 		invariant(job.owner !== undefined, 'nothing runs for a caller without a key', { task })
 		const amount = job.request.steps[name.step].need
-		this.live.set(`${worker} ${task}`, { owner: job.owner, amount })
-		if (!late) this.check(job.owner, amount, now, task)
+		this.running.set(`${worker} ${task}`, { owner: job.owner, amount })
+		if (!isLate) this.checkQuota(job.owner, amount, now, task)
 	}
 
-	override ended(worker: string, task: string): void {
-		this.live.delete(`${worker} ${task}`)
+	override onRunEnded(worker: string, task: string): void {
+		this.running.delete(`${worker} ${task}`)
 	}
 
-	/** A start takes no account above the highest quota that may be in force and one task more. */
-	private check(owner: number, amount: Resources, now: number, task: string): void {
+	/**
+	 * Checks that an account was within the highest quota that may be in force before its task
+	 * started.
+	 */
+	private checkQuota(owner: number, amount: Resources, now: number, task: string): void {
 		let used = NO_RESOURCES
-		for (const run of this.live.values()) if (run.owner === owner) used = plus(used, run.amount)
-		const inForce = this.terms[owner].filter(({ until }) => now - until <= OBEYED_WITHIN)
-		const within = inForce.some(({ quota }) => isWithinQuota(minus(used, amount), quota))
-		const where = { account: NAMES[owner], task, used: used.cpu }
-		invariant(within, 'no account has more running than its quota', where)
+		for (const run of this.running.values()) if (run.owner === owner) used = plus(used, run.amount)
+		const inForce = this.quotaTerms[owner].filter(
+			({ supersededAt }) => now - supersededAt <= OLD_QUOTA_VALID_MS
+		)
+		const isWithin = inForce.some(({ quota }) => isWithinQuota(minus(used, amount), quota))
+		const where = { account: ACCOUNT_NAMES[owner], task, used: used.cpu }
+		invariant(isWithin, 'no account has more running than its quota', where)
 	}
 
 	private keyOf(index: number): string {
-		return `${NAMES[index]}-${this.generations[index]}`
+		return `${ACCOUNT_NAMES[index]}-${this.keyGenerations[index]}`
 	}
 }
--- a/packages/runs/src/lib/jobs/RunAdvisers.ts
+++ b/packages/runs/src/lib/jobs/RunAdvisers.ts
@@ -1,4 +1,7 @@
-/** The service that knows which workers may run a step, and the instances that ask it. */
+/**
+ * A simulated advice service that decides which workers may run a step, and the instances that
+ * query it.
+ */
 import {
 	Advisers,
 	workerNameOf,
@@ -9,15 +12,15 @@
 import type { Clock, Random } from '@rillrudder/utils'
 import type { LeaderLoop } from './LeaderLoop'
 
-/** What the service of a run allows, and what its answers cost. @internal */
+/** Which workers the service allows, and how long its answers take. @internal */
 export interface RunAdvice extends AdviceTerms {
-	/** Instances that can ask. */
+	/** Instances that can query the service. */
 	readonly instances: readonly string[]
 	/** Whether a worker may run a step, by a hash of both. */
 	readonly allows: (hash: number) => boolean
 }
 
-/** Quick answers that allow two workers of three. @internal */
+/** Fast answers that allow two of three workers. @internal */
 export const PLENTIFUL_ADVICE: RunAdvice = {
 	base: 40,
 	each: 4,
@@ -25,7 +28,10 @@
 	instances: ['self', 'second', 'third', 'fourth'],
 	allows: (hash) => hash % 3 !== 0,
 }
-/** Answers that take a good part of a ticket's life, and allow one worker of three. @internal */
+/**
+ * Answers that take a large part of a ticket's validity, and allow one of three workers.
+ * @internal
+ */
 export const SCARCE_ADVICE: RunAdvice = {
 	base: 560,
 	each: 8,
@@ -35,15 +41,15 @@
 }
 
 /**
- * Advice in a run.
+ * The advice service of a run.
  *
  * @internal
  */
 export class RunAdvisers extends Advisers {
 	/** Share of questions that get no answer. */
-	lostShare = 0
-	/** Milliseconds of answers that were asked for. */
-	took = 0
+	lostAnswerShare = 0
+	/** Total time of all answers. */
+	answerMs = 0
 
 	constructor(
 		private readonly clock: Clock,
@@ -61,25 +67,25 @@
 	override ask(_: string, question: AdviceQuestion, done: (result: AdviceResult) => void): void {
 		const { step, workers } = question
 		const { base, each, valid, allows } = this.terms
-		const answer = base + each * workers.length
-		this.took += answer
-		this.clock.after(answer, () => {
-			if (this.random.chance(this.lostShare)) return
+		const answerMs = base + each * workers.length
+		this.answerMs += answerMs
+		this.clock.after(answerMs, () => {
+			if (this.random.chance(this.lostAnswerShare)) return
 			const until = this.clock.now() + valid
 			const good = workers.filter((worker) => allows(hashOf(step, worker)))
 			const tickets = new Map(good.map((worker) => [worker, `${step}|${worker}|${until}`]))
-			this.loop.arrived(() => done({ kind: 'answered', tickets }))
+			this.loop.onMessage(() => done({ kind: 'answered', tickets }))
 		})
 	}
 
-	/** @returns whether a ticket is one of this service for the step and worker, and still holds. */
-	holds(ticket: string, step: string, worker: string): boolean {
+	/** @returns whether a ticket was issued for the step and worker and has not expired. */
+	isValidTicket(ticket: string, step: string, worker: string): boolean {
 		const [forStep, forWorker, until] = ticket.split('|')
 		return forStep === step && forWorker === worker && this.clock.now() <= Number(until)
 	}
 }
 
-/** A worker's lives are treated alike. */
+/** @returns a hash that is the same for all incarnations of a worker. */
 function hashOf(step: string, worker: string): number {
 	let hash = 7
 	for (const char of step + workerNameOf(worker)) hash = (hash * 31 + char.charCodeAt(0)) % 100_003
--- a/packages/runs/src/lib/jobs/checkOutcome.ts
+++ b/packages/runs/src/lib/jobs/checkOutcome.ts
@@ -1,68 +1,72 @@
-/** What clients of a run read of their jobs in the end, against what the workers did. */
+/** Compares the final state of jobs, as clients read it, with what the workers did. */
 import { JobState, type JobRecord, type JobRequest } from '@rillrudder/jobs'
 import { invariant } from '@rillrudder/utils'
 import type { JobInvariants } from './JobInvariants'
 
-/** A job that a client of a run hands in. @internal */
-export interface Asked {
+/** A job that a client of a run submits. @internal */
+export interface SubmittedJob {
 	readonly id: string
 	readonly request: JobRequest
-	accepted: boolean
-	/** Calls that got no answer: each may have handed it in. */
-	unanswered: number
-	/** Whether it was refused for good, and no call before may have handed it in. */
-	refused: boolean
-	/** Whether a call was refused after one that may have handed it in. */
-	uncertain: boolean
-	cancelAsked: boolean
-	cancelled: boolean
+	isAccepted: boolean
+	/** Number of calls without an answer: each of them may have submitted the job. */
+	unansweredCalls: number
+	/** Whether the job was refused permanently, and no earlier call may have submitted it. */
+	isRefused: boolean
+	/** Whether a call was refused after one that may have submitted the job. */
+	isUncertain: boolean
+	isCancelRequested: boolean
+	isCancelled: boolean
 }
 
 /**
- * @param asked - a job that a client handed in, with what it was answered.
- * @param job - what is kept of it; undefined for nothing.
- * @param witness - what the workers did.
- * @param crashes - whether one of its tasks crashes the workers that start it.
- * @throws InvariantBroken when they do not go together.
+ * @param submitted - a job that a client submitted, with the answers it got.
+ * @param job - the record in the replicated state; undefined if there is none.
+ * @param invariants - the record of what the workers did.
+ * @param hasCrashingTask - whether one of its tasks crashes the workers that start it.
+ * @throws InvariantBroken when the record contradicts them.
  * @internal
  */
 export function checkOutcome(
-	{ id, request, accepted, refused, uncertain, cancelled }: Asked,
+	{ id, request, isAccepted, isRefused, isUncertain, isCancelled }: SubmittedJob,
 	job: JobRecord | undefined,
-	witness: JobInvariants,
-	crashes = false
+	invariants: JobInvariants,
+	hasCrashingTask = false
 ): void {
-	invariant(!refused || !job || accepted, 'a job that was refused is not kept', { id })
-	if ((refused || uncertain) && !accepted) return
-	invariant(accepted, 'every job is accepted in the end', { id })
+	invariant(!isRefused || !job || isAccepted, 'a job that was refused is not kept', { id })
+	if ((isRefused || isUncertain) && !isAccepted) return
+	invariant(isAccepted, 'every job is accepted in the end', { id })
 	invariant(job !== undefined, 'an accepted job is kept', { id })
-	if (cancelled) return
+	if (isCancelled) return
 	const tasks = tasksOf(id, request)
 	switch (job.state) {
 		case JobState.Completed:
 			for (const task of tasks) {
-				invariant(witness.isDone(task), 'a completed job has done all its tasks', { task })
+				invariant(invariants.isDone(task), 'a completed job has done all its tasks', { task })
 			}
 			return
 		case JobState.Failed: {
-			const cause = tasks.some((task) => witness.hasFailed(task))
-			invariant(cause || crashes || hasGang(request), 'a failed job has failed for a cause', { id })
+			const hasFailedTask = tasks.some((task) => invariants.hasFailed(task))
+			invariant(
+				hasFailedTask || hasCrashingTask || hasGang(request),
+				'a failed job has failed for a cause',
+				{ id }
+			)
 			return
 		}
 		case JobState.Running:
 		case JobState.Queued:
-			invariant(!crashes, 'a job with a task that crashes its workers ends', { id })
-			for (const task of tasks) checkLasting(request, task, witness)
+			invariant(!hasCrashingTask, 'a job with a task that crashes its workers ends', { id })
+			for (const task of tasks) checkLasting(request, task, invariants)
 			return
 		case JobState.Cancelled:
 			invariant(false, 'only cancelled jobs are shown so', { id })
 	}
 }
 
-function checkLasting(request: JobRequest, task: string, witness: JobInvariants): void {
+function checkLasting(request: JobRequest, task: string, invariants: JobInvariants): void {
 	const step = request.steps[Number(task.split('.')[2])]
 	invariant(step.lasting, 'an accepted job ends', { task })
-	invariant(witness.liveRuns(task) === 1, 'a lasting task is at work', { task })
+	invariant(invariants.liveRuns(task) === 1, 'a lasting task is at work', { task })
 }
 
 function tasksOf(id: string, { steps, repeat }: JobRequest): string[] {
