--- a/apps/entry/src/lib/EntryProcess.ts
+++ b/apps/entry/src/lib/EntryProcess.ts
@@ -69,7 +69,7 @@
 			clock: this.clock,
 			metrics: this.metrics,
 			healthy: () => !this.intake.isLeaving,
-			take: (request) => this.intake.take(request),
+			take: (request) => this.intake.handleRequest(request),
 		})
 	}
 
@@ -101,7 +101,7 @@
 		this.callers.beginClosing()
 		await this.pause(this.settings.stopDelay)
 		await this.callers.finish()
-		while (this.intake.open > 0) await this.pause(LOOK_EVERY)
+		while (this.intake.openCount > 0) await this.pause(LOOK_EVERY)
 		this.intake.leave()
 		await this.pause(LOOK_EVERY)
 		this.halt()
--- a/apps/entry/src/lib/callers/HttpRequest.ts
+++ b/apps/entry/src/lib/callers/HttpRequest.ts
@@ -2,7 +2,7 @@
 import { createHash, randomUUID } from 'node:crypto'
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import { Outcome, type Problem } from '@rillrudder/cell'
-import { CallerRequest, type AttemptTerms } from '@rillrudder/intake'
+import { CallerRequest, type AttemptOptions } from '@rillrudder/intake'
 import type { Answer } from '@rillrudder/protocol'
 import { endToEndHeaders, type PassedHeader } from '@rillrudder/web'
 import { statusOf, titleOf } from './problems'
@@ -85,13 +85,13 @@
 		return this.answered
 	}
 
-	override onGone(gone: () => void): void {
+	override onDisconnect(gone: () => void): void {
 		this.response.on('close', () => {
 			if (!this.answered) gone()
 		})
 	}
 
-	override headersFor(terms: AttemptTerms): PassedHeader[] {
+	override headersFor(terms: AttemptOptions): PassedHeader[] {
 		return [
 			...this.headers,
 			{ name: 'rillrudder-customer', value: this.customer },
--- a/apps/entry/src/lib/workers/WorkerCaller.ts
+++ b/apps/entry/src/lib/workers/WorkerCaller.ts
@@ -1,6 +1,12 @@
 /** Passes callers' requests on to workers, and tells how an attempt ended. */
 import { Agent, request as httpRequest, type ClientRequest, type IncomingMessage } from 'node:http'
-import { Attempt, End, WorkerCalls, type AttemptResult, type WorkerCall } from '@rillrudder/intake'
+import {
+	Attempt,
+	CallOutcome,
+	WorkerCalls,
+	type AttemptResult,
+	type WorkerCall,
+} from '@rillrudder/intake'
 import { endToEndHeaders } from '@rillrudder/web'
 
 const REFUSED_HEADER = 'rillrudder-refused'
@@ -77,7 +83,7 @@
 	}
 
 	private fail(): void {
-		this.finish({ end: this.written ? End.Lost : End.NotStarted, refusal: '' })
+		this.finish({ end: this.written ? CallOutcome.Lost : CallOutcome.NotStarted, refusal: '' })
 	}
 
 	private read(response: IncomingMessage): void {
@@ -91,7 +97,7 @@
 		response.on('close', () => this.fail())
 		response.on('end', () => {
 			if (!response.complete) this.fail()
-			else if (length > MOST_ANSWER_BYTES) this.finish({ end: End.TooLong, refusal: '' })
+			else if (length > MOST_ANSWER_BYTES) this.finish({ end: CallOutcome.TooLong, refusal: '' })
 			else this.finish(readAnswer(response, Buffer.concat(pieces)))
 		})
 	}
@@ -106,10 +112,10 @@
 
 function readAnswer(response: IncomingMessage, body: Buffer): AttemptResult {
 	const refusal = response.headers[REFUSED_HEADER]
-	if (refusal !== undefined) return { end: End.NotStarted, refusal: String(refusal) }
+	if (refusal !== undefined) return { end: CallOutcome.NotStarted, refusal: String(refusal) }
 	const headers = endToEndHeaders(response.headers, new Set(['content-length']))
 	const answer = { status: response.statusCode ?? 502, headers, body }
-	return { end: End.Answered, answer, refusal: '' }
+	return { end: CallOutcome.Answered, answer, refusal: '' }
 }
 
 function headerLists(call: WorkerCall): { [name: string]: string | string[] } {
--- a/packages/intake/src/index.ts
+++ b/packages/intake/src/index.ts
@@ -1,4 +1,10 @@
 /** What an entry instance decides: where requests go, when they start, what callers are told. */
-export { CallerRequest, type AttemptTerms } from './lib/CallerRequest'
+export { CallerRequest, type AttemptOptions } from './lib/CallerRequest'
 export { Intake, type IntakeParts } from './lib/Intake'
-export { Attempt, End, WorkerCalls, type AttemptResult, type WorkerCall } from './lib/WorkerCalls'
+export {
+	Attempt,
+	CallOutcome,
+	WorkerCalls,
+	type AttemptResult,
+	type WorkerCall,
+} from './lib/WorkerCalls'
--- a/packages/intake/src/lib/CallerRequest.ts
+++ b/packages/intake/src/lib/CallerRequest.ts
@@ -4,7 +4,7 @@
 import type { PassedHeader } from '@rillrudder/web'
 
 /** What a worker is told about an attempt. @public */
-export interface AttemptTerms {
+export interface AttemptOptions {
 	readonly attempt: number
 	readonly fence: number
 	/** Milliseconds that are left. */
@@ -37,10 +37,10 @@
 	abstract readonly isAnswered: boolean
 
 	/** Calls back if the caller goes away before the answer. */
-	abstract onGone(gone: () => void): void
+	abstract onDisconnect(gone: () => void): void
 
 	/** @returns the headers that a worker gets. */
-	abstract headersFor(terms: AttemptTerms): PassedHeader[]
+	abstract headersFor(terms: AttemptOptions): PassedHeader[]
 
 	/** Gives a worker's whole answer. */
 	abstract answer(answer: Answer): void
--- a/packages/intake/src/lib/HomeForwarder.ts
+++ b/packages/intake/src/lib/HomeForwarder.ts
@@ -16,7 +16,7 @@
 import type { Clock, Timer } from '@rillrudder/utils'
 import type { CallerRequest } from './CallerRequest'
 import type { Groups } from './Groups'
-import { End, type AttemptResult, type WorkerCalls } from './WorkerCalls'
+import { CallOutcome, type AttemptResult, type WorkerCalls } from './WorkerCalls'
 
 const SEND_AGAIN_EVERY = 500
 /** How long after the caller's time the leader's verdict is still waited for. */
@@ -97,7 +97,7 @@
 		}
 		const submission = known ?? this.begin(request)
 		submission.callers.push(request)
-		request.onGone(() => this.gone(submission, request))
+		request.onDisconnect(() => this.gone(submission, request))
 		if (known) return
 		if (!this.parts.groups.isReachable(submission.group)) {
 			this.giveUp(name, submission)
@@ -301,13 +301,13 @@
 
 function reportedEnd(result: AttemptResult): ReportedEnd {
 	switch (result.end) {
-		case End.Answered:
+		case CallOutcome.Answered:
 			return { end: AttemptEnd.ATTEMPT_END_ANSWERED, answer: result.answer }
-		case End.NotStarted:
+		case CallOutcome.NotStarted:
 			return { end: AttemptEnd.ATTEMPT_END_NOT_STARTED }
-		case End.Lost:
+		case CallOutcome.Lost:
 			return { end: AttemptEnd.ATTEMPT_END_LOST }
-		case End.TooLong:
+		case CallOutcome.TooLong:
 			return { end: AttemptEnd.ATTEMPT_END_ANSWERED, answer: tooLong() }
 	}
 }
--- a/packages/intake/src/lib/Intake.ts
+++ b/packages/intake/src/lib/Intake.ts
@@ -66,12 +66,12 @@
 	}
 
 	/** Requests in order that have no verdict yet. */
-	get open(): number {
+	get openCount(): number {
 		return this.home.open
 	}
 
 	/** Takes a caller's request. */
-	take(request: CallerRequest): void {
+	handleRequest(request: CallerRequest): void {
 		if (request.repeatable && this.mayOverlap(request.customer)) this.repeatable.take(request)
 		else this.home.take(request)
 	}
--- a/packages/intake/src/lib/RepeatableForwarder.ts
+++ b/packages/intake/src/lib/RepeatableForwarder.ts
@@ -8,7 +8,7 @@
 import { Metric, type Metrics } from '@rillrudder/telemetry'
 import type { Clock, Random, Timer } from '@rillrudder/utils'
 import type { CallerRequest } from './CallerRequest'
-import { End, type Attempt, type AttemptResult, type WorkerCalls } from './WorkerCalls'
+import { CallOutcome, type Attempt, type AttemptResult, type WorkerCalls } from './WorkerCalls'
 
 const TICK = 50
 const MOST_WAITING = 5000
@@ -104,7 +104,7 @@
 		}
 		const run: Run = { request, attempts: 0, started: false }
 		this.budget.onFirstAttempt()
-		request.onGone(() => this.leave(run))
+		request.onDisconnect(() => this.leave(run))
 		if (!this.tryStart(run)) this.enqueue(run)
 	}
 
@@ -183,14 +183,14 @@
 
 	private ended(run: Run, slot: AcquiredSlot, result: AttemptResult, span: number): void {
 		const { request } = run
-		const answer = result.end === End.Answered ? result.answer : undefined
+		const answer = result.end === CallOutcome.Answered ? result.answer : undefined
 		this.pool.release(slot.worker, answer ? span : undefined)
 		this.note(slot.worker, request.customer, result)
 		if (answer) {
 			this.serviceTime += (span - this.serviceTime) * SERVICE_TIME_WEIGHT
 			request.answer(answer)
 		} else {
-			run.started ||= result.end !== End.NotStarted
+			run.started ||= result.end !== CallOutcome.NotStarted
 			run.avoid = slot.worker
 			this.retry(run, result)
 		}
@@ -201,7 +201,7 @@
 		const { request } = run
 		if (request.isAnswered) return
 		const now = this.parts.clock.now()
-		const free = result.end === End.NotStarted
+		const free = result.end === CallOutcome.NotStarted
 		const may = now < request.deadline && run.attempts < MOST_ATTEMPTS
 		if (may && (free || this.budget.trySpend())) {
 			if (!this.tryStart(run)) this.enqueue(run)
@@ -214,7 +214,7 @@
 	private note(worker: string, customer: string, result: AttemptResult): void {
 		const sign = this.sign(worker)
 		if (result.refusal === 'leaving') this.leaving(worker)
-		else if (result.end === End.NotStarted) return
+		else if (result.end === CallOutcome.NotStarted) return
 		else if (result.answer && result.answer.status < 500) sign.succeeded += 1
 		else sign.failedFor.push(customer)
 	}
--- a/packages/intake/src/lib/WorkerCalls.ts
+++ b/packages/intake/src/lib/WorkerCalls.ts
@@ -16,7 +16,7 @@
 }
 
 /** How an attempt ended. @public */
-export const End = {
+export const CallOutcome = {
 	/** The whole answer is here. */
 	Answered: 'answered',
 	/** The worker refused it before it started, or was never reached. */
@@ -27,11 +27,11 @@
 	TooLong: 'too-long',
 } as const
 /** One of the ends. @public */
-export type End = (typeof End)[keyof typeof End]
+export type CallOutcome = (typeof CallOutcome)[keyof typeof CallOutcome]
 
 /** The end of an attempt. @public */
 export interface AttemptResult {
-	readonly end: End
+	readonly end: CallOutcome
 	readonly answer?: Answer
 	/** Why the worker refused it; empty when it did not. */
 	readonly refusal: string
--- a/packages/runs/src/lib/cell/RunEntry.ts
+++ b/packages/runs/src/lib/cell/RunEntry.ts
@@ -1,7 +1,7 @@
 /** An entry process of a run: the real intake, with callers and links that are simulated. */
 import { createHash } from 'node:crypto'
 import type { Outcome, Problem } from '@rillrudder/cell'
-import { CallerRequest, Intake, type AttemptTerms } from '@rillrudder/intake'
+import { CallerRequest, Intake, type AttemptOptions } from '@rillrudder/intake'
 import type { Answer, Event } from '@rillrudder/protocol'
 import type { Instance } from '@rillrudder/settings'
 import { Log, Metrics } from '@rillrudder/telemetry'
@@ -62,11 +62,11 @@
 		return this.answered
 	}
 
-	override onGone(): void {
+	override onDisconnect(): void {
 		// Callers of a run wait for their answer.
 	}
 
-	override headersFor(terms: AttemptTerms): PassedHeader[] {
+	override headersFor(terms: AttemptOptions): PassedHeader[] {
 		return [
 			{ name: 'rillrudder-customer', value: this.customer },
 			{ name: 'idempotency-key', value: this.key },
@@ -137,7 +137,7 @@
 
 	/** Whether every request has its answer. */
 	get idle(): boolean {
-		return this.inFlight === 0 && this.intake.open === 0
+		return this.inFlight === 0 && this.intake.openCount === 0
 	}
 
 	/** Takes a call. */
@@ -149,7 +149,7 @@
 				this.inFlight -= 1
 				told(reply)
 			})
-			this.intake.take(request)
+			this.intake.handleRequest(request)
 		})
 	}
 
--- a/packages/runs/src/lib/cell/RunWorkers.ts
+++ b/packages/runs/src/lib/cell/RunWorkers.ts
@@ -9,7 +9,13 @@
 	type WorkerExchange,
 } from '@rillrudder/cell'
 import { WorkerModel, type Execution, type WorkAnswer } from '@rillrudder/fakes'
-import { Attempt, End, WorkerCalls, type AttemptResult, type WorkerCall } from '@rillrudder/intake'
+import {
+	Attempt,
+	CallOutcome,
+	WorkerCalls,
+	type AttemptResult,
+	type WorkerCall,
+} from '@rillrudder/intake'
 import { Random, type ManualClock } from '@rillrudder/utils'
 import type { RunNetwork } from './RunNetwork'
 import type { RunProcess } from './RunProcess'
@@ -199,10 +205,10 @@
 		const attempt = new RunAttempt((result) => {
 			this.process.act(this.life, () => ended(result))
 		})
-		this.clock.after(call.timeout, () => attempt.finish({ end: End.Lost, refusal: '' }))
+		this.clock.after(call.timeout, () => attempt.finish({ end: CallOutcome.Lost, refusal: '' }))
 		const worker = this.workers.find(call.address)
 		if (!worker || worker.down) {
-			this.clock.after(1, () => attempt.finish({ end: End.NotStarted, refusal: '' }))
+			this.clock.after(1, () => attempt.finish({ end: CallOutcome.NotStarted, refusal: '' }))
 			return attempt
 		}
 		if (this.workers.isApart(this.process, worker)) return attempt
@@ -228,7 +234,7 @@
 	}
 
 	override abandon(): void {
-		this.finish({ end: End.Lost, refusal: '' })
+		this.finish({ end: CallOutcome.Lost, refusal: '' })
 	}
 
 	finish(result: AttemptResult): void {
@@ -239,7 +245,11 @@
 }
 
 function resultOf(answer: WorkAnswer): AttemptResult {
-	if (answer.refused) return { end: End.NotStarted, refusal: answer.refused }
+	if (answer.refused) return { end: CallOutcome.NotStarted, refusal: answer.refused }
 	const body = Buffer.from(answer.body)
-	return { end: End.Answered, answer: { status: answer.status, headers: [], body }, refusal: '' }
+	return {
+		end: CallOutcome.Answered,
+		answer: { status: answer.status, headers: [], body },
+		refusal: '',
+	}
 }
