--- a/packages/intake/src/index.ts
+++ b/packages/intake/src/index.ts
@@ -1,4 +1,4 @@
-/** What an entry instance decides: where requests go, when they start, what callers are told. */
+/** Decision logic of an entry instance: request routing, admission, and answers to callers. */
 export { CallerRequest, type AttemptOptions } from './lib/CallerRequest'
 export { Intake, type IntakeParts } from './lib/Intake'
 export {
--- a/packages/intake/src/lib/CallerRequest.ts
+++ b/packages/intake/src/lib/CallerRequest.ts
@@ -1,56 +1,57 @@
-/** A caller's request as the controllers see it. */
+/** The abstract form of a caller's request, independent of the transport. */
 import type { Outcome, Problem } from '@rillrudder/cell'
 import type { Answer } from '@rillrudder/protocol'
 import type { PassedHeader } from '@rillrudder/web'
 
-/** What a worker is told about an attempt. @public */
+/** Details of one attempt that are sent to the worker in headers. @public */
 export interface AttemptOptions {
 	readonly attempt: number
+	/** Fencing token; 0 for repeatable requests. */
 	readonly fence: number
-	/** Milliseconds that are left. */
+	/** Milliseconds left until the caller's deadline. */
 	readonly timeout: number
 }
 
 /**
- * A caller's request. It is answered once; whatever comes later goes nowhere.
+ * A caller's request. Only the first answer or refusal takes effect; later ones are ignored.
  *
  * @public
  */
 export abstract class CallerRequest {
 	abstract readonly customer: string
 	abstract readonly key: string
-	/** Whether the caller chose the key, and may send it again. */
+	/** Whether the caller supplied the key, and so may retry with the same key. */
 	abstract readonly callersKey: boolean
 	abstract readonly repeatable: boolean
-	/** Milliseconds that the caller gives it. */
+	/** Timeout set by the caller, in milliseconds. */
 	abstract readonly timeout: number
 	abstract readonly method: string
 	abstract readonly path: string
 	abstract readonly body: Buffer
-	/** Digest of method, path and body: the same key must come with the same. */
+	/** Digest of method, path and body. A key may only be reused with an identical digest. */
 	abstract readonly digest: string
-	/** Monotonic milliseconds. */
+	/** Arrival time in monotonic milliseconds. */
 	abstract readonly arrivedAt: number
-	/** Monotonic milliseconds at which the caller's time is over. */
+	/** Monotonic milliseconds at which the caller's timeout expires. */
 	abstract readonly deadline: number
-	/** Whether its answer has been given. */
+	/** Whether it has been answered or refused. */
 	abstract readonly isAnswered: boolean
 
-	/** Calls back if the caller goes away before the answer. */
-	abstract onDisconnect(gone: () => void): void
+	/** Registers a listener that is called if the caller disconnects before the answer. */
+	abstract onDisconnect(listener: () => void): void
 
-	/** @returns the headers that a worker gets. */
+	/** @returns the headers to send to the worker. */
 	abstract headersFor(terms: AttemptOptions): PassedHeader[]
 
-	/** Gives a worker's whole answer. */
+	/** Answers with a worker's complete response. */
 	abstract answer(answer: Answer): void
 
 	/**
-	 * Gives an answer of the system's own.
+	 * Answers with an error that the system itself generates.
 	 *
-	 * @param outcome - what is known of the request.
-	 * @param problem - why there is no answer of a worker.
-	 * @param retryAfter - milliseconds after which another try may help; absent where none does.
+	 * @param outcome - whether the request was run, as far as is known.
+	 * @param problem - why there is no response from a worker.
+	 * @param retryAfter - milliseconds after which a retry may succeed; absent if no retry can.
 	 */
 	abstract refuse(outcome: Outcome, problem: Problem, retryAfter?: number): void
 }
--- a/packages/intake/src/lib/Intake.ts
+++ b/packages/intake/src/lib/Intake.ts
@@ -1,4 +1,4 @@
-/** An entry instance without its sockets: takes requests and events, and brings the two together. */
+/** The logic of an entry instance without its sockets: dispatches requests and events. */
 import type { Event } from '@rillrudder/protocol'
 import {
 	dataCentresOf,
@@ -12,88 +12,89 @@
 import { Metric, type Log, type Metrics } from '@rillrudder/telemetry'
 import { invariant, type Clock, type Random } from '@rillrudder/utils'
 import type { CallerRequest } from './CallerRequest'
-import { Groups } from './Groups'
+import { GroupConnections } from './GroupConnections'
 import { HomeForwarder } from './HomeForwarder'
 import { RepeatableForwarder } from './RepeatableForwarder'
 import type { WorkerCalls } from './WorkerCalls'
 
-/** What an intake works with. @public */
+/** Dependencies of `Intake`. @public */
 export interface IntakeParts {
 	readonly self: Instance
 	readonly instances: readonly Instance[]
-	/** Names this life of the process. */
+	/** Incarnation of this process. */
 	readonly incarnation: string
 	readonly clock: Clock
 	readonly random: Random
 	readonly log: Log
 	readonly metrics: Metrics
 	readonly workers: WorkerCalls
-	/** Sends to a process. @returns false when it was dropped for certain. */
+	/** Sends an event to a process. @returns false if it was certainly dropped. */
 	readonly send: (to: string, event: Event) => boolean
 }
 
 /**
- * An entry instance without its sockets.
+ * The logic of an entry instance, independent of sockets.
  *
  * @public
  */
 export class Intake {
-	private readonly groups: Groups
-	private readonly home: HomeForwarder
-	private readonly repeatable: RepeatableForwarder
+	private readonly groups: GroupConnections
+	private readonly homeForwarder: HomeForwarder
+	private readonly repeatableForwarder: RepeatableForwarder
 	private readonly connected = new Set<string>()
 	private readonly dataCentres: readonly string[]
 	private configuration: Configuration = DEFAULT_CONFIGURATION
-	private shown = 0
+	private appliedRevision = 0
 	private leaving = false
 
-	/** @param parts - what it works with. */
+	/** @param parts - dependencies. */
 	constructor(private readonly parts: IntakeParts) {
 		this.dataCentres = dataCentresOf(parts.instances)
 		this.groups = this.makeGroups()
-		this.repeatable = this.makeRepeatable()
-		this.home = this.makeHome()
+		this.repeatableForwarder = this.makeRepeatableForwarder()
+		this.homeForwarder = this.makeHomeForwarder()
 	}
 
-	/** The configuration revision in force here. */
+	/** The configuration revision in force on this instance. */
 	get revision(): number {
-		return this.shown
+		return this.appliedRevision
 	}
 
-	/** Whether it is about to stop. */
+	/** Whether the instance is shutting down. */
 	get isLeaving(): boolean {
 		return this.leaving
 	}
 
-	/** Requests in order that have no verdict yet. */
+	/** Number of requests submitted to a home that have no verdict yet. */
 	get openCount(): number {
-		return this.home.open
+		return this.homeForwarder.openCount
 	}
 
-	/** Takes a caller's request. */
+	/** Handles a caller's request. */
 	handleRequest(request: CallerRequest): void {
-		if (request.repeatable && this.mayOverlap(request.customer)) this.repeatable.take(request)
-		else this.home.take(request)
+		if (request.repeatable && this.canOverlap(request.customer))
+			this.repeatableForwarder.handleRequest(request)
+		else this.homeForwarder.handleRequest(request)
 	}
 
-	/** Takes an event of another process. */
+	/** Handles an event from another process. */
 	receive(from: string, event: Event): void {
 		const body = event.body
 		switch (body?.$case) {
 			case 'loans': {
 				const { dataCentre, beat } = body.value
-				this.groups.heard(dataCentre, from, body.value)
+				this.groups.onLoans(dataCentre, from, body.value)
 				if (dataCentre !== this.parts.self.dataCentre) return
-				return this.repeatable.loans(body.value, this.groups.loanEnd(beat))
+				return this.repeatableForwarder.onLoans(body.value, this.groups.loanEndOf(beat))
 			}
 			case 'go':
-				return this.home.go(from, body.value)
+				return this.homeForwarder.onGo(from, body.value)
 			case 'verdict':
-				return this.home.verdict(body.value)
+				return this.homeForwarder.onVerdict(body.value)
 			case 'redirect': {
 				const { group, leader, key } = body.value
-				this.groups.redirected(group, from, leader)
-				return key === '' ? undefined : this.home.redirected(body.value)
+				this.groups.onRedirect(group, from, leader)
+				return key === '' ? undefined : this.homeForwarder.onRedirect(body.value)
 			}
 			case 'configurationOffer': {
 				const { revision, document } = body.value
@@ -104,69 +105,69 @@
 		}
 	}
 
-	/** A peer has come or gone. */
+	/** Handles a peer's connection or disconnection. */
 	peerChanged(peer: string, connected: boolean): void {
 		if (connected) {
 			this.connected.add(peer)
-			this.tellRevision(peer)
+			this.sendRevision(peer)
 		} else {
 			this.connected.delete(peer)
 		}
 	}
 
-	/** Takes no slots for later any more, and says so. */
+	/** Marks the instance as leaving and reports this to the leader immediately. */
 	leave(): void {
 		this.leaving = true
-		this.groups.beat(this.parts.self.dataCentre)
+		this.groups.sendBeat(this.parts.self.dataCentre)
 	}
 
 	/** Stops all timers. */
 	stop(): void {
 		this.groups.stop()
-		this.home.stop()
-		this.repeatable.stop()
+		this.homeForwarder.stop()
+		this.repeatableForwarder.stop()
 	}
 
-	/** Whether a customer's repeatable requests need not stand in its order. */
-	private mayOverlap(name: string): boolean {
+	/** Whether a customer's repeatable requests may bypass its request order. */
+	private canOverlap(name: string): boolean {
 		const customer = this.configuration.customers.find((one) => one.name === name)
 		if (!customer) return true
 		const here = customer.home === this.parts.self.dataCentre
 		return customer.readsOverlap && (here || customer.repeatableElsewhere)
 	}
 
-	private makeGroups(): Groups {
+	private makeGroups(): GroupConnections {
 		const { clock, self, incarnation, instances, send } = this.parts
-		return new Groups({
+		return new GroupConnections({
 			clock,
 			dataCentre: self.dataCentre,
 			incarnation,
 			layouts: groupsOf(instances),
 			send,
-			leaving: () => this.leaving,
+			isLeaving: () => this.leaving,
 			content: () => ({
-				wanted: this.repeatable?.wanted ?? 0,
-				uses: this.repeatable?.held ?? [],
-				signs: this.repeatable?.takeSigns() ?? [],
-				grant: this.repeatable?.grant ?? 0,
+				wanted: this.repeatableForwarder?.waitingCount ?? 0,
+				uses: this.repeatableForwarder?.heldSlots ?? [],
+				signs: this.repeatableForwarder?.takeSigns() ?? [],
+				grant: this.repeatableForwarder?.grant ?? 0,
 			}),
 		})
 	}
 
-	private makeRepeatable(): RepeatableForwarder {
+	private makeRepeatableForwarder(): RepeatableForwarder {
 		const { clock, random, metrics, workers, self } = this.parts
 		return new RepeatableForwarder({
 			clock,
 			random,
 			metrics,
 			workers,
-			beat: () => this.groups.beat(self.dataCentre),
-			reachable: () => this.groups.isReachable(self.dataCentre),
+			sendBeat: () => this.groups.sendBeat(self.dataCentre),
+			isReachable: () => this.groups.isReachable(self.dataCentre),
 			retryShare: () => this.configuration.limits.retryShare,
 		})
 	}
 
-	private makeHome(): HomeForwarder {
+	private makeHomeForwarder(): HomeForwarder {
 		const { clock, metrics, workers, send, incarnation } = this.parts
 		return new HomeForwarder({
 			incarnation,
@@ -175,27 +176,27 @@
 			metrics,
 			groups: this.groups,
 			workers,
-			home: (customer) => homeOf(this.configuration, this.dataCentres, customer),
-			leaving: (worker) => this.repeatable.leaving(worker),
+			homeOf: (customer) => homeOf(this.configuration, this.dataCentres, customer),
+			onWorkerLeaving: (worker) => this.repeatableForwarder.onWorkerLeaving(worker),
 		})
 	}
 
 	private install(revision: number, document: string): void {
-		if (revision > this.shown) this.show(revision, document)
-		for (const peer of this.connected) this.tellRevision(peer)
+		if (revision > this.appliedRevision) this.applyConfiguration(revision, document)
+		for (const peer of this.connected) this.sendRevision(peer)
 	}
 
-	private show(revision: number, document: string): void {
+	private applyConfiguration(revision: number, document: string): void {
 		const read = parseConfiguration('configuration', document)
-		invariant(read.ok, 'only a good configuration is accepted', { revision })
-		this.shown = revision
+		invariant(read.ok, 'an accepted configuration must be valid', { revision })
+		this.appliedRevision = revision
 		this.configuration = read.value
 		this.parts.metrics.gauge(Metric.ConfigurationRevision, revision)
 		this.parts.log.info('configuration-in-force', { revision })
 	}
 
-	private tellRevision(peer: string): void {
-		const value = { revision: this.shown }
+	private sendRevision(peer: string): void {
+		const value = { revision: this.appliedRevision }
 		this.parts.send(peer, { body: { $case: 'configurationAck', value } })
 	}
 }
--- a/packages/intake/src/lib/WorkerCalls.ts
+++ b/packages/intake/src/lib/WorkerCalls.ts
@@ -1,8 +1,8 @@
-/** What the controllers ask of whoever calls workers. */
+/** The interface through which the forwarders send requests to workers. */
 import type { Answer } from '@rillrudder/protocol'
 import type { PassedHeader } from '@rillrudder/web'
 
-/** A request for a worker. @public */
+/** A request to send to a worker. @public */
 export interface WorkerCall {
 	/** Host and port. */
 	readonly address: string
@@ -11,45 +11,45 @@
 	readonly path: string
 	readonly headers: readonly PassedHeader[]
 	readonly body: Buffer
-	/** Milliseconds until the attempt is given up. */
+	/** Milliseconds after which the attempt is abandoned. */
 	readonly timeout: number
 }
 
-/** How an attempt ended. @public */
+/** How a call to a worker ended. @public */
 export const CallOutcome = {
-	/** The whole answer is here. */
+	/** The complete response was received. */
 	Answered: 'answered',
-	/** The worker refused it before it started, or was never reached. */
+	/** The worker refused the request before starting it, or was never reached. */
 	NotStarted: 'not-started',
-	/** It was written, and no whole answer came. */
+	/** The request may have reached the worker, but no complete response was received. */
 	Lost: 'lost',
-	/** The worker ran it, and its answer is longer than can be kept. */
+	/** The worker ran the request, but its response exceeds the size limit. */
 	TooLong: 'too-long',
 } as const
-/** One of the ends. @public */
+/** One of the values of `CallOutcome`. @public */
 export type CallOutcome = (typeof CallOutcome)[keyof typeof CallOutcome]
 
-/** The end of an attempt. @public */
+/** The result of an attempt. @public */
 export interface AttemptResult {
 	readonly end: CallOutcome
 	readonly answer?: Answer
-	/** Why the worker refused it; empty when it did not. */
+	/** The reason for which the worker refused it; empty if it did not refuse. */
 	readonly refusal: string
 }
 
-/** An attempt under way. @public */
+/** An attempt in flight. @public */
 export abstract class Attempt {
-	/** Gives it up; it ends as it stands. */
+	/** Abandons the attempt; its result reflects how far it had got. */
 	abstract abandon(): void
 }
 
-/** Calls workers. @public */
+/** Sends requests to workers. @public */
 export abstract class WorkerCalls {
 	/**
 	 * Starts an attempt.
 	 *
-	 * @param call - the request.
-	 * @param ended - told once how it ended.
+	 * @param call - the request to send.
+	 * @param onEnd - called exactly once, with the result.
 	 */
-	abstract call(call: WorkerCall, ended: (result: AttemptResult) => void): Attempt
+	abstract call(call: WorkerCall, onEnd: (result: AttemptResult) => void): Attempt
 }
--- a/packages/runs/src/lib/cell/promises.test.ts
+++ b/packages/runs/src/lib/cell/promises.test.ts
@@ -122,7 +122,7 @@
 	const failure = withBroken([
 		[
 			INTAKE_HOME(),
-			'verdict',
+			'onVerdict',
 			(original) =>
 				function (this: unknown, verdict: unknown) {
 					const { submissions } = this as { submissions: Map<string, { first: object }> }
