--- a/apps/entry/src/index.ts
+++ b/apps/entry/src/index.ts
@@ -1,4 +1,4 @@
-/** `rr-entry`: callers and endpoints. */
+/** `rr-entry`: the process that accepts callers' requests and forwards them to workers. */
 export { EntryProcess, type EntryOverrides } from './lib/EntryProcess'
 export {
 	checkEntrySettings,
--- a/apps/entry/src/lib/EntryProcess.ts
+++ b/apps/entry/src/lib/EntryProcess.ts
@@ -1,4 +1,4 @@
-/** `rr-entry`: takes callers' requests and brings them to workers. */
+/** The `rr-entry` process: accepts callers' requests and forwards them to workers. */
 import { randomInt, randomUUID } from 'node:crypto'
 import { Intake } from '@rillrudder/intake'
 import { linkSecurity, LinkHub, type Event } from '@rillrudder/protocol'
@@ -8,28 +8,28 @@
 import { Mailbox, Random, SystemClock, type Clock } from '@rillrudder/utils'
 import { CallerServer } from './callers/CallerServer'
 import type { EntrySettings } from './EntrySettings'
-import { WorkerCaller } from './workers/WorkerCaller'
+import { HttpWorkerCalls } from './workers/HttpWorkerCalls'
 
-const MOST_SEED = 0x7fffffff
+const MAX_SEED = 0x7fffffff
 const ENTRY_SUFFIX = '/entry'
-const LOOK_EVERY = 20
-/** Of a worker's connections, those that are not for callers' requests. */
-const OTHER_CONNECTIONS = 4
+const POLL_INTERVAL_MS = 20
+/** Connections of a worker that are reserved for uses other than callers' requests. */
+const RESERVED_CONNECTIONS = 4
 
-/** What a process may be given instead of the machine's own. @public */
+/** Replacements for the system clock and the default log. @public */
 export interface EntryOverrides {
 	readonly clock?: Clock
 	readonly log?: Log
 }
 
-/** An event and the process that it is from. */
+/** An event and the process that sent it. */
 interface Received {
 	readonly from: string
 	readonly event: Event
 }
 
 /**
- * One `rr-entry`.
+ * An `rr-entry` process.
  *
  * @public
  */
@@ -39,7 +39,7 @@
 	private readonly clock: Clock
 	private readonly log: Log
 	private readonly hub: LinkHub
-	private readonly workers: WorkerCaller
+	private readonly workers: HttpWorkerCalls
 	private readonly intake: Intake
 	private readonly mailbox = new Mailbox<Received>()
 	private readonly callers: CallerServer
@@ -47,7 +47,7 @@
 
 	/**
 	 * @param settings - checked settings.
-	 * @param overrides - for tests and for several processes in one.
+	 * @param overrides - for tests, and for running several instances in one process.
 	 */
 	constructor(
 		private readonly settings: EntrySettings,
@@ -61,24 +61,24 @@
 		this.metrics = new Metrics(this.id, settings.metrics)
 		this.hub = this.makeHub()
 		const { connections } = DEFAULT_CONFIGURATION.slots
-		const share = Math.floor((connections - OTHER_CONNECTIONS) / instances.length)
-		this.workers = new WorkerCaller(Math.max(1, share))
+		const share = Math.floor((connections - RESERVED_CONNECTIONS) / instances.length)
+		this.workers = new HttpWorkerCalls(Math.max(1, share))
 		this.intake = this.makeIntake()
 		this.callers = new CallerServer({
 			listen: settings.callers,
 			clock: this.clock,
 			metrics: this.metrics,
-			healthy: () => !this.intake.isLeaving,
-			take: (request) => this.intake.handleRequest(request),
+			isHealthy: () => !this.intake.isLeaving,
+			handleRequest: (request) => this.intake.handleRequest(request),
 		})
 	}
 
-	/** Where callers call, once started. */
+	/** Address of the callers' HTTP server, once started. */
 	get callerAddress(): string {
 		return `${this.settings.callers.host}:${this.port}`
 	}
 
-	/** The configuration revision in force here. */
+	/** The configuration revision in force on this instance. */
 	get revision(): number {
 		return this.intake.revision
 	}
@@ -86,29 +86,32 @@
 	override async start(): Promise<void> {
 		this.mailbox.serve(
 			'intake',
-			(batch) => this.takeIn(batch),
-			(fault) => this.endAtOnce(fault)
+			(batch) => this.handleBatch(batch),
+			(fault) => this.exitOnFault(fault)
 		)
 		for (const { id, address } of this.settings.instances) this.hub.dial(id, address)
 		this.port = await this.callers.start()
 		this.log.info('started', { callers: this.callerAddress })
 	}
 
-	/** Goes on taking requests while the balancer learns of it, then finishes what is in flight. */
+	/**
+	 * Keeps accepting requests for the stop delay, while load balancers notice the failing health check,
+	 * then completes the requests in flight.
+	 */
 	override async stop(): Promise<void> {
 		this.intake.leave()
 		this.log.info('stopping')
-		this.callers.beginClosing()
+		this.callers.startClosing()
 		await this.pause(this.settings.stopDelay)
-		await this.callers.finish()
-		while (this.intake.openCount > 0) await this.pause(LOOK_EVERY)
+		await this.callers.drain()
+		while (this.intake.openCount > 0) await this.pause(POLL_INTERVAL_MS)
 		this.intake.leave()
-		await this.pause(LOOK_EVERY)
+		await this.pause(POLL_INTERVAL_MS)
 		this.halt()
 		this.log.info('stopped')
 	}
 
-	/** Ends as a killed process does, for tests. */
+	/** Stops abruptly, like a killed process. For tests. */
 	halt(): void {
 		this.callers.halt()
 		this.intake.stop()
@@ -117,7 +120,7 @@
 		this.metrics.close()
 	}
 
-	private takeIn(batch: Received[]): void {
+	private handleBatch(batch: Received[]): void {
 		for (const { from, event } of batch) this.intake.receive(from, event)
 	}
 
@@ -141,7 +144,7 @@
 			instances,
 			incarnation: randomUUID(),
 			clock,
-			random: new Random(randomInt(MOST_SEED)),
+			random: new Random(randomInt(MAX_SEED)),
 			log,
 			metrics,
 			workers,
@@ -164,7 +167,7 @@
 		return new Promise((resolve) => this.clock.after(span, () => resolve()))
 	}
 
-	private endAtOnce(fault: Error): void {
+	private exitOnFault(fault: Error): void {
 		this.log.error('can-not-go-on', { fault: fault.message })
 		process.exit(1)
 	}
--- a/apps/entry/src/lib/EntrySettings.ts
+++ b/apps/entry/src/lib/EntrySettings.ts
@@ -3,21 +3,21 @@
 import { SettingsReader, type Endpoint, type Instance } from '@rillrudder/settings'
 import type { Finding, Result } from '@rillrudder/utils'
 
-/** Settings, checked. @public */
+/** Validated settings. @public */
 export interface EntrySettings {
 	/** The instance that this process runs on. */
 	readonly self: Instance
 	readonly instances: readonly Instance[]
-	/** Where callers call. */
+	/** Listen address for callers. */
 	readonly callers: Endpoint
 	readonly metrics?: Endpoint
 	readonly logLevel: string
 	readonly tls?: TlsFiles
-	/** How long to go on taking requests after a planned stop began, in milliseconds. */
+	/** How long to keep accepting requests after a planned stop has started, in milliseconds. */
 	readonly stopDelay: number
 }
 
-/** Settings as flags and variables give them. @public */
+/** Unvalidated settings from flags and environment variables. @public */
 export interface WrittenEntrySettings {
 	readonly id?: string
 	readonly peers: readonly string[]
@@ -33,8 +33,8 @@
 const DEFAULT_STOP_DELAY = '1000'
 
 /**
- * @param written - settings as they were given.
- * @returns checked settings, or everything that is wrong with them.
+ * @param written - unvalidated settings.
+ * @returns validated settings, or all findings.
  * @public
  */
 export function checkEntrySettings(
--- a/apps/entry/src/lib/callers/CallerServer.ts
+++ b/apps/entry/src/lib/callers/CallerServer.ts
@@ -1,4 +1,4 @@
-/** The callers' HTTP server: reads requests whole, within bounds, and hands them on. */
+/** The callers' HTTP server: reads complete requests within size limits and passes them on. */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http'
 import type { AddressInfo } from 'node:net'
 import { Outcome } from '@rillrudder/cell'
@@ -7,24 +7,24 @@
 import type { Clock } from '@rillrudder/utils'
 import { BodyFault, readBody } from '@rillrudder/web'
 import { HttpRequest } from './HttpRequest'
-import { readTerms } from './readTerms'
+import { parseRequestOptions } from './parseRequestOptions'
 
-const MOST_BODY_BYTES = 1024 * 1024
-const MOST_HEADER_BYTES = 16 * 1024
+const MAX_BODY_BYTES = 1024 * 1024
+const MAX_HEADER_BYTES = 16 * 1024
 const HEALTH_PATH = '/rillrudder/health'
-const HEADERS_TIMEOUT = 10_000
-const REQUEST_TIMEOUT = 30_000
-const KEEP_ALIVE = 75_000
-const LOOK_EVERY = 20
+const HEADERS_TIMEOUT_MS = 10_000
+const REQUEST_TIMEOUT_MS = 30_000
+const KEEP_ALIVE_MS = 75_000
+const POLL_INTERVAL_MS = 20
 
-/** What a server works with. @internal */
+/** Dependencies of `CallerServer`. @internal */
 export interface CallerServerParts {
 	readonly listen: Endpoint
 	readonly clock: Clock
 	readonly metrics: Metrics
-	/** Whether the balancer should send requests here. */
-	readonly healthy: () => boolean
-	readonly take: (request: HttpRequest) => void
+	/** Whether load balancers should send requests to this instance. */
+	readonly isHealthy: () => boolean
+	readonly handleRequest: (request: HttpRequest) => void
 }
 
 /**
@@ -35,18 +35,18 @@
 export class CallerServer {
 	private readonly server: Server
 	private inFlight = 0
-	private closing = false
+	private isClosing = false
 
 	constructor(private readonly parts: CallerServerParts) {
-		this.server = createServer({ maxHeaderSize: MOST_HEADER_BYTES }, (request, response) => {
+		this.server = createServer({ maxHeaderSize: MAX_HEADER_BYTES }, (request, response) => {
 			void this.handle(request, response)
 		})
-		this.server.headersTimeout = HEADERS_TIMEOUT
-		this.server.requestTimeout = REQUEST_TIMEOUT
-		this.server.keepAliveTimeout = KEEP_ALIVE
+		this.server.headersTimeout = HEADERS_TIMEOUT_MS
+		this.server.requestTimeout = REQUEST_TIMEOUT_MS
+		this.server.keepAliveTimeout = KEEP_ALIVE_MS
 	}
 
-	/** @returns the port. */
+	/** Starts listening. @returns the port. */
 	async start(): Promise<number> {
 		const { host, port } = this.parts.listen
 		await new Promise<void>((resolve, reject) => {
@@ -56,22 +56,24 @@
 		return (this.server.address() as AddressInfo).port
 	}
 
-	/** Tells keep-alive callers to go elsewhere with their next request. */
-	beginClosing(): void {
-		this.closing = true
+	/** Makes responses close their connection, so that keep-alive callers reconnect elsewhere. */
+	startClosing(): void {
+		this.isClosing = true
 	}
 
-	/** Takes no new connection; resolves once every request has its answer. */
-	async finish(): Promise<void> {
+	/** Stops accepting connections; resolves once every request in flight is answered. */
+	async drain(): Promise<void> {
 		this.server.close()
 		this.server.closeIdleConnections()
 		while (this.inFlight > 0) {
-			await new Promise<void>((resolve) => this.parts.clock.after(LOOK_EVERY, () => resolve()))
+			await new Promise<void>((resolve) =>
+				this.parts.clock.after(POLL_INTERVAL_MS, () => resolve())
+			)
 		}
 		this.server.closeAllConnections()
 	}
 
-	/** Cuts everything, as a killed process does. */
+	/** Closes all connections abruptly, like a killed process. */
 	halt(): void {
 		this.server.close()
 		this.server.closeAllConnections()
@@ -81,25 +83,27 @@
 		if (request.url === HEALTH_PATH) return this.answerHealth(response)
 		this.inFlight += 1
 		response.once('close', () => (this.inFlight -= 1))
-		if (this.closing) response.setHeader('connection', 'close')
-		const body = await readBody(request, MOST_BODY_BYTES)
+		if (this.isClosing) response.setHeader('connection', 'close')
+		const body = await readBody(request, MAX_BODY_BYTES)
 		if (!body.ok) return this.refuseBody(body.error, response)
-		const terms = readTerms(request.method ?? 'GET', request.headers)
-		if (!terms.ok) return refuseInput(response, 400, 'malformed', terms.error)
+		const options = parseRequestOptions(request.method ?? 'GET', request.headers)
+		if (!options.ok) return sendInputError(response, 400, 'malformed', options.error)
 		const { metrics, clock } = this.parts
 		metrics.count(Metric.RequestsIn)
-		const arrived = clock.now()
-		const done = (outcome: Outcome): void => {
+		const arrivedAt = clock.now()
+		const onAnswered = (outcome: Outcome): void => {
 			metrics.count(Metric.RequestsOut, 1, outcome)
-			metrics.timing(Metric.RequestTime, clock.now() - arrived)
+			metrics.timing(Metric.RequestTime, clock.now() - arrivedAt)
 		}
-		this.parts.take(new HttpRequest(request, response, terms.value, body.value, arrived, done))
+		this.parts.handleRequest(
+			new HttpRequest(request, response, options.value, body.value, arrivedAt, onAnswered)
+		)
 	}
 
 	private answerHealth(response: ServerResponse): void {
-		const healthy = this.parts.healthy()
-		response.writeHead(healthy ? 200 : 503, { 'content-type': 'text/plain' })
-		response.end(healthy ? 'ok\n' : 'stopping\n')
+		const isHealthy = this.parts.isHealthy()
+		response.writeHead(isHealthy ? 200 : 503, { 'content-type': 'text/plain' })
+		response.end(isHealthy ? 'ok\n' : 'stopping\n')
 	}
 
 	private refuseBody(fault: BodyFault, response: ServerResponse): void {
@@ -108,12 +112,17 @@
 			return
 		}
 		response.setHeader('connection', 'close')
-		refuseInput(response, 413, 'body-too-long', `the body is longer than ${MOST_BODY_BYTES} bytes`)
+		sendInputError(
+			response,
+			413,
+			'body-too-long',
+			`the body is longer than ${MAX_BODY_BYTES} bytes`
+		)
 	}
 }
 
-/** A request that could not even be read: certainly not run. */
-function refuseInput(response: ServerResponse, status: number, type: string, detail: string) {
+/** Answers a request that could not be read, and therefore was certainly not run. */
+function sendInputError(response: ServerResponse, status: number, type: string, detail: string) {
 	const outcome = Outcome.NotRun
 	const title = detail
 	const body = JSON.stringify({ type: `urn:rillrudder:problem:${type}`, title, status, outcome })
--- a/apps/entry/src/lib/callers/HttpRequest.ts
+++ b/apps/entry/src/lib/callers/HttpRequest.ts
@@ -1,4 +1,4 @@
-/** A caller's request as it came by HTTP, and the one place where its answer is given. */
+/** A caller's HTTP request, and the only place where it is answered. */
 import { createHash, randomUUID } from 'node:crypto'
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import { Outcome, type Problem } from '@rillrudder/cell'
@@ -9,8 +9,8 @@
 
 const PROBLEM_TYPE = 'urn:rillrudder:problem:'
 
-/** Headers of the system itself, which are not passed on as they came. */
-const OWN_HEADERS = new Set([
+/** Request headers that the system handles itself and does not pass on unchanged. */
+const SYSTEM_HEADERS = new Set([
 	'host',
 	'content-length',
 	'expect',
@@ -22,105 +22,105 @@
 	'rillrudder-attempt',
 ])
 
-/** What the headers say. @internal */
-export interface RequestTerms {
+/** Options that a caller sets in request headers. @internal */
+export interface RequestOptions {
 	readonly customer: string
-	/** The caller's own key; absent when the system is to make one. */
+	/** The key chosen by the caller; absent if the system should generate one. */
 	readonly key?: string
 	readonly repeatable: boolean
-	/** Milliseconds that the caller gives it. */
+	/** Timeout set by the caller, in milliseconds. */
 	readonly timeout: number
 }
 
 /**
- * A caller's request.
+ * A caller's request that arrived by HTTP.
  *
  * @internal
  */
 export class HttpRequest extends CallerRequest {
 	readonly customer: string
 	readonly key: string
-	/** Whether the caller chose the key, and may send it again. */
+	/** Whether the caller supplied the key, and so may retry with the same key. */
 	readonly callersKey: boolean
 	readonly repeatable: boolean
 	readonly timeout: number
 	readonly method: string
 	readonly path: string
-	/** Digest of method, path and body: the same key must come with the same. */
+	/** Digest of method, path and body. A key may only be reused with an identical digest. */
 	readonly digest: string
 	readonly deadline: number
 	private answered = false
 	private readonly headers: readonly PassedHeader[]
 
 	/**
-	 * @param request - as it came.
-	 * @param response - where the answer goes.
-	 * @param terms - what its headers say.
-	 * @param body - its whole body.
-	 * @param arrivedAt - monotonic milliseconds.
-	 * @param done - told once when it has been answered.
+	 * @param request - the HTTP request.
+	 * @param response - the HTTP response to write the answer to.
+	 * @param options - options parsed from its headers.
+	 * @param body - its complete body.
+	 * @param arrivedAt - arrival time in monotonic milliseconds.
+	 * @param onAnswered - called once, when the request is answered or refused.
 	 */
 	constructor(
 		request: IncomingMessage,
 		private readonly response: ServerResponse,
-		terms: RequestTerms,
+		options: RequestOptions,
 		readonly body: Buffer,
 		readonly arrivedAt: number,
-		private readonly done: (outcome: Outcome) => void
+		private readonly onAnswered: (outcome: Outcome) => void
 	) {
 		super()
-		this.customer = terms.customer
-		this.callersKey = terms.key !== undefined
-		this.key = terms.key ?? randomUUID()
-		this.repeatable = terms.repeatable
-		this.timeout = terms.timeout
-		this.deadline = arrivedAt + terms.timeout
+		this.customer = options.customer
+		this.callersKey = options.key !== undefined
+		this.key = options.key ?? randomUUID()
+		this.repeatable = options.repeatable
+		this.timeout = options.timeout
+		this.deadline = arrivedAt + options.timeout
 		this.method = request.method ?? 'GET'
 		this.path = request.url ?? '/'
-		this.headers = endToEndHeaders(request.headers, OWN_HEADERS)
-		this.digest = terms.repeatable ? '' : digestOf(this.method, this.path, body)
+		this.headers = endToEndHeaders(request.headers, SYSTEM_HEADERS)
+		this.digest = options.repeatable ? '' : digestOf(this.method, this.path, body)
 	}
 
 	override get isAnswered(): boolean {
 		return this.answered
 	}
 
-	override onDisconnect(gone: () => void): void {
+	override onDisconnect(listener: () => void): void {
 		this.response.on('close', () => {
-			if (!this.answered) gone()
+			if (!this.answered) listener()
 		})
 	}
 
-	override headersFor(terms: AttemptOptions): PassedHeader[] {
+	override headersFor(options: AttemptOptions): PassedHeader[] {
 		return [
 			...this.headers,
 			{ name: 'rillrudder-customer', value: this.customer },
 			{ name: 'idempotency-key', value: this.key },
 			{ name: 'rillrudder-repeatable', value: String(this.repeatable) },
-			{ name: 'rillrudder-attempt', value: String(terms.attempt) },
-			{ name: 'rillrudder-fence', value: String(terms.fence) },
-			{ name: 'rillrudder-timeout', value: String(Math.max(1, Math.floor(terms.timeout))) },
+			{ name: 'rillrudder-attempt', value: String(options.attempt) },
+			{ name: 'rillrudder-fence', value: String(options.fence) },
+			{ name: 'rillrudder-timeout', value: String(Math.max(1, Math.floor(options.timeout))) },
 		]
 	}
 
 	override answer(answer: Answer): void {
-		if (!this.take(Outcome.Ran)) return
+		if (!this.markAnswered(Outcome.Ran)) return
 		const headers: { [name: string]: string | string[] } = {}
 		for (const { name, value } of answer.headers) {
-			const known = headers[name]
-			headers[name] = known === undefined ? value : [known, value].flat()
+			const existing = headers[name]
+			headers[name] = existing === undefined ? value : [existing, value].flat()
 		}
 		this.response.writeHead(answer.status, {
 			...headers,
-			...this.ownHeaders(Outcome.Ran),
+			...this.systemHeaders(Outcome.Ran),
 			'content-length': answer.body.length,
 		})
 		this.response.end(answer.body)
 	}
 
-	/** As RFC 9457 has it. */
+	/** Sends a problem document according to RFC 9457. */
 	override refuse(outcome: Outcome, problem: Problem, retryAfter?: number): void {
-		if (!this.take(outcome)) return
+		if (!this.markAnswered(outcome)) return
 		const status = statusOf(problem, outcome)
 		const seconds = retryAfter === undefined ? undefined : Math.max(1, Math.ceil(retryAfter / 1000))
 		const body = Buffer.from(
@@ -135,21 +135,22 @@
 		)
 		this.response.writeHead(status, {
 			'content-type': 'application/problem+json',
-			...this.ownHeaders(outcome),
+			...this.systemHeaders(outcome),
 			...(seconds === undefined ? {} : { 'retry-after': String(seconds) }),
 			'content-length': body.length,
 		})
 		this.response.end(body)
 	}
 
-	private ownHeaders(outcome: Outcome): { [name: string]: string } {
+	private systemHeaders(outcome: Outcome): { [name: string]: string } {
 		return { 'rillrudder-outcome': outcome, 'idempotency-key': this.key }
 	}
 
-	private take(outcome: Outcome): boolean {
+	/** Marks the request as answered. @returns whether the response can still be written. */
+	private markAnswered(outcome: Outcome): boolean {
 		if (this.answered) return false
 		this.answered = true
-		this.done(outcome)
+		this.onAnswered(outcome)
 		return !this.response.destroyed
 	}
 }
--- a/apps/entry/src/lib/workers/WorkerCaller.ts
+++ b/apps/entry/src/lib/workers/HttpWorkerCalls.ts
@@ -1,4 +1,4 @@
-/** Passes callers' requests on to workers, and tells how an attempt ended. */
+/** Forwards callers' requests to workers over HTTP, and reports the result of each attempt. */
 import { Agent, request as httpRequest, type ClientRequest, type IncomingMessage } from 'node:http'
 import {
 	Attempt,
@@ -10,32 +10,32 @@
 import { endToEndHeaders } from '@rillrudder/web'
 
 const REFUSED_HEADER = 'rillrudder-refused'
-const IDLE_SOCKETS = 8
+const MAX_IDLE_SOCKETS = 8
 
-/** Bytes that a worker's answer may have. @public */
-export const MOST_ANSWER_BYTES = 4 * 1024 * 1024
+/** Maximum size of a worker's response body in bytes. @public */
+export const MAX_ANSWER_BYTES = 4 * 1024 * 1024
 
 /**
- * The client of all workers.
+ * HTTP client for all workers.
  *
  * @internal
  */
-export class WorkerCaller extends WorkerCalls {
+export class HttpWorkerCalls extends WorkerCalls {
 	private readonly agent: Agent
 
-	/** @param connections - connections to one worker at most. */
+	/** @param connections - maximum number of connections to one worker. */
 	constructor(connections: number) {
 		super()
 		this.agent = new Agent({
 			keepAlive: true,
 			maxSockets: connections,
-			maxFreeSockets: Math.min(connections, IDLE_SOCKETS),
+			maxFreeSockets: Math.min(connections, MAX_IDLE_SOCKETS),
 			scheduling: 'lifo',
 		})
 	}
 
-	override call(call: WorkerCall, ended: (result: AttemptResult) => void): Attempt {
-		return new OpenAttempt(call, this.agent, ended)
+	override call(call: WorkerCall, onEnd: (result: AttemptResult) => void): Attempt {
+		return new HttpAttempt(call, this.agent, onEnd)
 	}
 
 	/** Closes idle connections. */
@@ -44,18 +44,18 @@
 	}
 }
 
-/** One attempt, from its first byte to its end. */
-class OpenAttempt extends Attempt {
+/** One HTTP request to a worker. */
+class HttpAttempt extends Attempt {
 	private readonly request: ClientRequest
 	private readonly timer: NodeJS.Timeout
-	private over = false
-	/** Whether a byte may have reached the worker. */
-	private written = false
+	private isFinished = false
+	/** Whether any byte may have reached the worker. */
+	private wasWritten = false
 
 	constructor(
 		call: WorkerCall,
 		agent: Agent,
-		private readonly ended: (result: AttemptResult) => void
+		private readonly onEnd: (result: AttemptResult) => void
 	) {
 		super()
 		const colon = call.address.lastIndexOf(':')
@@ -64,12 +64,12 @@
 			port: Number(call.address.slice(colon + 1)),
 			method: call.method,
 			path: call.path,
-			headers: headerLists(call),
+			headers: toHeaders(call),
 			agent,
 		})
 		this.request.on('socket', (socket) => {
-			if (!socket.connecting) this.written = true
-			else socket.once('connect', () => (this.written = true))
+			if (!socket.connecting) this.wasWritten = true
+			else socket.once('connect', () => (this.wasWritten = true))
 		})
 		this.request.on('error', () => this.fail())
 		this.request.on('response', (response) => this.read(response))
@@ -83,34 +83,34 @@
 	}
 
 	private fail(): void {
-		this.finish({ end: this.written ? CallOutcome.Lost : CallOutcome.NotStarted, refusal: '' })
+		this.finish({ end: this.wasWritten ? CallOutcome.Lost : CallOutcome.NotStarted, refusal: '' })
 	}
 
 	private read(response: IncomingMessage): void {
-		const pieces: Buffer[] = []
+		const chunks: Buffer[] = []
 		let length = 0
-		response.on('data', (piece: Buffer) => {
-			length += piece.length
-			if (length <= MOST_ANSWER_BYTES) pieces.push(piece)
+		response.on('data', (chunk: Buffer) => {
+			length += chunk.length
+			if (length <= MAX_ANSWER_BYTES) chunks.push(chunk)
 		})
 		response.on('error', () => this.fail())
 		response.on('close', () => this.fail())
 		response.on('end', () => {
 			if (!response.complete) this.fail()
-			else if (length > MOST_ANSWER_BYTES) this.finish({ end: CallOutcome.TooLong, refusal: '' })
-			else this.finish(readAnswer(response, Buffer.concat(pieces)))
+			else if (length > MAX_ANSWER_BYTES) this.finish({ end: CallOutcome.TooLong, refusal: '' })
+			else this.finish(toAttemptResult(response, Buffer.concat(chunks)))
 		})
 	}
 
 	private finish(result: AttemptResult): void {
-		if (this.over) return
-		this.over = true
+		if (this.isFinished) return
+		this.isFinished = true
 		clearTimeout(this.timer)
-		this.ended(result)
+		this.onEnd(result)
 	}
 }
 
-function readAnswer(response: IncomingMessage, body: Buffer): AttemptResult {
+function toAttemptResult(response: IncomingMessage, body: Buffer): AttemptResult {
 	const refusal = response.headers[REFUSED_HEADER]
 	if (refusal !== undefined) return { end: CallOutcome.NotStarted, refusal: String(refusal) }
 	const headers = endToEndHeaders(response.headers, new Set(['content-length']))
@@ -118,7 +118,7 @@
 	return { end: CallOutcome.Answered, answer, refusal: '' }
 }
 
-function headerLists(call: WorkerCall): { [name: string]: string | string[] } {
+function toHeaders(call: WorkerCall): { [name: string]: string | string[] } {
 	const lists: { [name: string]: string | string[] } = {}
 	for (const { name, value } of call.headers) {
 		const known = lists[name]
--- a/apps/entry/src/main.ts
+++ b/apps/entry/src/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** `rr-entry`, the program. */
+/** Command line entry point of `rr-entry`. */
 import { peersFrom, PROCESS_FLAGS, runCommand, runUntilStopped, setting } from '@rillrudder/program'
 import { command } from 'cmd-ts'
 import { EntryProcess } from './lib/EntryProcess'
