--- a/packages/runs/src/lib/jobs/GangRegistry.ts
+++ b/packages/runs/src/lib/jobs/GangRegistry.ts
@@ -63,7 +63,8 @@
 		if (!run.step.gang) return
 		const gang = this.gangs.get(gangKeyOf(run))
 		if (!gang?.members.delete(run)) return
-		if (run.endReason === RunEnd.GangTimeout && run.endsAt <= this.clock.now()) this.timedOutMembers += 1
+		if (run.endReason === RunEnd.GangTimeout && run.endsAt <= this.clock.now())
+			this.timedOutMembers += 1
 		const now = this.clock.now()
 		const done = gang.doneAt !== undefined && gang.doneAt <= now
 		gang.hasEnded = true
