--- a/packages/cell/src/lib/state/AuditTrail.ts
+++ b/packages/cell/src/lib/state/AuditTrail.ts
@@ -1,21 +1,21 @@
-/** Who did what when, kept by the log's own application so that it can't disagree with it. */
+/** The audit trail of a log, written when commands are applied so that it is consistent with the log. */
 
-/** One line of the trail. @public */
+/** One record of the trail. @public */
 export interface AuditRecord {
-	/** Index in the log. */
+	/** Log index of the command. */
 	readonly index: number
-	/** Milliseconds since the epoch, as the leader read it. */
+	/** Wall-clock time of the leader, in milliseconds since the epoch. */
 	readonly at: number
 	/** The operator, or `system`. */
 	readonly who: string
-	/** What was done, such as `confirm`. */
+	/** The action, such as `confirm`. */
 	readonly what: string
-	/** What it was done to. */
+	/** The object of the action. */
 	readonly subject: string
 	readonly outcome: string
 }
 
-/** Which lines are wanted. @public */
+/** Criteria for records; all that are given must match. @public */
 export interface AuditFilter {
 	readonly who?: string
 	readonly what?: string
@@ -26,14 +26,14 @@
 const MAX_RECORDS = 50_000
 
 /**
- * The trail of one log.
+ * The audit trail of one log.
  *
  * @public
  */
 export class AuditTrail {
 	private records: AuditRecord[] = []
 
-	/** @param record - a line that follows all others. */
+	/** @param record - a record that is newer than all others. */
 	add(record: AuditRecord): void {
 		this.records.push(record)
 		if (this.records.length > MAX_RECORDS + MAX_RECORDS / 10) {
@@ -41,7 +41,7 @@
 		}
 	}
 
-	/** @returns the lines that match, oldest first. */
+	/** @returns the matching records, oldest first. */
 	select(filter: AuditFilter): AuditRecord[] {
 		return this.records.filter(
 			(record) =>
--- a/packages/cell/src/lib/state/DataCentreState.test.ts
+++ b/packages/cell/src/lib/state/DataCentreState.test.ts
@@ -1,4 +1,4 @@
-/** What the log makes of commands, right and wrong ones. */
+/** Guards against commands that break the invariants of the replicated state when they are applied. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import {
@@ -22,8 +22,8 @@
 	at: 1,
 } as const
 
-/** A state, and what became of each command. */
-function play(commands: readonly DataCentreCommand[]) {
+/** @returns the state after the commands, and whether each of them had an effect. */
+function applyAll(commands: readonly DataCentreCommand[]) {
 	const applied: AppliedCommand[] = []
 	const state = new DataCentreState((one) => applied.push(one))
 	commands.forEach((command, index) => state.apply(encodeDataCentreCommand(command), index + 1))
@@ -39,7 +39,7 @@
 	({ kind: 'finish', ...name(key), outcome, at: 2 }) as const
 
 test('a customer is served in the order of admission, one at a time', () => {
-	const { hadEffect } = play([
+	const { hadEffect } = applyAll([
 		WORKER,
 		admit('a'),
 		admit('b'),
@@ -53,7 +53,7 @@
 })
 
 test('a started request is never finished as not run, and a finished one never again', () => {
-	const { state, hadEffect } = play([
+	const { state, hadEffect } = applyAll([
 		WORKER,
 		admit('a'),
 		start('a'),
@@ -65,9 +65,9 @@
 	assert.equal(state.requests.find('batumi', 'a')?.outcome, 'ran')
 })
 
-test('an attempt is started once; only one that was taken back is followed by another', () => {
+test('an attempt is started once; only a reverted one is followed by another', () => {
 	const unstart = { kind: 'unstart', ...name('a'), attempt: 1 } as const
-	const { hadEffect } = play([
+	const { hadEffect } = applyAll([
 		WORKER,
 		admit('a'),
 		start('a'),
@@ -78,8 +78,8 @@
 	assert.deepEqual(hadEffect.slice(2), [true, false, true, true])
 })
 
-test('a request that everybody left is taken up again, with attempts that go on counting', () => {
-	const { state, hadEffect } = play([
+test('a parked request is admitted again and its attempt number continues', () => {
+	const { state, hadEffect } = applyAll([
 		WORKER,
 		admit('a'),
 		start('a'),
@@ -94,13 +94,13 @@
 	assert.equal(state.requests.find('batumi', 'a')?.phase, RequestPhase.Started)
 })
 
-test('no more slots are given away than a worker has, lent ones and taken ones together', () => {
+test('lent and taken slots together never exceed the slots of a worker', () => {
 	const lend = (holder: string, slots: number): DataCentreCommand => ({
 		kind: 'lend',
 		holder,
 		slots: [{ worker: 'w1', slots }],
 	})
-	const { hadEffect } = play([
+	const { hadEffect } = applyAll([
 		WORKER,
 		lend('e1', 1),
 		lend('e2', 2),
@@ -111,7 +111,7 @@
 	assert.deepEqual(hadEffect.slice(1), [true, false, true, true, false])
 })
 
-test('a home that was closed for a revision opens for a later one only', () => {
+test('a home that was closed for a revision opens only for a later one', () => {
 	const close = (revision: number) =>
 		({
 			kind: 'close-home',
@@ -130,7 +130,7 @@
 		records: [],
 		at: 1,
 	})
-	const { hadEffect } = play([
+	const { hadEffect } = applyAll([
 		close(3),
 		open(2),
 		open(3),
@@ -142,22 +142,22 @@
 	assert.deepEqual(hadEffect, [true, false, false, false, true, false, true])
 })
 
-test('an operator that sends again gets the first answer, and the trail has it once', () => {
+test('a resent operator command gets the first answer and is audited once', () => {
 	const drain = { kind: 'drain', operator: 'nino', request: 'r1', at: 5, worker: 'w1' } as const
-	const { state } = play([WORKER, drain, drain])
+	const { state } = applyAll([WORKER, drain, drain])
 	assert.equal(state.audit.select({ who: 'nino' }).length, 1)
 	assert.equal(state.workers.find('w1')?.state, 'leaving')
 })
 
-test('a snapshot brings the same state back', () => {
-	const { state } = play([WORKER, admit('a'), start('a'), finish('a', 'ran'), admit('b')])
+test('restoring a snapshot reproduces the state', () => {
+	const { state } = applyAll([WORKER, admit('a'), start('a'), finish('a', 'ran'), admit('b')])
 	const other = new DataCentreState()
 	other.restore(state.snapshot())
 	assert.deepEqual(other.snapshot(), state.snapshot())
 	assert.equal(other.requests.head('batumi')?.key, 'b')
 })
 
-test('a command of an earlier version is brought up to date, one of a later version is refused', () => {
+test('a command of an earlier version is migrated, one of a later version is refused', () => {
 	const { reason, ...old } = WORKER
 	const first = Buffer.from(JSON.stringify({ version: 1, ...old }))
 	assert.deepEqual(decodeDataCentreCommand(first), { ...old, reason })
@@ -166,7 +166,7 @@
 	assert.throws(() => decodeDataCentreCommand(bytes), { name: 'RecordInvalid' })
 })
 
-test('what is no command never gets into the log', () => {
+test('an invalid command is not encoded for the log', () => {
 	const wrong = { ...WORKER, slots: -1 } as unknown as DataCentreCommand
 	assert.throws(() => encodeDataCentreCommand(wrong), { name: 'RecordInvalid' })
 })
--- a/packages/cell/src/lib/state/DataCentreState.ts
+++ b/packages/cell/src/lib/state/DataCentreState.ts
@@ -1,4 +1,4 @@
-/** The replicated state of one data centre: what its log's commands make. */
+/** The replicated state of one data centre: the result of applying the commands of its log. */
 import { Buffer } from 'node:buffer'
 import { StateMachine } from '@rillrudder/group'
 import { exhaustive, invariant } from '@rillrudder/utils'
@@ -14,14 +14,14 @@
 import { hasEnded, PlanPhase, TaskTable, TaskPhase } from './TaskTable'
 import { WorkerTable } from './WorkerTable'
 
-/** A command and whether it counted. @public */
+/** A command and whether it had an effect. @public */
 export interface AppliedCommand {
 	readonly command: DataCentreCommand
 	readonly index: number
 	readonly hasEffect: boolean
 }
 
-/** Version of the snapshot; a snapshot of another version is refused. */
+/** Version of the snapshot format; snapshots of other versions are refused. */
 const SNAPSHOT_VERSION = 1
 const SYSTEM = 'system'
 
@@ -37,10 +37,10 @@
 	readonly homes = new HomeTable()
 	readonly audit = new AuditTrail()
 	readonly answers = new OperatorAnswers()
-	/** Grows with every change of workers and of confirmed intents, which is what a plan stands on. */
+	/** Version of the state that plans depend on: grows with every change of workers or active intents. */
 	ground = 0
 
-	/** @param notify - told of every command after it was applied. */
+	/** @param notify - called with every command after it was applied. */
 	constructor(private readonly notify: (applied: AppliedCommand) => void = () => undefined) {
 		super()
 	}
@@ -68,7 +68,7 @@
 
 	override restore(data: Uint8Array): void {
 		const saved = JSON.parse(Buffer.from(data).toString())
-		invariant(saved.version === SNAPSHOT_VERSION, 'a snapshot is of a known version')
+		invariant(saved.version === SNAPSHOT_VERSION, 'the snapshot version is supported')
 		this.ground = saved.ground
 		this.requests.load(saved.requests)
 		this.workers.load(saved.workers)
@@ -136,7 +136,7 @@
 		return hasEffect
 	}
 
-	/** The end of an attempt gives its slot back. */
+	/** Ends an attempt and releases its slot. */
 	private endAttempt(command: CommandOf<'finish' | 'unstart'>, end: () => boolean): boolean {
 		const record = this.requests.find(command.customer, command.key)
 		const worker = record?.phase === RequestPhase.Started ? record.worker : ''
@@ -271,7 +271,7 @@
 		return true
 	}
 
-	/** Does an operator's command once, however often it is sent. */
+	/** Applies an operator's command once, however often it is sent. */
 	private applyOnce(
 		command: CommandOf<'plan' | 'confirm' | 'reject' | 'cancel' | 'drain' | 'close-home'>,
 		index: number,
--- a/packages/cell/src/lib/state/HomeTable.ts
+++ b/packages/cell/src/lib/state/HomeTable.ts
@@ -1,13 +1,13 @@
 /** Which customers' homes this data centre has opened and closed, as of which configuration revision. */
 
-/** The newest that is known here of a customer's home. @public */
+/** The newest state of a customer's home that this data centre knows. @public */
 export interface HomeRecord {
 	readonly customer: string
-	/** The configuration revision that moved it; nothing of a lower or equal one counts any more. */
+	/** The configuration revision that moved it; changes for a lower or equal revision have no effect. */
 	readonly revision: number
-	/** Whether this data centre keeps the customer's order. */
+	/** Whether this data centre is the customer's home. */
 	readonly open: boolean
-	/** The data centre that it was closed for; empty when it is open. */
+	/** The data centre that it moves to; empty if it is open. */
 	readonly to: string
 }
 
@@ -20,7 +20,7 @@
 export class HomeTable {
 	private records = new Map<string, HomeRecord>()
 
-	/** @returns the newest that is known here of a customer's home. */
+	/** @returns the newest known state of a customer's home, if any. */
 	find(customer: string): HomeRecord | undefined {
 		return this.records.get(customer)
 	}
@@ -30,12 +30,12 @@
 		return this.records.get(customer)?.open === false
 	}
 
-	/** @returns whether the closing counts. */
+	/** @returns whether the closing has an effect. */
 	close(customer: string, to: string, revision: number): boolean {
 		return this.change({ customer, revision, open: false, to })
 	}
 
-	/** @returns whether the opening counts. */
+	/** @returns whether the opening has an effect. */
 	open(customer: string, revision: number): boolean {
 		return this.change({ customer, revision, open: true, to: '' })
 	}
--- a/packages/cell/src/lib/state/OperatorAnswers.ts
+++ b/packages/cell/src/lib/state/OperatorAnswers.ts
@@ -1,33 +1,33 @@
-/** Answers to operators' commands, so that a resend after a lost answer gets the first one. */
+/** Stored answers to operators' commands, so that a resend after a lost answer gets the first one. */
 
-/** How an operator's command ended. @public */
+/** The result of an operator's command. @public */
 export interface OperatorAnswer {
-	/** Whether it was done. */
+	/** Whether the command took effect. */
 	readonly accepted: boolean
-	/** What was done or why not, for people. */
+	/** Human-readable result or reason. */
 	readonly message: string
-	/** Name of what was made or changed. */
+	/** Name of the object that was created or changed. */
 	readonly subject: string
-	/** Revision in force afterwards, where there is one. */
+	/** Configuration revision in force afterwards, if the command concerns the configuration. */
 	readonly revision?: number
 }
 
 const MAX_ANSWERS = 20_000
 
 /**
- * Answers by the request id that the operator's client chose.
+ * Answers by the request id that the operator's client has chosen.
  *
  * @public
  */
 export class OperatorAnswers {
 	private answers = new Map<string, OperatorAnswer>()
 
-	/** @returns the answer to a request that was dealt with before. */
+	/** @returns the answer to a request that was handled before. */
 	find(request: string): OperatorAnswer | undefined {
 		return this.answers.get(request)
 	}
 
-	/** Keeps an answer; the oldest is forgotten beyond 20,000. */
+	/** Stores an answer, and drops the oldest one beyond `MAX_ANSWERS`. */
 	keep(request: string, answer: OperatorAnswer): void {
 		this.answers.set(request, answer)
 		if (this.answers.size <= MAX_ANSWERS) return
--- a/packages/cell/src/lib/state/RequestTable.ts
+++ b/packages/cell/src/lib/state/RequestTable.ts
@@ -1,14 +1,14 @@
-/** The requests of each customer, in the order in which the log admitted them. */
+/** The requests of each customer, in the order of their admission by the log. */
 import { invariant } from '@rillrudder/utils'
 import type { CommandOf } from '../commands/DataCentreCommand'
 import type { StoredAnswer } from '../records/StoredAnswer'
 import { Outcome, type Problem } from '../records/Outcome'
 
-/** Where a request is in its life. @public */
+/** The lifecycle phases of a request. @public */
 export const RequestPhase = {
 	Admitted: 'admitted',
 	Started: 'started',
-	/** Admitted once, and then left by everybody before it was started; sent again, it is admitted anew. */
+	/** Removed from the queue before it started, as nobody waited for it; admitted again if resent. */
 	Parked: 'parked',
 	Finished: 'finished',
 } as const
@@ -21,12 +21,12 @@
 	readonly key: string
 	readonly digest: string
 	phase: RequestPhase
-	/** Attempts begun so far; only an attempt that certainly did not start is followed by another. */
+	/** Number of attempts so far; another one is made only if the last one certainly did not start. */
 	attempt: number
-	/** Index of the start in the log: a later attempt anywhere has a higher one. */
+	/** Log index of the start, a fencing token: later attempts have higher ones. */
 	fence: number
 	worker: string
-	/** Life of the entry instance that holds the body or makes the attempt. */
+	/** Incarnation of the entry instance that holds the body or makes the attempt. */
 	holder: string
 	outcome?: Outcome
 	problem?: Problem
@@ -43,7 +43,7 @@
 	readonly records: Map<string, RequestRecord>
 }
 
-/** A finished request in the order of finishing. */
+/** A request that has finished or was parked, listed in the order of these events. */
 interface EndedRequest {
 	readonly customer: string
 	readonly key: string
@@ -54,7 +54,7 @@
 const BYTES_PER_MIB = 1024 * 1024
 
 /**
- * All requests that are not repeatable, of the customers whose home is here.
+ * All requests that are not repeatable, of the customers whose home is this data centre.
  *
  * @public
  */
@@ -69,7 +69,7 @@
 		return this.openCount
 	}
 
-	/** Bytes of the answers that are kept. */
+	/** Size of the stored answers in bytes. */
 	get answerSize(): number {
 		return this.answerBytes
 	}
@@ -109,14 +109,14 @@
 		if (known && known.phase !== RequestPhase.Parked) return
 		const { customer, key, digest, holder, timeout, at } = command
 		const record = createRecord({ customer, key, digest, holder, timeout, at })
-		// Attempts go on counting, so that no two of them are ever the same.
+		// The attempt number continues, so that no two attempts share one.
 		record.attempt = known?.attempt ?? 0
 		table.records.set(key, record)
 		table.open.push(key)
 		this.openCount += 1
 	}
 
-	/** @returns whether the start counts. */
+	/** @returns whether the start has an effect. */
 	start(command: CommandOf<'start'>, index: number): boolean {
 		const record = this.find(command.customer, command.key)
 		if (!record || record.phase !== RequestPhase.Admitted) return false
@@ -130,7 +130,7 @@
 		return true
 	}
 
-	/** @returns whether the attempt was taken back. */
+	/** @returns whether the attempt was reverted. */
 	unstart(command: CommandOf<'unstart'>): boolean {
 		const record = this.find(command.customer, command.key)
 		if (record?.phase !== RequestPhase.Started || record.attempt !== command.attempt) return false
@@ -152,7 +152,7 @@
 		return true
 	}
 
-	/** @returns whether the request ended by this command; the first end stands. */
+	/** @returns whether the request ended by this command; only the first end has an effect. */
 	finish(command: CommandOf<'finish'>): boolean {
 		const table = this.table(command.customer)
 		let record = table.records.get(command.key)
@@ -175,7 +175,7 @@
 		return true
 	}
 
-	/** Forgets answers and keys that are past their time, and the oldest answers beyond the bound. */
+	/** Drops answers and keys that have passed their retention time, and the oldest answers above the limit. */
 	forget(command: CommandOf<'forget'>): void {
 		let keys = 0
 		for (const one of this.ended) {
@@ -188,24 +188,24 @@
 		this.dropAnswersAboveLimit(command.answerMemory * BYTES_PER_MIB)
 	}
 
-	/** @returns whether there is something to forget. */
+	/** @returns whether a `forget` command would drop anything. */
 	hasExpired(answersBefore: number, answerMemory: number): boolean {
 		if (this.answerBytes > answerMemory * BYTES_PER_MIB) return true
 		return this.ended.length > 0 && this.ended[0].at < answersBefore
 	}
 
-	/** @returns all of a customer's records, for its next home. */
+	/** @returns all of a customer's records, for transfer to its next home. */
 	recordsOf(customer: string): RequestRecord[] {
 		return [...(this.customers.get(customer)?.records.values() ?? [])]
 	}
 
-	/** Takes up records from a customer's earlier home. */
+	/** Adds records from a customer's previous home. */
 	addFromPreviousHome(records: readonly RequestRecord[]): void {
 		for (const record of records) {
 			const table = this.table(record.customer)
 			if (table.records.has(record.key)) continue
 			const ended = record.phase === RequestPhase.Finished || record.phase === RequestPhase.Parked
-			invariant(ended, 'a home moves only when nothing is open')
+			invariant(ended, 'a home moves only without open requests')
 			table.records.set(record.key, { ...record })
 			this.trackEnded(record)
 		}
@@ -262,7 +262,7 @@
 		this.ended.push({ customer: record.customer, key: record.key, at: record.at, bytes })
 	}
 
-	/** Drops the oldest answers until what is kept is within the bound. */
+	/** Drops the oldest answers until the stored ones are within the limit. */
 	private dropAnswersAboveLimit(bytes: number): void {
 		for (const one of this.ended) {
 			if (this.answerBytes <= bytes) return
@@ -277,7 +277,7 @@
 		this.answerBytes -= one.bytes
 	}
 
-	/** A request that was taken up again since then stays. */
+	/** Drops a key, unless its request was admitted again since then. */
 	private dropKey(one: EndedRequest): void {
 		const record = this.find(one.customer, one.key)
 		if (record?.at === one.at) this.customers.get(one.customer)?.records.delete(one.key)
--- a/packages/cell/src/lib/state/SystemState.ts
+++ b/packages/cell/src/lib/state/SystemState.ts
@@ -19,7 +19,7 @@
 	readonly answers = new OperatorAnswers()
 	private accepted: KeptRevision = NO_REVISION
 
-	/** @param notify - told after every command. */
+	/** @param notify - called with every command after it was applied. */
 	constructor(private readonly notify: (command: SystemCommand) => void = () => undefined) {
 		super()
 	}
@@ -54,7 +54,7 @@
 
 	override restore(data: Uint8Array): void {
 		const saved = JSON.parse(Buffer.from(data).toString())
-		invariant(saved.version === SNAPSHOT_VERSION, 'a snapshot is of a known version')
+		invariant(saved.version === SNAPSHOT_VERSION, 'the snapshot version is supported')
 		this.advance(saved.accepted)
 		this.audit.load(saved.audit)
 		this.answers.load(saved.answers)
@@ -85,7 +85,7 @@
 		return { accepted: true, message: 'accepted', subject, revision: revision + 1 }
 	}
 
-	/** A fence is a revision of its own, so that it is in force everywhere and lasts like any other. */
+	/** A fence is a revision of its own, so that it is distributed and stored like any other revision. */
 	private declare(dataCentre: string, down: boolean): OperatorAnswer {
 		const { document, fences } = this.accepted
 		const revision = this.accepted.revision + 1
--- a/packages/cell/src/lib/state/TaskTable.ts
+++ b/packages/cell/src/lib/state/TaskTable.ts
@@ -5,7 +5,7 @@
 
 const DEFAULT_RUN_TIME_MS = 600_000
 
-/** Where a plan is in its life. @public */
+/** The lifecycle phases of a plan. @public */
 export const PlanPhase = {
 	Proposed: 'proposed',
 	Confirmed: 'confirmed',
@@ -23,7 +23,7 @@
 	readonly why: string
 }
 
-/** A plan as the log knows it. @public */
+/** The replicated record of a plan. @public */
 export interface PlanRecord {
 	readonly id: string
 	readonly intent: Intent
@@ -33,7 +33,7 @@
 	phase: PlanPhase
 }
 
-/** Where a task is in its life. @public */
+/** The lifecycle phases of a task. @public */
 export const TaskPhase = {
 	Waiting: 'waiting',
 	Placed: 'placed',
@@ -43,29 +43,29 @@
 /** One of the phases. @public */
 export type TaskPhase = (typeof TaskPhase)[keyof typeof TaskPhase]
 
-/** A task as the log knows it. @public */
+/** The replicated record of a task. @public */
 export interface TaskRecord {
 	readonly task: Task
 	readonly command: readonly string[]
 	phase: TaskPhase
 	worker: string
 	reserved?: Resources
-	/** Index in the log of its newest placement; a worker takes no order of a lower one. */
+	/** Log index of its newest placement; a worker refuses orders with a lower one. */
 	fence: number
 	/** When it was placed, milliseconds since the epoch. */
 	placedAt: number
-	/** How often in a row its worker was lost under it; absent in records of before that was counted. */
+	/** Consecutive losses of its worker; absent in records that predate this field. */
 	losses?: number
-	/** When that was last, milliseconds since the epoch. */
+	/** Time of the last loss, milliseconds since the epoch. */
 	lostAt?: number
-	/** Whether it is to end where it runs: cancelled while it ran. */
+	/** Whether it was cancelled; a placed task is then stopped on its worker. */
 	cancelled: boolean
-	/** What happened to it, newest last, for people. */
+	/** Human-readable history, newest entry last. */
 	readonly history: string[]
 }
 
 const MAX_HISTORY_LINES = 12
-/** Milliseconds on one worker after which earlier losses count no more; many times the lease that ends a lost run. */
+/** Time on one worker after which earlier losses no longer count; many times the lease of a lost run. */
 const LOSS_RESET_MS = 600_000
 const MAX_ENDED_TASKS = 20_000
 
@@ -105,13 +105,13 @@
 		return this.ofIntent(name).some((record) => !hasEnded(record))
 	}
 
-	/** Keeps a plan. */
+	/** Adds a proposed plan. */
 	propose(command: CommandOf<'plan'>): void {
 		const { id, intent, ground, steps, impossible } = command
 		this.plans.set(id, { id, intent, ground, steps, impossible, phase: PlanPhase.Proposed })
 	}
 
-	/** Makes the tasks of a confirmed plan. */
+	/** Creates the tasks of a confirmed plan. */
 	confirm(plan: PlanRecord, at: number): TaskRecord[] {
 		plan.phase = PlanPhase.Confirmed
 		const created: TaskRecord[] = []
@@ -123,7 +123,7 @@
 		return created
 	}
 
-	/** A task has been given a worker. */
+	/** Records the placement of a task. */
 	place(record: TaskRecord, command: CommandOf<'place'>, index: number): void {
 		record.phase = TaskPhase.Placed
 		record.worker = command.worker
@@ -133,7 +133,7 @@
 		this.addHistory(record, `placed on ${command.worker}: ${command.reason}`)
 	}
 
-	/** A task no longer runs where it ran. */
+	/** Records that a task no longer runs on its worker. */
 	unplace(record: TaskRecord, command: CommandOf<'unplace'>): void {
 		const hasFinished = command.done || record.cancelled
 		record.phase = record.cancelled
@@ -148,7 +148,7 @@
 		if (hasFinished) this.end(record)
 	}
 
-	/** A task that waits is withdrawn; one that runs is to end. */
+	/** Cancels a task: a waiting one ends, a placed one is marked to be stopped. */
 	cancel(record: TaskRecord): void {
 		record.cancelled = true
 		this.addHistory(record, 'cancelled')
@@ -220,7 +220,7 @@
 		if (record.history.length > MAX_HISTORY_LINES) record.history.splice(1, 1)
 	}
 
-	/** Ended tasks stay explainable for a while; the oldest go first. */
+	/** Records the end of a task. Ended tasks are kept for queries; beyond a limit the oldest are dropped. */
 	private end(record: TaskRecord): void {
 		this.ended.push(record.task.id)
 		if (this.ended.length <= MAX_ENDED_TASKS) return
@@ -228,7 +228,7 @@
 	}
 }
 
-/** A task that ran for long before its worker was lost did no harm by beginning. */
+/** Counts a loss. A task that ran for long before the loss did not crash its worker by starting. */
 function recordLoss(record: TaskRecord, at: number): void {
 	const isConsecutive = at - record.placedAt < LOSS_RESET_MS
 	record.losses = (isConsecutive ? (record.losses ?? 0) : 0) + 1
--- a/packages/cell/src/lib/state/WorkerTable.ts
+++ b/packages/cell/src/lib/state/WorkerTable.ts
@@ -4,17 +4,17 @@
 import { invariant } from '@rillrudder/utils'
 import type { CommandOf } from '../commands/DataCentreCommand'
 
-/** A worker as the log knows it. @public */
+/** The replicated record of a worker. @public */
 export interface WorkerRecord {
 	readonly id: string
 	readonly address: string
 	readonly rack: string
-	/** What it offers to tasks, after what is set aside for its request slots. */
+	/** Capacity for tasks, without the share of its request slots. */
 	readonly capacity: Resources
 	readonly slots: number
 	readonly state: 'live' | 'leaving' | 'gone'
 	readonly reason: string
-	/** What is reserved for tasks. */
+	/** Capacity reserved for tasks. */
 	reserved: Resources
 	/** Slots lent to entry instances. */
 	lent: number
@@ -25,7 +25,7 @@
 /** Slots lent to one entry instance. @public */
 export interface Loan {
 	readonly holder: string
-	/** Index in the log of the grant. */
+	/** Log index of the grant. */
 	readonly grant: number
 	readonly slots: ReadonlyMap<string, number>
 }
@@ -54,7 +54,7 @@
 		return this.loansByHolder.values()
 	}
 
-	/** @returns what an entry instance has been lent. */
+	/** @returns the loan of an entry instance, if it has one. */
 	loanOf(holder: string): Loan | undefined {
 		return this.loansByHolder.get(holder)
 	}
@@ -80,7 +80,7 @@
 		return true
 	}
 
-	/** @returns whether the loan counts; one that would lend more than there is does not. */
+	/** @returns whether the loan has an effect; a loan that exceeds a worker's slots has none. */
 	lend(command: CommandOf<'lend'>, index: number): boolean {
 		const before = this.loansByHolder.get(command.holder)?.slots ?? new Map<string, number>()
 		const after = new Map(command.slots.map((one) => [one.worker, one.slots]))
@@ -98,7 +98,7 @@
 		return true
 	}
 
-	/** Takes a slot for a request. @returns whether there was one. */
+	/** Takes a slot for a request. @returns whether one was free. */
 	takeSlot(id: string): boolean {
 		const worker = this.workers.get(id)
 		if (!worker || worker.lent + worker.taken >= worker.slots) return false
@@ -106,15 +106,15 @@
 		return true
 	}
 
-	/** Gives a slot back. */
+	/** Releases a slot. */
 	freeSlot(id: string): void {
 		const worker = this.workers.get(id)
 		if (!worker) return
 		worker.taken -= 1
-		invariant(worker.taken >= 0, 'no more slots are given back than were taken', { id })
+		invariant(worker.taken >= 0, 'no more slots are released than were taken', { id })
 	}
 
-	/** Reserves for a task. @returns whether the worker has that much left. */
+	/** Reserves capacity for a task. @returns whether the worker had enough free capacity. */
 	reserve(id: string, need: Resources): boolean {
 		const worker = this.workers.get(id)
 		if (!worker || !fits(need, minus(worker.capacity, worker.reserved))) return false
@@ -122,12 +122,12 @@
 		return true
 	}
 
-	/** Gives back what was reserved. */
+	/** Releases reserved capacity. */
 	release(id: string, amount: Resources): void {
 		const worker = this.workers.get(id)
 		if (!worker) return
 		worker.reserved = minus(worker.reserved, amount)
-		invariant(fits(NO_RESOURCES, worker.reserved), 'no more is given back than was taken', { id })
+		invariant(fits(NO_RESOURCES, worker.reserved), 'no more is released than was reserved', { id })
 	}
 
 	/** @returns the table for a snapshot. */
