--- a/packages/cell/src/lib/leader/Effects.ts
+++ b/packages/cell/src/lib/leader/Effects.ts
@@ -56,13 +56,7 @@
 		this.settleCalls = []
 		this.exchanges = []
 		this.groupCalls = []
-		return {
-			commands,
-			outgoingEvents,
-			settleCalls,
-			exchanges,
-			groupCalls,
-		}
+		return { commands, outgoingEvents, settleCalls, exchanges, groupCalls }
 	}
 
 	/** Whether no effects are collected. */
--- a/packages/cell/src/lib/leader/OperatorRouter.ts
+++ b/packages/cell/src/lib/leader/OperatorRouter.ts
@@ -91,7 +91,7 @@
 	private tryNext(search: LeaderSearch): void {
 		if (search.tries === MAX_TRIES) {
 			this.leaders.delete(search.group)
-			const message = `no leader of ${search.group} could be reached; repeat the call to learn whether it took effect`
+			const message = `no leader of ${search.group} could be reached; ask again to learn whether it was done`
 			search.reply({ code: UNAVAILABLE, message })
 			return
 		}
