--- a/packages/member/src/index.ts
+++ b/packages/member/src/index.ts
@@ -1,4 +1,7 @@
-/** Instances of a cell with one consensus group: links between them, leadership and forwarding of calls. */
+/**
+ * Instances of a cell with one consensus group: links between them, leadership and forwarding of
+ * calls.
+ */
 export { Adviser } from './lib/Adviser'
 export { CarriedOrders, type CarriedOrdersParts } from './lib/carriers/CarriedOrders'
 export type { Carrier } from './lib/carriers/CarrierSelector'
--- a/packages/member/src/lib/CallFaults.ts
+++ b/packages/member/src/lib/CallFaults.ts
@@ -1,8 +1,9 @@
 /**
- * The error boundary for messages that this program can't handle. Unreadable messages are skipped. A call whose handler
- * throws is answered with an unknown outcome and is not handled here again: its sender repeats it, and a crash on each
- * repetition would take down one instance after the other. Faults outside calls (ticks, committed commands) end the
- * process, since a half-finished change would be wrong for all.
+ * The error boundary for messages that this program can't handle. Unreadable messages are skipped.
+ * A call whose handler throws is answered with an unknown outcome and is not handled here again:
+ * its sender repeats it, and a crash on each repetition would take down one instance after the
+ * other. Faults outside calls (ticks, committed commands) end the process, since a half-finished
+ * change would be wrong for all.
  */
 import { createHash } from 'node:crypto'
 import type { CellCall, CellReply } from '@rillrudder/jobs'
@@ -46,7 +47,8 @@
 	/**
 	 * Runs the handler of a call.
 	 *
-	 * @param done - takes the `unknown` reply if the handler throws now or threw for the same call before.
+	 * @param done - takes the `unknown` reply if the handler throws now or threw for the same call
+	 * before.
 	 * @param handle - handles the call.
 	 */
 	handle(call: CellCall, done: (reply: CellReply) => void, handle: () => void): void {
@@ -68,7 +70,10 @@
 	}
 }
 
-/** The call id of a submission is left out, since a submission that its caller repeats has another one. */
+/**
+ * The call id of a submission is left out, since a submission that its caller repeats has another
+ * one.
+ */
 function digestOf(call: CellCall): string {
 	const identity = call.kind === 'submit' ? { ...call, call: undefined } : call
 	return createHash('sha256').update(JSON.stringify(identity)).digest('hex')
--- a/packages/member/src/lib/CommandBatcher.ts
+++ b/packages/member/src/lib/CommandBatcher.ts
@@ -1,6 +1,7 @@
 /**
- * Batches commands into log entries and calls back when they have been applied. Every entry costs each instance of the
- * core a message, a sync and an answer, whatever its size, so commands are batched while an earlier entry is in flight.
+ * Batches commands into log entries and calls back when they have been applied. Every entry costs
+ * each instance of the core a message, a sync and an answer, whatever its size, so commands are
+ * batched while an earlier entry is in flight.
  */
 import type { Group } from '@rillrudder/group'
 import { Measure, type Meter } from '@rillrudder/telemetry'
@@ -8,8 +9,8 @@
 import { encodeCommands, Proposals, type CellCommand } from '@rillrudder/jobs'
 
 /**
- * Maximum milliseconds for which commands wait for the entry before them: about one commit, so that the second of two
- * consecutive decisions is hardly delayed.
+ * Maximum milliseconds for which commands wait for the entry before them: about one commit, so that
+ * the second of two consecutive decisions is hardly delayed.
  */
 const BATCH_DELAY_MS = 8
 
--- a/packages/member/src/lib/CoreInstance.ts
+++ b/packages/member/src/lib/CoreInstance.ts
@@ -1,4 +1,7 @@
-/** An instance of the core: a replica of the cell's consensus group that runs the controller while it leads. */
+/**
+ * An instance of the core: a replica of the cell's consensus group that runs the controller while
+ * it leads.
+ */
 import { randomUUID } from 'node:crypto'
 import { join } from 'node:path'
 import { Replica, type Founder, type Timing } from '@rillrudder/consensus'
@@ -46,7 +49,10 @@
 /** Timeout of a call that is forwarded to the leader, in milliseconds. */
 const RELAY_TIMEOUT_MS = 1200
 
-/** Retry limits for reporting batched heartbeats to the leader. Short, since the next batch reports the same workers. */
+/**
+ * Retry limits for reporting batched heartbeats to the leader. Short, since the next batch reports
+ * the same workers.
+ */
 const HEARTBEAT_RETRY_LIMITS = { leaderWait: 300, limit: 600 }
 /** Reply to a worker whose heartbeat can't be forwarded to the leader at the moment. */
 const LEADER_UNREACHABLE: CellReply = {
@@ -63,7 +69,10 @@
 	readonly capacity: InstanceCapacity
 	/** Data folder. */
 	readonly data: string
-	/** Link addresses of the instances to ask for admission; read again each time, since they may change. */
+	/**
+	 * Link addresses of the instances to ask for admission; read again each time, since they may
+	 * change.
+	 */
 	readonly seeds: () => readonly string[]
 	/** Whether the cell starts for the first time, with the seeds as its founding members. */
 	readonly isFounding: boolean
@@ -271,7 +280,10 @@
 		this.session?.updateGauges()
 	}
 
-	/** Starts or ends a leader session after a change of the group's state, and logs a new leader or new members. */
+	/**
+	 * Starts or ends a leader session after a change of the group's state, and logs a new leader or
+	 * new members.
+	 */
 	private onGroupSettled(): void {
 		const { replica } = this.group
 		const { term, leader, members } = replica.status
@@ -396,7 +408,10 @@
 		})
 	}
 
-	/** @returns seeds and members of the core, without this instance; before it knows any member, also those that it has heard of. */
+	/**
+	 * @returns seeds and members of the core, without this instance; before it knows any member,
+	 * also those that it has heard of.
+	 */
 	private peersToDial(): string[] {
 		const { address, seeds } = this.parts
 		const replica = this.group?.replica
--- a/packages/member/src/lib/EntryInstance.ts
+++ b/packages/member/src/lib/EntryInstance.ts
@@ -16,7 +16,10 @@
 
 /** Milliseconds between two selections of the peers to dial. */
 const DIAL_INTERVAL_MS = 250
-/** Milliseconds without a leader after which every instance of the core is dialled; a leader change takes less. */
+/**
+ * Milliseconds without a leader after which every instance of the core is dialled; a leader change
+ * takes less.
+ */
 const LEADERLESS_TIMEOUT_MS = 700
 const ID_PREFIX = 'entry/'
 
@@ -58,7 +61,10 @@
 		})
 	}
 
-	/** Whether this instance accepts new connections: a leader is reachable and the instance isn't overloaded. */
+	/**
+	 * Whether this instance accepts new connections: a leader is reachable and the instance isn't
+	 * overloaded.
+	 */
 	get isReady(): boolean {
 		return this.knowsLeader && this.load.acceptsConnections
 	}
--- a/packages/member/src/lib/HeartbeatBatcher.test.ts
+++ b/packages/member/src/lib/HeartbeatBatcher.test.ts
@@ -1,4 +1,7 @@
-/** Heartbeats that bring nothing new are told together; everything else goes to the leader by itself. */
+/**
+ * Heartbeats that bring nothing new are told together; everything else goes to the leader by
+ * itself.
+ */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import {
--- a/packages/member/src/lib/HeartbeatBatcher.ts
+++ b/packages/member/src/lib/HeartbeatBatcher.ts
@@ -1,6 +1,7 @@
 /**
- * Batches routine heartbeats of workers at an instance that does not lead, and reports them to the leader in one call.
- * Forwarded one by one, each would cost the leader a call and an answer, hundreds of times a second.
+ * Batches routine heartbeats of workers at an instance that does not lead, and reports them to the
+ * leader in one call. Forwarded one by one, each would cost the leader a call and an answer,
+ * hundreds of times a second.
  */
 import {
 	sameWorker,
@@ -13,11 +14,15 @@
 
 /** Milliseconds for which heartbeats are collected into a batch: a fifth of the heartbeat interval. */
 const BATCH_DELAY_MS = 300
-/** Milliseconds for which nothing is batched after no leader was found: workers then call another instance. */
+/**
+ * Milliseconds for which nothing is batched after no leader was found: workers then call another
+ * instance.
+ */
 const NO_LEADER_BACKOFF_MS = 1500
 /**
- * Milliseconds for which heartbeats are batched while a known leader does not answer. It may only be busy, so the batch
- * is sent again; forwarding heartbeats one by one would keep it busy. After that, workers are sent to other instances.
+ * Milliseconds for which heartbeats are batched while a known leader does not answer. It may only
+ * be busy, so the batch is sent again; forwarding heartbeats one by one would keep it busy. After
+ * that, workers are sent to other instances.
  */
 const MAX_UNANSWERED_MS = 1500
 
@@ -114,7 +119,10 @@
 		if (kind === 'not-run') this.backoffUntil = clock.now() + NO_LEADER_BACKOFF_MS
 	}
 
-	/** Queues heartbeats again whose report had an unknown outcome; newer ones of the same worker replace them. */
+	/**
+	 * Queues heartbeats again whose report had an unknown outcome; newer ones of the same worker
+	 * replace them.
+	 */
 	private requeue(batch: HeartbeatBatcher['pending'], since: number): void {
 		this.unansweredSince ??= since
 		for (const [worker, entry] of batch) {
--- a/packages/member/src/lib/LeaderCalls.ts
+++ b/packages/member/src/lib/LeaderCalls.ts
@@ -1,6 +1,6 @@
 /**
- * Brings calls to whoever leads. Every call may be sent again, since its effect is named by an id, a
- * version or a sequence; so a call whose leader is lost goes to the next one, within its patience.
+ * Sends calls to the current leader. Every call is idempotent, identified by an id, a version or a
+ * sequence, so a call whose leader is lost is sent to the next one, within its limits.
  */
 import { isJobRefusal, type CellCall, type CellReply, type JobRefusal } from '@rillrudder/jobs'
 import { Measure, type Meter } from '@rillrudder/telemetry'
@@ -10,28 +10,33 @@
 
 /** Milliseconds between two tries. */
 const RETRY_INTERVAL_MS = 50
-/** Milliseconds that one try may take; a commit behind a slow disk takes hundreds. */
+/** Timeout of one try in milliseconds; a commit on a slow disk takes hundreds. */
 const TRY_TIMEOUT_MS = 800
-/** Milliseconds from which an answered call is told as slow. */
+/** Milliseconds from which an answered call is logged as slow. */
 const SLOW_CALL_MS = 300
-/** Milliseconds after which a call that was not run may come again. */
+/** Milliseconds after which a caller may repeat a call that was not run. */
 const RETRY_AFTER_MS = 1000
 
-/** How long a call is tried. @public */
+/** For how long a call is retried. @public */
 export interface RetryLimits {
 	/**
-	 * Milliseconds without a leader after which it is given up, counted from when the instance last
-	 * knew one: a change of leader takes less, so an instance without one for longer is cut off.
+	 * Milliseconds without a leader after which the call is abandoned, counted from when the
+	 * instance last knew one. A leader change takes less, so an instance without a leader for
+	 * longer is cut off.
 	 */
 	readonly leaderWait: number
-	/** Milliseconds for which it is tried at all. */
+	/** Milliseconds for which the call is retried in total. */
 	readonly limit: number
 	/**
-	 * Milliseconds for which it is tried once some instance may have done it, with a leader or without: only a leader can tell what became
-	 * of it, and its caller has nothing to gain from an answer that says nothing. As long as `limit` if absent.
+	 * Milliseconds in total for which a call is retried that some instance may have run, with or
+	 * without a known leader: only a leader can report its outcome, and an early `unknown` reply is
+	 * of no use to the caller. Defaults to `limit`.
 	 */
 	readonly limitOnceSent?: number
-	/** Whether its caller has gone: it is not tried again then, since the caller may try elsewhere. Never if absent. */
+	/**
+	 * Whether the caller has gone; the call is not retried then, since the caller may repeat it
+	 * elsewhere. Defaults to never.
+	 */
 	readonly isAbandoned?: () => boolean
 }
 
@@ -42,35 +47,35 @@
 	readonly call: (call: CellCall, done: (reply: CellReply) => void) => void
 }
 
-/** What calls need of the instance. @internal */
+/** Dependencies of the leader calls. @internal */
 export interface LeaderCallsParts {
 	readonly clock: Clock
 	readonly calls: PeerCalls
 	readonly meter: Meter
-	/** Who leads now. */
+	/** @returns the current leader, if one is known. */
 	readonly leader: () => KnownLeader | undefined
-	/** Told of a call that was not answered well, or late. */
+	/** Called for each call that failed or was slow; `took` is in milliseconds. */
 	readonly onFailedOrSlow?: (call: CellCall, reply: CellReply, took: number, tries: number) => void
 	/** @returns this instance as the leader; undefined while it does not lead. */
 	readonly localLeader?: () => LocalLeader | undefined
-	/** This life of the instance, unlike any other's; names its calls. */
+	/** Unique id of this start of the instance; part of its call ids. */
 	readonly incarnation: string
 }
 
 interface Attempt {
 	readonly call: CellCall
-	/** The highest term that it was brought to. */
+	/** The highest term under which it was sent. */
 	term: number
 	readonly startedAt: number
 	readonly limits: RetryLimits
 	readonly done: (reply: CellReply) => void
-	/** Whether some instance may have done it. */
+	/** Whether some instance may have run it. */
 	mayHaveRun: boolean
 	tries: number
 }
 
 /**
- * Brings calls to whoever leads.
+ * Sends calls to the current leader and retries them.
  *
  * @internal
  */
@@ -83,12 +88,12 @@
 		this.leaderKnownAt = parts.clock.now()
 	}
 
-	/** Notes that a leader is known now. */
+	/** Records that a leader is known now. */
 	onLeaderKnown(): void {
 		this.leaderKnownAt = this.parts.clock.now()
 	}
 
-	/** Makes a call; it is replied to exactly once. */
+	/** Makes a call; the promise resolves with its only reply and never rejects. */
 	call(call: CellCall, limits: RetryLimits): Promise<CellReply> {
 		const { clock } = this.parts
 		return new Promise((resolve) => {
@@ -103,7 +108,7 @@
 		})
 	}
 
-	/** A submission that is tried more than once is one call to its leaders. */
+	/** Gives a submission a call id, by which leaders recognise its retries as one call. */
 	private withCallId(call: CellCall): CellCall {
 		if (call.kind !== 'submit') return call
 		return { ...call, call: { instance: this.parts.incarnation, number: ++this.lastNumber } }
@@ -178,15 +183,19 @@
 	}
 
 	/**
-	 * A leader has settled that no try of a submission is or will be taken, as far as tries came to it or to leaders before it: those of lower
-	 * terms are void once it leads, and it knows what they have committed. A try under a later term may still have been taken.
+	 * Handles a leader's reply that no try of a submission is or will be accepted, up to its term:
+	 * tries under lower terms are void once it leads, and it knows what they have committed. A try
+	 * under a later term may have been accepted.
 	 */
 	private onSettled(attempt: Attempt, refusal: JobRefusal, term: number): void {
 		if (term >= attempt.term || !attempt.mayHaveRun) attempt.done(refusal)
 		else this.finishUnknown(attempt, refusal)
 	}
 
-	/** After a try without an answer a refusal says nothing of that one: it may have been taken, and its key, queue or quota changed since. */
+	/**
+	 * Replies `unknown` to a refusal after an unanswered try, which may have been accepted before
+	 * its key, queue or quota changed.
+	 */
 	private finishUnknown(attempt: Attempt, { kind }: JobRefusal): void {
 		attempt.done({ kind: 'unknown', reason: `${kind} after a try without an answer` })
 	}
--- a/packages/member/src/lib/LeaderSession.ts
+++ b/packages/member/src/lib/LeaderSession.ts
@@ -1,4 +1,7 @@
-/** One leadership: runs the controller and proposes its commands, from the first lease to the end of the term. */
+/**
+ * One leadership: runs the controller and proposes its commands, from the first lease to the end of
+ * the term.
+ */
 import type { Group } from '@rillrudder/group'
 import {
 	LeaderEvent,
@@ -19,8 +22,9 @@
 import { WakingOrders } from './WakingOrders'
 
 /**
- * Minimum milliseconds between two turns. Each turn has a fixed cost, however few events there were since the
- * last one: it looks for steps to place and sends what was decided. A decision is delayed by no more than this.
+ * Minimum milliseconds between two turns. Each turn has a fixed cost, however few events there were
+ * since the last one: it looks for steps to place and sends what was decided. A decision is delayed
+ * by no more than this.
  */
 const MIN_TURN_INTERVAL_MS = 4
 
@@ -118,7 +122,10 @@
 		this.controller.measure()
 	}
 
-	/** Schedules a turn, after an event such as an answer of a worker: the turn places steps and proposes. */
+	/**
+	 * Schedules a turn, after an event such as an answer of a worker: the turn places steps and
+	 * proposes.
+	 */
 	scheduleTurn(): void {
 		if (this.isTurnScheduled || this.hasEnded) return
 		this.isTurnScheduled = true
--- a/packages/member/src/lib/LeaderView.ts
+++ b/packages/member/src/lib/LeaderView.ts
@@ -6,15 +6,19 @@
 /** Milliseconds for which instances of the core accept each other's news: three broadcast intervals. */
 export const CORE_NEWS_TTL_MS = 500
 /**
- * A core instance sends every n-th broadcast to entry instances too. They are many, nothing else wakes them as often
- * when idle, and changes are sent to them at once.
+ * A core instance sends every n-th broadcast to entry instances too. They are many, nothing else
+ * wakes them as often when idle, and changes are sent to them at once.
  */
 export const ENTRY_NEWS_EVERY = 2
-/** The same for the leader, which has a link to every entry instance; other core instances inform them too. */
+/**
+ * The same for the leader, which has a link to every entry instance; other core instances inform
+ * them too.
+ */
 export const LEADER_NEWS_EVERY = 3
 /**
- * Milliseconds for which entry instances accept news: two broadcasts and a late one. An instance that is cut off thus
- * stops accepting clients before the platform's second readiness check, one second later.
+ * Milliseconds for which entry instances accept news: two broadcasts and a late one. An instance
+ * that is cut off thus stops accepting clients before the platform's second readiness check, one
+ * second later.
  */
 export const ENTRY_NEWS_TTL_MS = 700
 /** Milliseconds for which the leader's own news are accepted: two of its broadcasts and a late one. */
--- a/packages/member/src/lib/NewsBroadcaster.ts
+++ b/packages/member/src/lib/NewsBroadcaster.ts
@@ -1,4 +1,7 @@
-/** Broadcasts a core instance's news to its linked peers: the leader, the members of the core, and whether the leader is in contact. */
+/**
+ * Broadcasts a core instance's news to its linked peers: the leader, the members of the core, and
+ * whether the leader is in contact.
+ */
 import type { Replica } from '@rillrudder/consensus'
 import type { CellNews, LoadReport } from '@rillrudder/protocol'
 import type { Clock } from '@rillrudder/utils'
--- a/packages/member/src/lib/PeerAdvisers.ts
+++ b/packages/member/src/lib/PeerAdvisers.ts
@@ -1,4 +1,7 @@
-/** Advice for the leader's controller, requested through this instance and every one that is linked to it. */
+/**
+ * Advice for the leader's controller, requested through this instance and every one that is linked
+ * to it.
+ */
 import {
 	Advisers,
 	type AdviceQuestion,
--- a/packages/member/src/lib/WakingOrders.ts
+++ b/packages/member/src/lib/WakingOrders.ts
@@ -1,6 +1,7 @@
 /**
- * Sends the orders of one leadership to workers and wakes its controller after each answer, so that it decides what
- * follows. After the end of the leadership answers are dropped, since the controller would take them as current.
+ * Sends the orders of one leadership to workers and wakes its controller after each answer, so that
+ * it decides what follows. After the end of the leadership answers are dropped, since the
+ * controller would take them as current.
  */
 import {
 	WorkerOrders,
--- a/packages/member/src/lib/carriers/CarriedOrder.ts
+++ b/packages/member/src/lib/carriers/CarriedOrder.ts
@@ -1,4 +1,4 @@
-/** Orders to workers as they travel from the leader to the instance that carries them, and what came of them. */
+/** Orders to workers, as sent from the leader to the instance that carries them, and their results. */
 import type {
 	OrderResult,
 	OrderTarget,
@@ -10,39 +10,42 @@
 } from '@rillrudder/jobs'
 import { decodeBatch, isJsonObject } from '../messageBodies'
 
-/** What a worker is told. @internal */
+/** The kind and content of an order. @internal */
 export type CarriedBody =
 	| { readonly kind: 'start'; readonly order: StartOrder }
 	| { readonly kind: 'stop'; readonly order: StopOrder }
 	| { readonly kind: 'pace'; readonly order: PaceOrder }
 	| { readonly kind: 'poll'; readonly order: PollOrder }
 
-/** One order with the worker that it is for. @internal */
+/** An order with its target worker. @internal */
 export interface CarriedOrder {
-	/** Unique within the leadership that gives it. */
+	/** Unique within the leadership that sends it. */
 	readonly id: number
 	readonly worker: OrderTarget
 	readonly body: CarriedBody
 }
 
-/** What came of one order. @internal */
+/** The result of one order. @internal */
 export interface CarriedResult {
-	/** Of the order. */
+	/** Id of the order. */
 	readonly id: number
 	readonly result: OrderResult | PollResult
 }
 
-/** @returns orders or results as bytes. @internal */
+/** @returns the encoded batch of orders or results. @internal */
 export function encodeCarried(batch: readonly (CarriedOrder | CarriedResult)[]): Buffer {
 	return Buffer.from(JSON.stringify(batch))
 }
 
-/** @returns the orders of a batch that can be read; the others bring no result, and count as not carried. @internal */
+/**
+ * @returns the valid orders of a batch; invalid ones get no result and count as not carried.
+ * @internal
+ */
 export function decodeOrders(body: Uint8Array): CarriedOrder[] {
 	return decodeBatch(body).filter(isOrder)
 }
 
-/** @returns the results of a batch that can be read. @internal */
+/** @returns the valid results of a batch. @internal */
 export function decodeResults(body: Uint8Array): CarriedResult[] {
 	return decodeBatch(body).filter(isResult)
 }
--- a/packages/member/src/lib/carriers/CarriedOrders.test.ts
+++ b/packages/member/src/lib/carriers/CarriedOrders.test.ts
@@ -1,4 +1,7 @@
-/** Orders go through the instance in the worker's data centre, and from here once that one falls silent. */
+/**
+ * Orders go through the instance in the worker's data centre, and from here once that one falls
+ * silent.
+ */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import { WorkerOrders, type OrderResult, type OrderTarget, type PollResult } from '@rillrudder/jobs'
--- a/packages/member/src/lib/carriers/CarriedOrders.ts
+++ b/packages/member/src/lib/carriers/CarriedOrders.ts
@@ -1,7 +1,8 @@
 /**
- * The orders of one leadership, carried to workers by other instances of the core. Decisions, leases and what counts
- * as lost stay with the leader. An instance that falls silent is told from a worker that does so: its orders come back
- * as not carried, and go out again from here while it rests.
+ * The orders of one leadership, carried to workers by other instances of the core. Decisions,
+ * leases and the detection of lost workers stay with the leader. An unresponsive carrier is told
+ * apart from an unresponsive worker: its orders are returned as not carried, and are sent directly
+ * from here while the carrier is in backoff.
  */
 import {
 	WorkerOrders,
@@ -23,44 +24,49 @@
 import { CarrierSelector, type Carrier } from './CarrierSelector'
 
 /**
- * Workers from which orders are carried. Below, the leader has processor time to spare (0.2 of a core at 33 workers),
- * and a hop would only cost time.
+ * Number of workers from which orders are carried. With fewer, the leader has processor time to
+ * spare (0.2 of a core at 33 workers), and a hop would only add latency.
  */
 const MIN_WORKERS = 100
 /**
- * Milliseconds without a word after which an instance counts as silent: replicas answer every 50. To be wrong costs a second
- * copy of the orders that it has; to wait costs a start for each of them, of which urgent ones have 0.5 s in hand.
+ * Milliseconds without a message after which a carrier counts as unresponsive; replicas answer
+ * every 50. A false alarm costs a second copy of its orders; waiting longer delays each of them,
+ * and urgent starts have only 0.5 s to spare.
  */
 const SILENCE_TIMEOUT_MS = 160
-/** Milliseconds for which an instance that did not carry an order is given none. */
+/** Milliseconds for which an instance that failed to carry an order gets no orders. */
 const CARRIER_BACKOFF_MS = 1000
 /**
- * Milliseconds for which orders to one instance gather after some went there: a message costs both ends as much as many orders in it. The first
- * one goes at once, and none is later by more than a commit.
+ * Milliseconds for which orders to one instance are batched after the previous message: a message
+ * costs both ends as much as many orders in it. The first one is sent at once, and none is delayed
+ * by more than a commit.
  */
 const BATCH_DELAY_MS = 8
-/** Milliseconds between two readings of the clock beyond which the leader itself was late, and not the others. */
+/**
+ * Milliseconds between two ticks beyond which the leader itself was late, so that carriers are not
+ * taken as unresponsive.
+ */
 const LATE_TICK_MS = 100
 
-/** What the orders of a leadership need of its instance. @public */
+/** Dependencies of carried orders. @public */
 export interface CarriedOrdersParts {
-	/** Reaches workers from here. */
+	/** Sends orders to workers directly from this instance. */
 	readonly direct: WorkerOrders
 	/** Term of the leadership. */
 	readonly term: number
-	/** This life of the instance, unlike any other. */
+	/** Unique id of this start of the instance. */
 	readonly incarnation: string
 	readonly clock: Clock
 	readonly log: Log
-	/** Instances of the core that are linked now, without this one. */
+	/** Instances of the core that are linked at the moment, without this one. */
 	readonly linkedCarriers: () => readonly Carrier[]
-	/** How much each of them is given; all alike if absent. */
+	/** The share of workers that each of them gets; equal shares if absent. */
 	readonly weights?: CarrierWeights
-	/** @returns when an instance last said something, on this one's clock. */
+	/** @returns when an instance last sent a message, on this instance's clock. */
 	readonly lastHeardAt: (id: string) => number
-	/** How many workers there are. */
+	/** @returns the number of workers of the cell. */
 	readonly workerCount: () => number
-	/** Sends orders to an instance. @returns false when they were dropped for certain. */
+	/** Sends orders to an instance. @returns false if they were certainly not sent. */
 	readonly send: (to: string, batch: OrderBatch) => boolean
 }
 
@@ -73,7 +79,7 @@
 type Result = OrderResult | PollResult
 
 /**
- * Orders that other instances carry.
+ * Sends orders to workers through carriers, or directly where there is none.
  *
  * @public
  */
@@ -81,15 +87,18 @@
 	private readonly selector = new CarrierSelector()
 	private readonly pending = new Map<number, Pending>()
 	private readonly outgoing = new Map<string, CarriedOrder[]>()
-	/** When orders last went to each instance. */
+	/** When orders were last sent to each instance. */
 	private readonly sentAt = new Map<string, number>()
-	/** Set while orders gather. */
+	/** Set while orders wait for the next batch. */
 	private timer: Timer | undefined
-	/** Until when instances that did not carry an order are given none. */
+	/** Until when instances that failed to carry an order get none. */
 	private readonly backoffUntil = new Map<string, number>()
 	private lastId = 0
 	private lastTickAt: number
-	/** Once there were enough workers orders stay carried, so that connections are not given up for a few of them. */
+	/**
+	 * Stays set once there were enough workers, so that the loss of a few doesn't close the
+	 * carriers' connections.
+	 */
 	private isCarrying = false
 
 	constructor(private readonly parts: CarriedOrdersParts) {
@@ -127,13 +136,13 @@
 		if (!carried) this.parts.direct.poll(worker, order, done)
 	}
 
-	/** Takes results from an instance. */
+	/** Handles the results that a carrier returns; those of another term are ignored. */
 	onResults({ term, body }: OrderResults): void {
 		if (term !== this.parts.term) return
 		for (const { id, result } of decodeResults(body)) this.settle(id, result)
 	}
 
-	/** Sends the orders that need gather no longer; to be called at the end of every turn in which some may have been given. */
+	/** Sends the batches that are due; called at the end of every turn that may have given orders. */
 	flush(): void {
 		const now = this.parts.clock.now()
 		for (const [carrier, orders] of [...this.outgoing]) {
@@ -143,7 +152,7 @@
 		}
 	}
 
-	/** Finds instances that have fallen silent, and those that can carry again. */
+	/** Detects carriers that are unresponsive or overdue, and those that can carry again. */
 	tick(now: number): void {
 		const isLate = now - this.lastTickAt > LATE_TICK_MS
 		this.lastTickAt = now
@@ -152,19 +161,19 @@
 		this.refresh(now)
 	}
 
-	/** A link is lost: what was sent over it brings no result any more. */
+	/** Returns the orders of a carrier as not carried after its link is lost. */
 	onLinkLost(carrier: string): void {
 		this.fail(carrier, 'the link is lost')
 	}
 
-	/** The leadership is over. */
+	/** Ends the leadership: pending orders get no result. */
 	end(): void {
 		this.timer?.cancel()
 		this.pending.clear()
 		this.outgoing.clear()
 	}
 
-	/** @returns whether another instance carries the order. */
+	/** Queues an order for a carrier. @returns whether there is one for the worker. */
 	private carry(worker: OrderTarget, body: CarriedBody, limit: number, done: Done): boolean {
 		const carrier = this.isCarrying ? this.selector.carrierFor(worker) : undefined
 		if (carrier === undefined) return false
@@ -224,7 +233,10 @@
 		return now - this.parts.lastHeardAt(carrier) > SILENCE_TIMEOUT_MS
 	}
 
-	/** Nothing is known of what became of an instance's orders. */
+	/**
+	 * Returns the pending orders of a carrier as not carried, since their outcome is unknown, and
+	 * puts it into backoff.
+	 */
 	private fail(carrier: string, reason: string): void {
 		const { clock, log } = this.parts
 		const lost = [...this.pending].filter(([, pending]) => pending.carrier === carrier)
--- a/packages/member/src/lib/carriers/CarrierSelector.ts
+++ b/packages/member/src/lib/carriers/CarrierSelector.ts
@@ -1,6 +1,7 @@
 /**
- * Which instance carries orders to a worker: one in the worker's own data centre, always the same while it can be
- * used, so that connections are kept and orders to a worker keep their way.
+ * Selects the instance that carries orders to a worker: one in the worker's data centre, the same
+ * one as long as it is usable, so that connections are reused and orders to a worker keep their
+ * path.
  */
 import type { OrderTarget } from '@rillrudder/jobs'
 import { choose } from '../load/rendezvous'
@@ -14,22 +15,25 @@
 }
 
 /**
- * Chooses carriers.
+ * Selects carriers for workers.
  *
  * @internal
  */
 export class CarrierSelector {
 	private readonly byDataCentre = new Map<string, WeightedCarrier[]>()
 	private count = 0
-	/** Data centres where weights have differed: they count for good, so that a carrier that goes moves no other's workers. */
+	/**
+	 * Data centres whose carriers have ever differed in weight. They stay weighted, so that a lost
+	 * carrier moves only its own workers.
+	 */
 	private readonly weighted = new Set<string>()
 
-	/** How many instances can carry orders. */
+	/** The number of instances that can carry orders. */
 	get size(): number {
 		return this.count
 	}
 
-	/** These instances can carry orders from now on, and no others. */
+	/** Replaces the instances that can carry orders. */
 	setCarriers(carriers: readonly WeightedCarrier[]): void {
 		this.byDataCentre.clear()
 		this.count = carriers.length
@@ -44,7 +48,7 @@
 		}
 	}
 
-	/** An instance can carry no orders for now. */
+	/** Removes an instance until the next `setCarriers`. */
 	remove(id: string): void {
 		for (const [dataCentre, carriers] of this.byDataCentre) {
 			const others = carriers.filter((other) => other.id !== id)
@@ -53,7 +57,10 @@
 		}
 	}
 
-	/** @returns the instance that carries orders to a worker; undefined when none in its data centre can. */
+	/**
+	 * @returns the id of the instance that carries orders to a worker; undefined if its data centre
+	 * has none.
+	 */
 	carrierFor({ id, dataCentre }: OrderTarget): string | undefined {
 		const carriers = this.byDataCentre.get(dataCentre) ?? []
 		if (carriers.length <= 1) return carriers[0]?.id
--- a/packages/member/src/lib/carriers/MessageDelays.ts
+++ b/packages/member/src/lib/carriers/MessageDelays.ts
@@ -1,23 +1,27 @@
 /**
- * How long messages of peers were held up on their way: in a process that stood still, or on a link that was cut. Two steady clocks have no common
- * start, so the least difference that was seen between the sender's and this one's stands for a message that was not held up.
+ * Estimates how long messages of peers were delayed, in a process that stalled or on a link that
+ * was cut. Two monotonic clocks have no common origin, so the smallest offset seen between the
+ * sender's clock and this one stands for a message without delay.
  */
 import type { SendTime } from '@rillrudder/protocol'
 
-/** Share by which one steady clock may run faster than the other. */
+/** Fraction by which one monotonic clock may run faster than the other. */
 const MAX_CLOCK_DRIFT = 0.01
-/** Lives of one peer that are remembered: a message of an earlier one may come after it has started again. */
+/**
+ * Remembered incarnations of a peer: a message of an earlier one may arrive after the peer has
+ * restarted.
+ */
 const MAX_INCARNATIONS = 4
 
 interface SmallestOffset {
-	/** Milliseconds between the sender's clock and this one's. */
+	/** Milliseconds by which this clock is ahead of the sender's, transit included. */
 	readonly offset: number
-	/** When that was seen, on this clock. */
+	/** When it was observed, on this clock. */
 	readonly seenAt: number
 }
 
 /**
- * The ages of messages.
+ * Estimates the delays of messages.
  *
  * @internal
  */
@@ -25,12 +29,12 @@
 	private readonly peers = new Map<string, Map<string, SmallestOffset>>()
 
 	/**
-	 * A message has come.
+	 * Records the arrival of a message.
 	 *
-	 * @param from - its sender.
-	 * @param sent - when it was sent; absent where the sender does not tell.
-	 * @param now - the moment, on this instance's clock.
-	 * @returns milliseconds for which it was held up; 0 for the first message of a sender's life.
+	 * @param from - the sender.
+	 * @param sent - when it was sent; undefined if the sender does not report it.
+	 * @param now - the time of arrival, on this instance's clock.
+	 * @returns the delay in milliseconds; 0 for the first message of a sender's incarnation.
 	 */
 	observe(from: string, sent: SendTime | undefined, now: number): number {
 		if (!sent) return 0
--- a/packages/member/src/lib/carriers/OrderCarrier.ts
+++ b/packages/member/src/lib/carriers/OrderCarrier.ts
@@ -1,8 +1,9 @@
 /**
- * Carries orders for the leader of the cell. An instance that does so keeps the connections to the workers and decides
- * nothing. What an order brings (term, attempt, end of the lease) tells its worker whether it still holds; but a worker that has started again under
- * its id meanwhile knows nothing of what it ran, and would run it again. So orders that were held up, in an instance that stood still or on a
- * link that was cut, are dropped: their leader has given them up by then.
+ * Carries orders to workers for the leader of the cell: keeps the connections to the workers and
+ * decides nothing. From the term, attempt and lease end in an order, its worker can tell whether it
+ * is still valid. But a worker that was restarted under the same id meanwhile does not know what it
+ * ran before, and would run it again. So orders that were delayed, in a stalled instance or on a
+ * cut link, are dropped: their leader has abandoned them by then.
  */
 import type { OrderResult, PollResult, WorkerOrders } from '@rillrudder/jobs'
 import type { OrderBatch, OrderResults, SendTime } from '@rillrudder/protocol'
@@ -10,17 +11,21 @@
 import { MessageDelays } from './MessageDelays'
 import { decodeOrders, encodeCarried, type CarriedOrder, type CarriedResult } from './CarriedOrder'
 
-/** Milliseconds for which results gather, since a message costs thirty times as much as a result in it. */
+/**
+ * Milliseconds for which results are batched: a message costs thirty times as much as a result in
+ * it.
+ */
 const BATCH_DELAY_MS = 8
 
 /**
- * Milliseconds that an order may take besides its own wait, and be held up on its way: a call to a worker has 250. Then its leader gives it up.
+ * Milliseconds that an order may take besides its own wait, and that it may be delayed in transit,
+ * after which its leader abandons it. A call to a worker has a timeout of 250.
  *
  * @internal
  */
 export const ORDER_TIMEOUT_MS = 500
 
-/** Results on their way to one leader. */
+/** Results that wait to be sent to one leader. */
 interface ResultBatch {
 	readonly term: number
 	readonly results: CarriedResult[]
@@ -36,10 +41,10 @@
 	private readonly delays = new MessageDelays()
 
 	/**
-	 * @param orders - reaches the workers from here.
-	 * @param clock - for the time that results gather.
-	 * @param send - sends results to a leader; it misses those that can't be sent.
-	 * @param onDropped - told of orders that were held up for so many milliseconds and are not carried.
+	 * @param orders - sends orders to the workers from this instance.
+	 * @param clock - for batching and message delays.
+	 * @param send - sends results to a leader; those that can't be sent are lost.
+	 * @param onDropped - called with the number of dropped orders and their delay in milliseconds.
 	 */
 	constructor(
 		private readonly orders: WorkerOrders,
@@ -49,12 +54,12 @@
 			undefined
 	) {}
 
-	/** Another instance has said something, which tells how its clock stands to this one's. */
+	/** Records a message of another instance, which shows the offset of its clock. */
 	onMessage(from: string, sent: SendTime | undefined): void {
 		this.delays.observe(from, sent, this.clock.now())
 	}
 
-	/** Carries a batch of orders of a leader, unless it was held up. */
+	/** Carries a leader's batch of orders, unless it was delayed. */
 	onOrders(leader: string, { term, body, sent }: OrderBatch): void {
 		const heldUp = this.delays.observe(leader, sent, this.clock.now())
 		const orders = decodeOrders(body)
@@ -83,7 +88,7 @@
 			batch.results.push(result)
 			return
 		}
-		// Results of an earlier term interest nobody any more.
+		// Unsent results of an earlier term stay in its own batch: its leader has abandoned their orders.
 		const newBatch = { term, results: [result] }
 		this.batches.set(leader, newBatch)
 		this.clock.after(BATCH_DELAY_MS, () => this.flush(leader, newBatch))
--- a/packages/member/src/lib/load/CarrierWeights.ts
+++ b/packages/member/src/lib/load/CarrierWeights.ts
@@ -1,6 +1,7 @@
 /**
- * How much of its data centre's workers each carrier gets: by its processor, and less while its event loop is late. A late one gives up a
- * tenth of its workers a second, and takes them back as slowly, so that connections and orders don't move all at once.
+ * Computes the share of its data centre's workers that each carrier gets: in proportion to its
+ * processor, and less while its event loop is late. A late carrier loses a tenth of its workers per
+ * second and regains them at the same rate, so that connections and orders don't move all at once.
  */
 import { Measure, type Log, type Meter } from '@rillrudder/telemetry'
 import type { Carrier } from '../carriers/CarrierSelector'
@@ -9,28 +10,31 @@
 import type { FreshLoad, PeerLoads } from './PeerLoads'
 import type { Candidate } from './rendezvous'
 
-/** Milliseconds between two steps. */
+/** Milliseconds between two changes of a carrier's share. */
 const STEP_INTERVAL_MS = 1000
-/** Tenths of its workers that a carrier keeps at least: what it still carries shows whether it has recovered. */
+/**
+ * Minimum tenths of its workers that a carrier keeps: the remaining load shows whether it has
+ * recovered.
+ */
 const MIN_TENTHS = 2
 const ALL_TENTHS = 10
 
-/** A carrier with its part of the workers. @internal */
+/** A carrier with its share of the workers. @internal */
 export interface WeightedCarrier extends Carrier, Candidate {}
 
 interface ReducedShare {
-	/** Tenths of its workers that it keeps. */
+	/** Tenths of its workers that the carrier keeps. */
 	tenths: number
 	steppedAt: number
 }
 
 /**
- * The parts of all carriers.
+ * Computes the weights of all carriers.
  *
  * @internal
  */
 export class CarrierWeights {
-	/** Carriers that are late or have been. */
+	/** The carriers that keep less than all of their workers. */
 	private readonly reduced = new Map<string, ReducedShare>()
 
 	constructor(
@@ -39,7 +43,7 @@
 		private readonly meter: Meter
 	) {}
 
-	/** @returns carriers with their parts as of now. */
+	/** @returns the carriers with their current weights. */
 	weigh(carriers: readonly Carrier[], now: number): WeightedCarrier[] {
 		const known = carriers.flatMap(({ id }) => this.loads.processorOf(id) ?? [])
 		const fallback = known.length > 0 ? Math.max(...known) : 1
@@ -71,7 +75,10 @@
 	}
 }
 
-/** Without fresh word of its load a carrier counts as punctual: what is wrong with it otherwise shows in its results. */
+/**
+ * @returns the change in tenths. Without a fresh load report a carrier counts as punctual; other
+ * faults show in its results.
+ */
 function stepOf({ tenths }: ReducedShare, load: FreshLoad | undefined): number {
 	const { loopDelay } = load ?? { loopDelay: 0 }
 	if (loopDelay >= LATE_LOOP_MS && tenths > MIN_TENTHS) return -1
--- a/packages/member/src/lib/load/CellLoads.ts
+++ b/packages/member/src/lib/load/CellLoads.ts
@@ -1,4 +1,7 @@
-/** What a core instance knows of its own load and of the others', and what follows for the questions that it gives out while it leads. */
+/**
+ * The loads of this core instance and its peers, from which a leader selects the instances to ask
+ * for advice.
+ */
 import type { AdviserStanding } from '@rillrudder/jobs'
 import type { LoadReport } from '@rillrudder/protocol'
 import { adviserStanding } from './adviserStanding'
@@ -11,32 +14,32 @@
  * @internal
  */
 export class CellLoads {
-	/** Of other core instances, from their news. */
+	/** Loads of other core instances, from their news. */
 	readonly core = new PeerLoads()
-	/** Of entry instances, from their answers to questions. */
+	/** Loads of entry instances, from their answers to questions. */
 	readonly entry = new PeerLoads()
 
 	/**
 	 * @param self - id of this instance.
-	 * @param own - its load.
+	 * @param own - the load of this instance.
 	 */
 	constructor(
 		private readonly self: string,
 		private readonly own: InstanceLoad
 	) {}
 
-	/** @returns what others are told of this instance. */
+	/** @returns the load report of this instance for its peers. */
 	report(): LoadReport {
 		return this.own.report()
 	}
 
-	/** A link is lost. */
+	/** Discards the load of a peer whose link is lost. */
 	onLinkLost(peer: string): void {
 		this.core.onLinkLost(peer)
 		this.entry.onLinkLost(peer)
 	}
 
-	/** @returns how well an instance can ask for advice. */
+	/** @returns how suited an instance is to ask for advice. */
 	standingOf(id: string, now: number): AdviserStanding {
 		const own = id === this.self ? { ...this.report(), age: 0 } : undefined
 		const load = own ?? this.core.loadOf(id, now) ?? this.entry.loadOf(id, now)
--- a/packages/member/src/lib/load/EntryLoad.ts
+++ b/packages/member/src/lib/load/EntryLoad.ts
@@ -1,4 +1,7 @@
-/** What an entry instance tells of itself, and whether it takes new connections, by its own load. */
+/**
+ * The load of an entry instance: reports it to peers, and sheds new connections while it is too
+ * high.
+ */
 import type { CellReply } from '@rillrudder/jobs'
 import type { LoadReport } from '@rillrudder/protocol'
 import { Measure, type Log, type Meter } from '@rillrudder/telemetry'
@@ -8,7 +11,7 @@
 import { InstanceLoad } from './InstanceLoad'
 import { LoadShedder } from './LoadShedder'
 
-/** What the load of an entry instance is kept with. @internal */
+/** Dependencies of the load of an entry instance. @internal */
 export interface EntryLoadParts {
 	readonly capacity: InstanceCapacity
 	readonly clock: Clock
@@ -19,7 +22,7 @@
 }
 
 /**
- * The load of an entry instance.
+ * Tracks the load of an entry instance.
  *
  * @internal
  */
@@ -32,12 +35,12 @@
 		this.load = new InstanceLoad(capacity, period, clock.now())
 	}
 
-	/** Whether new connections may come here. */
+	/** Whether this instance accepts new connections. */
 	get acceptsConnections(): boolean {
 		return !this.shedder.isShedding
 	}
 
-	/** Reads the load and sets the gauges. */
+	/** Samples the load and updates the gauges. */
 	tick(): void {
 		const { clock, meter } = this.parts
 		this.load.tick(clock.now())
@@ -46,12 +49,12 @@
 		meter.gauge(Measure.CallsUnderWay, this.load.calls)
 	}
 
-	/** @returns what others are told. */
+	/** @returns the load report for peers. */
 	report(): LoadReport {
 		return this.load.report()
 	}
 
-	/** Passes a call on. */
+	/** Forwards a call and counts it as in flight until its reply. */
 	async track(send: () => Promise<CellReply>): Promise<CellReply> {
 		this.load.calls += 1
 		try {
--- a/packages/member/src/lib/load/InstanceLoad.ts
+++ b/packages/member/src/lib/load/InstanceLoad.ts
@@ -1,26 +1,26 @@
-/** How loaded this instance is, as it tells others in messages that pass anyway. */
+/** The load of this instance, reported to peers in messages that are sent anyway. */
 import type { LoadReport } from '@rillrudder/protocol'
 import { maxCalls, type InstanceCapacity } from './InstanceCapacity'
 import { LoopDelay } from './LoopDelay'
 
-/** Parts of the calls that an instance can hold, in which its fill is told. @internal */
+/** The reported `fill` of an instance that holds as many calls as it can. @internal */
 export const FILL_SCALE = 100
 
 /**
- * The load of this instance.
+ * Tracks the load of this instance.
  *
  * @internal
  */
 export class InstanceLoad {
-	/** Calls under way. */
+	/** Number of calls in flight. */
 	calls = 0
 	private readonly loop: LoopDelay
 	private readonly maxCalls: number
 
 	/**
-	 * @param capacity - what it has.
+	 * @param capacity - the capacity of this instance.
 	 * @param period - milliseconds between two calls of `tick`.
-	 * @param now - when the first period begins.
+	 * @param now - when the first period starts.
 	 */
 	constructor(
 		private readonly capacity: InstanceCapacity,
@@ -36,17 +36,17 @@
 		return this.loop.mean
 	}
 
-	/** Share of the calls that it can hold that are under way. */
+	/** Calls in flight as a share of those that the instance can hold. */
 	get fill(): number {
 		return this.calls / this.maxCalls
 	}
 
-	/** Reads the loop's delay off the timer that calls. */
+	/** Samples the event loop's delay; called by a periodic timer. */
 	tick(now: number): void {
 		this.loop.onTimer(now)
 	}
 
-	/** @returns what others are told. */
+	/** @returns the load report for peers. */
 	report(): LoadReport {
 		return {
 			processor: Math.round(this.capacity.processor),
--- a/packages/member/src/lib/load/LoadShedder.ts
+++ b/packages/member/src/lib/load/LoadShedder.ts
@@ -1,26 +1,31 @@
 /**
- * When an entry instance sends new connections elsewhere: it calls itself not ready, which costs nobody anything. What comes on the connections
- * that it has is served on. It refuses nothing by itself, since only a leader can tell that no earlier try of a job was taken.
+ * Decides when an entry instance sheds new connections: it reports itself as not ready, so that
+ * they go elsewhere at no cost to the callers. Calls on existing connections are still served. The
+ * instance refuses nothing by itself, since only a leader can tell that no earlier try of a job was
+ * accepted.
  */
 import { LATE_LOOP_MS } from './LoopDelay'
 
-/** What shedding follows from. @internal */
+/** The load figures that shedding depends on. @internal */
 export interface EntryLoadReading {
-	/** Milliseconds that the event loop is late. */
+	/** Event loop delay in milliseconds. */
 	readonly loopDelay: number
-	/** Share of the calls that the instance can hold that are under way. */
+	/** Calls in flight as a share of those that the instance can hold. */
 	readonly fill: number
 }
 
-/** Where callers are sent elsewhere. */
+/** Load from which new connections are shed. */
 const SHED_THRESHOLD: EntryLoadReading = { loopDelay: LATE_LOOP_MS, fill: 0.5 }
-/** Share of the bound below which a reading has to fall for shedding to end. */
+/** Share of the threshold below which the load has to fall for shedding to end. */
 const RECOVERY_SHARE = 0.5
-/** Milliseconds for which it has to stay there; a balancer that asks once a second needs two answers to notice anything. */
+/**
+ * Milliseconds for which the load has to stay there: a load balancer that checks once a second
+ * needs two answers to notice a change.
+ */
 const RECOVERY_PERIOD_MS = 2000
 
 /**
- * Whether one entry instance sheds new connections.
+ * Load shedding of one entry instance, with hysteresis.
  *
  * @internal
  */
@@ -29,12 +34,12 @@
 	/** When the load was last too high for shedding to end. */
 	private lastBusyAt = Number.NEGATIVE_INFINITY
 
-	/** Whether new connections are to go elsewhere. */
+	/** Whether new connections are shed. */
 	get isShedding(): boolean {
 		return this.shedding
 	}
 
-	/** Takes a reading. */
+	/** Updates the state from a load reading. */
 	update(reading: EntryLoadReading, now: number): void {
 		if (isAtOrAbove(reading, 1)) this.shedding = true
 		if (isAtOrAbove(reading, RECOVERY_SHARE)) this.lastBusyAt = now
--- a/packages/member/src/lib/load/LoopDelay.ts
+++ b/packages/member/src/lib/load/LoopDelay.ts
@@ -1,54 +1,54 @@
 /**
- * How late an event loop runs: a timer that fires late shows for how long whatever else is due has waited. It is read off a timer that
- * the instance has anyway.
+ * Measures event loop delay: a timer that fires late shows how long everything else that is due has
+ * waited. The sample comes from a timer that the instance needs anyway.
  */
 
 /**
- * Milliseconds from which a loop is late. An interactive job is to end within a quarter of a second, and the answer to its submission may
- * take a quarter of that.
+ * Milliseconds of delay from which a loop is late. An interactive job should end within 250 ms, and
+ * the answer to its submission may take a quarter of that.
  *
  * @internal
  */
 export const LATE_LOOP_MS = 60
-/** Milliseconds below which a loop that was late is so no longer. @internal */
+/** Milliseconds of delay below which a late loop is punctual again. @internal */
 export const PUNCTUAL_LOOP_MS = 20
 
 /** Milliseconds over which the delay is averaged. */
 const AVERAGING_WINDOW_MS = 1000
-/** Milliseconds that one reading counts for at most, so that a long standstill is soon forgotten. */
+/** Upper bound of one sample in milliseconds, so that a long stall soon drops out of the average. */
 const MAX_SAMPLE_MS = 500
 
 /**
- * The delay of one event loop.
+ * Averages the delay of one event loop.
  *
  * @internal
  */
 export class LoopDelay {
 	private average = 0
-	/** Milliseconds that the last firing was late. */
+	/** Milliseconds by which the last firing was late. */
 	private lastDelay = 0
 
 	/**
-	 * @param period - milliseconds between two firings of the timer, were it never late.
-	 * @param lastFiredAt - when it was set.
+	 * @param period - the timer's period in milliseconds.
+	 * @param lastFiredAt - when the timer was set.
 	 */
 	constructor(
 		private readonly period: number,
 		private lastFiredAt: number
 	) {}
 
-	/** Milliseconds that the loop is late, averaged over the last second. */
+	/** Delay of the loop in milliseconds, averaged over the last second. */
 	get mean(): number {
 		return this.average
 	}
 
-	/** The timer fires. */
+	/** Records that the timer has fired. */
 	onTimer(now: number): void {
 		const elapsed = now - this.lastFiredAt
 		this.lastFiredAt = now
 		const delay = Math.min(MAX_SAMPLE_MS, Math.max(0, elapsed - this.period))
 		const share = 1 - Math.exp(-Math.min(elapsed, MAX_SAMPLE_MS) / AVERAGING_WINDOW_MS)
-		// A process that stood still once, while it started or its machine was stopped, is not overloaded.
+		// A single stall, such as at process start or while the machine was suspended, is not overload.
 		const sustained = Math.min(delay, this.lastDelay)
 		this.lastDelay = delay
 		this.average += (sustained - this.average) * share
--- a/packages/member/src/lib/load/adviserStanding.ts
+++ b/packages/member/src/lib/load/adviserStanding.ts
@@ -1,23 +1,23 @@
-/** How well an instance can ask for advice, as the leader's choice among free ones takes it. */
+/** Rates how suited an instance is to ask for advice; the leader selects among free instances by it. */
 import type { AdviserStanding } from '@rillrudder/jobs'
 import { FILL_SCALE } from './InstanceLoad'
 import { LATE_LOOP_MS } from './LoopDelay'
 import type { FreshLoad } from './PeerLoads'
 
-/** Parts in which the fill of an instance is compared, so that all are alike while there is little to do. */
+/** Steps in which the fill of instances is compared, so that all rank equal under low load. */
 const FILL_STEPS = 4
-/** Share of the largest entry instance's processor below which another one is small. */
+/** Share of the largest entry instance's processor below which an instance counts as small. */
 const SMALL_SHARE = 0.5
 
-/** What is known of an instance's processor. @internal */
+/** The processor of an instance, as far as known. @internal */
 export interface KnownProcessor {
-	/** Thousandths of a core; undefined where it is not known, and for core instances. */
+	/** Thousandths of a core; undefined if unknown, and for core instances. */
 	readonly processor: number | undefined
-	/** The same of the largest entry instance. */
+	/** Processor of the largest entry instance, in thousandths of a core. */
 	readonly largest: number
 }
 
-/** @returns where an instance stands; what is not known of it counts for nothing. @internal */
+/** @returns the standing of an instance; unknown figures don't count against it. @internal */
 export function adviserStanding(
 	load: FreshLoad | undefined,
 	{ processor, largest }: KnownProcessor
--- a/packages/member/src/lib/load/rendezvous.ts
+++ b/packages/member/src/lib/load/rendezvous.ts
@@ -1,28 +1,31 @@
 /**
- * Weighted rendezvous hashing: each pair of a worker and a candidate has a score of its own, and the highest is chosen. So a candidate that
- * comes or goes moves only the workers that it gains or had.
+ * Weighted rendezvous hashing: each pair of a worker and a candidate has its own score, and the
+ * highest is chosen. A candidate that joins or leaves thus moves only the workers that it gains or
+ * had.
  */
 import { textHash } from '@rillrudder/utils'
 
-/** One that can be chosen. @internal */
+/** A candidate for a worker. @internal */
 export interface Candidate {
 	readonly id: string
-	/** Its part of the workers, against the others' weights. */
+	/** Weight relative to the other candidates: its share of the workers. */
 	readonly weight: number
-	/** Share from 0 to 1 of those workers that it keeps for now. */
+	/** Share from 0 to 1 of those workers that it keeps at the moment. */
 	readonly kept: number
 }
 
-/** How scores are made. @internal */
+/** Options of the score. @internal */
 export interface RendezvousOptions {
-	/** Whether weights count; without them all candidates are taken as equal. */
+	/** Whether weights count; otherwise all candidates are equal. */
 	readonly weighted: boolean
 }
 
 /**
+ * Chooses the candidate for a worker.
+ *
  * @param worker - id of the worker.
  * @param candidates - in the order in which equal scores are preferred.
- * @returns the candidate that is chosen; undefined for none.
+ * @returns the chosen candidate; undefined if there is none.
  * @internal
  */
 export function choose(
@@ -44,7 +47,10 @@
 	return best
 }
 
-/** Whether a worker is among those that a candidate keeps; what all give up alike, none does. */
+/**
+ * Whether a candidate keeps a worker. Shares are relative to the largest one: if all are reduced
+ * alike, nothing moves.
+ */
 function isKept(worker: string, { id, kept }: Candidate, maxKept: number): boolean {
 	return kept >= maxKept || uniformHash(`${id} ${worker}`) < kept / maxKept
 }
@@ -57,12 +63,12 @@
 	return -weight / Math.log(uniformHash(`${worker} ${id}`))
 }
 
-/** @returns a number between 0 and 1; texts that differ in little have numbers that have nothing in common. */
+/** @returns a number between 0 and 1; similar texts give unrelated numbers. */
 function uniformHash(text: string): number {
 	return (mixBits(textHash(text)) + 0.5) / 2 ** 32
 }
 
-/** The last step of MurmurHash3: every bit of the number changes every bit of the result. */
+/** The finalizer of MurmurHash3: every bit of the input affects every bit of the result. */
 function mixBits(number: number): number {
 	let bits = number
 	bits = Math.imul(bits ^ (bits >>> 16), 0x85ebca6b)
--- a/packages/member/src/lib/messageBodies.test.ts
+++ b/packages/member/src/lib/messageBodies.test.ts
@@ -1,4 +1,7 @@
-/** Messages between instances: bytes that hold none never throw, and a call that can't be handled ends nothing. */
+/**
+ * Messages between instances: bytes that hold none never throw, and a call that can't be handled
+ * ends nothing.
+ */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import type { CellCall, CellReply } from '@rillrudder/jobs'
--- a/packages/member/src/lib/messageBodies.ts
+++ b/packages/member/src/lib/messageBodies.ts
@@ -1,6 +1,7 @@
 /**
- * Decodes the bodies of messages between instances. They come from this program, in this version or an adjacent one, so
- * the fields of a known call are not validated. Malformed bytes and unknown kinds decode to nothing and never throw.
+ * Decodes the bodies of messages between instances. They come from this program, in this version or
+ * an adjacent one, so the fields of a known call are not validated. Malformed bytes and unknown
+ * kinds decode to nothing and never throw.
  */
 import type { CellCall, CellReply } from '@rillrudder/jobs'
 
@@ -19,7 +20,10 @@
 	advise: true,
 }
 
-/** @returns the call in a message body; undefined if it is malformed or of an unknown kind. @internal */
+/**
+ * @returns the call in a message body; undefined if it is malformed or of an unknown kind.
+ * @internal
+ */
 export function decodeCall(body: Uint8Array): CellCall | undefined {
 	const call = decodeJson(body)
 	const kind = kindOf(call)
--- a/packages/member/src/lib/selectEntryPeers.ts
+++ b/packages/member/src/lib/selectEntryPeers.ts
@@ -1,6 +1,7 @@
 /**
- * Selects the instances of the core that an entry instance keeps links to. Every link costs messages on both sides, and
- * a large core has many instances; needed are the leader, and others that announce a new one once it is lost.
+ * Selects the instances of the core that an entry instance keeps links to. Every link costs
+ * messages on both sides, and a large core has many instances; needed are the leader, and others
+ * that announce a new one once it is lost.
  */
 
 import { textHash } from '@rillrudder/utils'
