--- a/packages/member/src/lib/CommandBatcher.test.ts
+++ b/packages/member/src/lib/CommandBatcher.test.ts
@@ -5,13 +5,13 @@
 import { ManualClock } from '@rillrudder/utils'
 import { CommandBatcher } from './CommandBatcher'
 
-/** Longer than commands wait for an entry that is under way. */
-const LONG = 20
+/** Longer than commands wait for an entry in flight. */
+const LONG_WAIT_MS = 20
 
-/** Takes proposals, and says whether its leader may act. */
+/** Accepts proposals; a test sets whether its leader may act. */
 class TestGroup {
 	mayAct = true
-	/** Ids that each entry tells of. */
+	/** Ids of the commands in each entry. */
 	readonly entries: string[][] = []
 
 	propose([bytes]: readonly Uint8Array[]): boolean {
@@ -24,59 +24,59 @@
 class Subject {
 	readonly clock = new ManualClock()
 	readonly group = new TestGroup()
-	readonly batching = new CommandBatcher(this.group, this.clock, new Meter())
+	readonly batcher = new CommandBatcher(this.group, this.clock, new Meter())
 	readonly done: string[] = []
 
-	/** Proposes in a turn of its own. */
+	/** Proposes a command in a separate turn. */
 	turn(id: string): void {
 		const command: CellCommand = { kind: 'cancel', id, at: 0 }
-		this.batching.propose(command, () => this.done.push(id))
-		this.batching.flush()
+		this.batcher.propose(command, () => this.done.push(id))
+		this.batcher.flush()
 	}
 }
 
-test('a command goes out in its own turn when no entry is under way', () => {
+test('a command is proposed in its own turn when no entry is in flight', () => {
 	const subject = new Subject()
 	subject.turn('a')
-	subject.batching.onEntryApplied()
+	subject.batcher.onEntryApplied()
 	subject.turn('b')
 	assert.deepEqual(subject.group.entries, [['a'], ['b']])
 	assert.deepEqual(subject.done, ['a'])
 })
 
-test('hundreds of turns a second make one entry for each commit, in order, and each command is told once', () => {
+test('hundreds of turns a second make one entry per commit, in order, and each callback runs once', () => {
 	const subject = new Subject()
 	for (const id of ['a', 'b', 'c', 'd']) subject.turn(id)
 	assert.deepEqual(subject.group.entries, [['a']])
-	subject.batching.onEntryApplied()
-	subject.batching.flush()
-	subject.batching.onEntryApplied()
+	subject.batcher.onEntryApplied()
+	subject.batcher.flush()
+	subject.batcher.onEntryApplied()
 	assert.deepEqual(subject.group.entries, [['a'], ['b', 'c', 'd']])
 	assert.deepEqual(subject.done, ['a', 'b', 'c', 'd'])
-	subject.clock.advance(LONG)
+	subject.clock.advance(LONG_WAIT_MS)
 	assert.equal(subject.group.entries.length, 2)
 })
 
-test('while a disk is slow commands wait no longer than a short span for the entry before them', () => {
+test('on a slow disk, commands wait only for the batch delay for the entry before them', () => {
 	const subject = new Subject()
 	subject.turn('a')
 	subject.turn('b')
-	subject.clock.advance(LONG)
+	subject.clock.advance(LONG_WAIT_MS)
 	assert.deepEqual(subject.group.entries, [['a'], ['b']])
 })
 
-test('what waits is not proposed by an instance that may not act, or that leads no more', () => {
+test('waiting commands are not proposed by an instance that may not act or no longer leads', () => {
 	const subject = new Subject()
 	subject.turn('a')
 	subject.turn('b')
 	subject.group.mayAct = false
-	subject.clock.advance(LONG)
+	subject.clock.advance(LONG_WAIT_MS)
 	assert.deepEqual(subject.group.entries, [['a']])
 	subject.group.mayAct = true
-	subject.batching.flush()
+	subject.batcher.flush()
 	assert.deepEqual(subject.group.entries, [['a'], ['b']])
 	subject.turn('c')
-	subject.batching.end()
-	subject.clock.advance(LONG)
+	subject.batcher.end()
+	subject.clock.advance(LONG_WAIT_MS)
 	assert.equal(subject.group.entries.length, 2)
 })
--- a/packages/member/src/lib/HeartbeatBatcher.test.ts
+++ b/packages/member/src/lib/HeartbeatBatcher.test.ts
@@ -53,7 +53,7 @@
 		return this.heartbeats.handle({ worker: { ...WORKER, ...changes }, sequence, draining })
 	}
 
-	/** Lets time pass, and answers come. */
+	/** Advances the clock and lets replies resolve. */
 	async run(span: number): Promise<void> {
 		for (let spent = 0; spent < span; spent += 100) {
 			this.clock.advance(100)
@@ -63,7 +63,7 @@
 	}
 }
 
-test('heartbeats of a while are told at once, each worker once, with how long ago it was heard', () => {
+test('a batch reports each worker once, with the age of its last heartbeat', () => {
 	const subject = new Subject()
 	assert.ok(subject.isBatched(4))
 	subject.clock.advance(100)
@@ -72,7 +72,7 @@
 	assert.deepEqual(subject.reports, [[{ worker: 'w1', sequence: 5, clock: undefined, age: 200 }]])
 })
 
-test('what the replica does not know, what changes and what leaves is not gathered', () => {
+test('heartbeats of unknown, changed, draining and removed workers are not batched', () => {
 	const subject = new Subject()
 	assert.equal(subject.isBatched(1, { id: 'w2', address: 'h:2' }), false)
 	assert.equal(subject.isBatched(1, { id: 'w2' }), false)
@@ -82,7 +82,7 @@
 	assert.equal(subject.isBatched(2), false)
 })
 
-test('without a leader that can be told, workers are not told that they were heard', async () => {
+test('without a reachable leader, heartbeats are not acknowledged from a batch', async () => {
 	const subject = new Subject()
 	subject.hasLeader = false
 	assert.equal(subject.isBatched(1), false)
@@ -97,8 +97,9 @@
 	assert.ok(subject.isBatched(4))
 })
 
-// Guards against a busy leader that is kept busy: what it could not answer in time was sent again singly, thousands of calls a second.
-test('heartbeats that a busy leader has not answered are told again with later ones, and never each by itself', async () => {
+// Guards against keeping a busy leader busy: heartbeats that it had not answered in time were forwarded
+// one by one, thousands of calls a second.
+test('heartbeats that a busy leader has not answered are reported again with later ones, never one by one', async () => {
 	const subject = new Subject()
 	subject.answer = { kind: 'unknown', reason: 'no answer from a leader' }
 	assert.equal(subject.handle(1), HeartbeatHandling.Batched)
@@ -113,7 +114,7 @@
 	assert.equal(subject.reports.length, before)
 })
 
-test('where the leader goes on giving no answer, workers are sent to other instances at once, until it answers', async () => {
+test('while the leader keeps not answering, workers are sent to other instances at once', async () => {
 	const subject = new Subject()
 	subject.answer = { kind: 'unknown', reason: 'no answer from a leader' }
 	assert.equal(subject.handle(1), HeartbeatHandling.Batched)
--- a/packages/member/src/lib/LeaderCalls.test.ts
+++ b/packages/member/src/lib/LeaderCalls.test.ts
@@ -1,4 +1,4 @@
-/** What a caller is told when leaders come and go: "not run" only when that is certain. */
+/** Replies to callers across leader changes: `not-run` only if it is certain. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import type { CellCall, CellReply } from '@rillrudder/jobs'
@@ -17,7 +17,7 @@
 	job: { spec: '', steps: [] },
 }
 const FINALITY: RetryLimits = { leaderWait: 800, limit: 1500 }
-/** Of a caller who waits longer than it takes to find a leader. */
+/** Limits of a caller who waits longer than it takes to find a leader. */
 const PATIENT: RetryLimits = { ...FINALITY, limitOnceSent: 2400 }
 
 class Subject {
@@ -28,8 +28,9 @@
 	leader: KnownLeader | undefined
 	reachable = true
 	reply: CellReply | undefined
-	/** Term that this instance leads, and what its calls here wait for. */
+	/** Term that this instance leads; undefined if it doesn't. */
 	localTerm: number | undefined
+	/** Replies to the last call that this instance handled as the leader. */
 	answerHere: ((reply: CellReply) => void) | undefined
 	private readonly peers = new PeerCalls(this.clock, (peer, event) => this.send(peer, event))
 	private readonly leaderCalls = new LeaderCalls({
@@ -58,7 +59,7 @@
 		this.peers.onLinkLost(peer)
 	}
 
-	/** Lets time pass, and promises settle. */
+	/** Advances the clock and lets promises settle. */
 	async run(span: number): Promise<void> {
 		for (let spent = 0; spent < span; spent += 10) {
 			this.clock.advance(10)
@@ -83,7 +84,7 @@
 
 const leader = (id: string, term: number): KnownLeader => ({ id, term, via: [id] })
 
-test('without a leader a call waits as long as a change of leader takes, and was then not run', async () => {
+test('without a leader a call waits as long as a leader change takes, then is replied to as not run', async () => {
 	const subject = new Subject()
 	subject.begin()
 	await subject.run(600)
@@ -93,7 +94,7 @@
 	assert.equal(subject.sent.length, 0)
 })
 
-test('an instance that has been without a leader for long refuses at once', async () => {
+test('an instance that has long been without a leader refuses calls at once', async () => {
 	const subject = new Subject()
 	await subject.run(2000)
 	subject.begin()
@@ -101,7 +102,7 @@
 	assert.equal(subject.outcome, 'not-run')
 })
 
-test('a call that was sent and not answered is never called not run', async () => {
+test('a call that was sent and not answered is never reported as not run', async () => {
 	const subject = new Subject()
 	subject.leader = leader('a', 1)
 	subject.begin()
@@ -112,7 +113,7 @@
 	assert.equal(subject.outcome, 'unknown')
 })
 
-test('a call goes on to the next leader, under its term', async () => {
+test('a call is sent again to the next leader, under its term', async () => {
 	const subject = new Subject()
 	subject.leader = leader('a', 1)
 	subject.begin()
@@ -132,7 +133,7 @@
 	assert.equal(subject.outcome, 'accepted')
 })
 
-test('who does not lead has done nothing: the call is still not run when nobody else comes', async () => {
+test('a not-leader reply means that the call was not run, also if no leader is found later', async () => {
 	const subject = new Subject()
 	subject.leader = leader('a', 1)
 	subject.begin()
@@ -143,7 +144,7 @@
 	assert.equal(subject.outcome, 'not-run')
 })
 
-test('a call that could not be sent was not run', async () => {
+test('a call that could not be sent is reported as not run', async () => {
 	const subject = new Subject()
 	subject.leader = leader('a', 1)
 	subject.reachable = false
@@ -152,7 +153,7 @@
 	assert.equal(subject.outcome, 'not-run')
 })
 
-test('a job that an earlier try may have handed in is not refused: its key, queue or quota may have gone since', async () => {
+test('a job that an earlier try may have submitted is not refused: key, queue or quota may have changed since', async () => {
 	const refusals: CellReply[] = [
 		{ kind: 'unauthorized' },
 		{ kind: 'no-such-queue' },
@@ -174,7 +175,7 @@
 	}
 })
 
-test('a refusal of the first try is told as it is', async () => {
+test('a refusal of the first try is returned as it is', async () => {
 	const subject = new Subject()
 	subject.leader = leader('a', 1)
 	subject.begin(SUBMIT)
@@ -184,12 +185,12 @@
 	assert.equal(subject.outcome, 'unauthorized')
 })
 
-/** The call as the leaders got it. */
-function namesSent(subject: Subject): unknown[] {
+/** @returns the call ids that the leaders received. */
+function callIdsSent(subject: Subject): unknown[] {
 	return subject.calls.map((call) => (call as { readonly call?: unknown }).call)
 }
 
-test('all tries of a submission bring one name, and another submission brings another', async () => {
+test('all tries of a submission carry one call id, and another submission carries another', async () => {
 	const subject = new Subject()
 	subject.leader = leader('a', 1)
 	subject.begin(SUBMIT)
@@ -199,7 +200,7 @@
 	await subject.run(100)
 	subject.begin(SUBMIT)
 	await subject.run(10)
-	const [first, again, other] = namesSent(subject)
+	const [first, again, other] = callIdsSent(subject)
 	assert.deepEqual(first, { instance: 'first', number: 1 })
 	assert.deepEqual(again, first)
 	assert.deepEqual(other, { instance: 'first', number: 2 })
@@ -210,7 +211,7 @@
 	refusal: { kind: 'not-run', reason: 'too many jobs', retryAfter: 1000 },
 }
 
-test('a leader’s word that no try of the call is taken is told its caller, also after a try without an answer', async () => {
+test('a settled refusal of the leader is returned to the caller, also after an unanswered try', async () => {
 	const subject = new Subject()
 	subject.leader = leader('a', 1)
 	subject.begin(SUBMIT)
@@ -223,7 +224,7 @@
 	assert.equal(subject.outcome, 'not-run')
 })
 
-test('an earlier leader’s word says nothing of a try that went to a later one', async () => {
+test('a settled refusal of an earlier leader does not cover a try that was sent to a later one', async () => {
 	const subject = new Subject()
 	subject.leader = leader('b', 2)
 	subject.begin(SUBMIT)
@@ -236,7 +237,7 @@
 	assert.equal(subject.outcome, 'unknown')
 })
 
-test('a call that may have been done waits for a leader that can tell, as long as its caller does', async () => {
+test('a call that may have run is retried until a leader reports its outcome, as long as its caller waits', async () => {
 	const subject = new Subject()
 	subject.leader = leader('a', 1)
 	subject.begin(SUBMIT, PATIENT)
@@ -252,7 +253,7 @@
 	assert.equal(subject.outcome, 'accepted')
 })
 
-test('an earlier leader’s word says nothing of a try that this instance may have taken as the leader of a later term', async () => {
+test('a settled refusal of an earlier leader does not cover a try that this instance may have accepted in a later term', async () => {
 	const subject = new Subject()
 	subject.localTerm = 2
 	subject.begin(SUBMIT)
@@ -266,7 +267,7 @@
 	assert.equal(subject.outcome, 'unknown')
 })
 
-test('this instance’s word as the newest leader settles a try that went to an earlier one', async () => {
+test('a settled refusal of this instance as the newest leader covers a try that was sent to an earlier one', async () => {
 	const subject = new Subject()
 	subject.leader = leader('a', 1)
 	subject.begin(SUBMIT)
@@ -279,7 +280,7 @@
 	assert.equal(subject.outcome, 'not-run')
 })
 
-test('a call whose caller has gone is not brought to the next leader: the caller may be refused elsewhere meanwhile', async () => {
+test('an abandoned call is not sent to the next leader: its caller may have been refused elsewhere meanwhile', async () => {
 	const subject = new Subject()
 	let gone = false
 	subject.leader = leader('a', 1)
--- a/packages/member/src/lib/NewsBroadcaster.test.ts
+++ b/packages/member/src/lib/NewsBroadcaster.test.ts
@@ -1,4 +1,4 @@
-/** How often instances of the core tell who leads, and for how long that counts. */
+/** How often core instances broadcast who leads, and for how long entry instances accept it. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import type { Replica } from '@rillrudder/consensus'
@@ -13,7 +13,7 @@
 const SPAN = 3000
 const LOAD = { processor: 0, loopDelay: 0, age: 0 }
 
-/** @returns to whom a core instance tells news in a span, one name for each. */
+/** @returns the recipient of each message that a core instance broadcasts within a span. */
 function recipientsWithin(span: number, leads: boolean): string[] {
 	const clock = new ManualClock()
 	const sent: string[] = []
@@ -39,17 +39,17 @@
 	return sent
 }
 
-// Guards against entry instances, of which there are hundreds, being woken by news that say nothing new.
-test('entry instances are told who leads every 300 ms at most while nothing changes, others of the core every 150', () => {
-	const toldBy = (leads: boolean, peer: string): number =>
+// Guards against waking entry instances, of which there are hundreds, with unchanged news.
+test('while nothing changes, entry instances get news every 300 ms at most, core instances every 150', () => {
+	const messagesTo = (leads: boolean, peer: string): number =>
 		recipientsWithin(SPAN, leads).filter((name) => name === peer).length
-	assert.equal(toldBy(false, ENTRY), SPAN / 300)
-	assert.ok(toldBy(true, ENTRY) <= SPAN / 300)
-	assert.equal(toldBy(false, MEMBER), SPAN / NEWS_INTERVAL_MS)
-	assert.equal(toldBy(true, MEMBER), SPAN / NEWS_INTERVAL_MS)
+	assert.equal(messagesTo(false, ENTRY), SPAN / 300)
+	assert.ok(messagesTo(true, ENTRY) <= SPAN / 300)
+	assert.equal(messagesTo(false, MEMBER), SPAN / NEWS_INTERVAL_MS)
+	assert.equal(messagesTo(true, MEMBER), SPAN / NEWS_INTERVAL_MS)
 })
 
-test('an entry instance goes on knowing its leader over one message that is lost, and not over a second one', () => {
+test('an entry instance keeps its leader after one lost message, but not after a second one', () => {
 	const view = new LeaderView(ENTRY_NEWS_TTL_MS)
 	const news: CellNews = { leader: 'c', term: 3, members: [], fresh: true }
 	view.update('a', news, 0)
--- a/packages/member/src/lib/WakingOrders.test.ts
+++ b/packages/member/src/lib/WakingOrders.test.ts
@@ -6,7 +6,7 @@
 const WORKER = { id: 'w1' } as Worker
 const STOP: StopOrder = { task: 't', attempt: 1, fence: 1 }
 
-/** Keeps each order open until the test answers it. */
+/** Keeps each order pending until the test answers it. */
 class OpenOrders extends WorkerOrders {
 	readonly answers: ((result: OrderResult) => void)[] = []
 
@@ -27,7 +27,7 @@
 	}
 }
 
-test('an answer wakes the controller, and after the end of its leadership none reaches it', () => {
+test('an answer wakes the controller, and no answer reaches it after the end of its leadership', () => {
 	const open = new OpenOrders()
 	let heard = 0
 	let woken = 0
--- a/packages/member/src/lib/carriers/CarriedOrders.test.ts
+++ b/packages/member/src/lib/carriers/CarriedOrders.test.ts
@@ -19,7 +19,7 @@
 
 type Call = { readonly worker: string; readonly done: (result: OrderResult) => void }
 
-/** Reaches workers; answers when the test says so. */
+/** Records orders to workers; the test answers them. */
 class HeldOrders extends WorkerOrders {
 	readonly calls: Call[] = []
 
@@ -37,7 +37,7 @@
 	}
 }
 
-/** A leader with two instances that carry for it, one in each of two data centres. */
+/** A leader with two carriers, one in each of two data centres. */
 class Subject {
 	readonly clock = new ManualClock()
 	readonly direct = new HeldOrders()
@@ -48,7 +48,7 @@
 		{ id: 'south-1', dataCentre: 'south' },
 	]
 	workers = 300
-	/** Instances that stand still: they take orders and say nothing. */
+	/** Stalled instances: they accept orders and send nothing. */
 	readonly frozen = new Set<string>()
 	readonly orders: CarriedOrders
 	private readonly carriers = new Map<string, OrderCarrier>()
@@ -76,7 +76,7 @@
 		})
 	}
 
-	/** Lets time pass; who is not frozen is heard all the time. */
+	/** Advances the clock; carriers that are not frozen keep sending messages. */
 	advance(span: number): void {
 		for (let spent = 0; spent < span; spent += TICK) {
 			this.orders.flush()
@@ -99,7 +99,7 @@
 	return { id: `w-${dataCentre}`, address: '127.0.0.1:1', dataCentre }
 }
 
-test('an order goes through the instance in its data centre, and its result comes back', () => {
+test('an order goes through the carrier in its data centre, and its result comes back', () => {
 	const subject = new Subject()
 	const results: OrderResult[] = []
 	subject.orders.stop(workerIn('south'), STOP, (result) => results.push(result))
@@ -112,7 +112,7 @@
 	assert.deepEqual(results, [{ kind: 'done', clock: 4 }])
 })
 
-test('orders that follow each other closely go out in one message, the first one at once', () => {
+test('orders in quick succession are sent in one message, the first one at once', () => {
 	const subject = new Subject()
 	const stop = (): void => subject.orders.stop(workerIn('south'), STOP, () => undefined)
 	const carried = (): number => subject.remote.get('south-1')?.calls.length ?? 0
@@ -129,7 +129,7 @@
 	assert.equal(carried(), 4)
 })
 
-test('a data centre without an instance of the core is reached from here, and so is everything in a small cell', () => {
+test('orders are sent directly to a data centre without a carrier, and everywhere in a small cell', () => {
 	const subject = new Subject()
 	subject.orders.stop(workerIn('west'), STOP, () => undefined)
 	assert.equal(subject.direct.calls.length, 1)
@@ -150,7 +150,7 @@
 	assert.equal(small.direct.calls.length, 1)
 })
 
-test('what a silent instance was given comes back as not carried, and the next order goes from here', () => {
+test('orders of an unresponsive carrier are returned as not carried, and the next one is sent directly', () => {
 	const subject = new Subject()
 	const kinds: string[] = []
 	subject.frozen.add('south-1')
@@ -162,14 +162,14 @@
 	assert.deepEqual(kinds, ['not-carried', 'not-carried'])
 	subject.orders.stop(workerIn('south'), STOP, () => undefined)
 	assert.equal(subject.direct.calls.length, 1)
-	// What it lets go late is heard of no more.
+	// Its late results are ignored.
 	subject.frozen.delete('south-1')
 	for (const { done } of subject.remote.get('south-1')?.calls ?? []) done({ kind: 'done' })
 	subject.advance(TICK)
 	assert.equal(kinds.length, 2)
 })
 
-test('an instance that lost its link, or took too long, carries nothing for a second and then again', () => {
+test('a carrier that lost its link or timed out gets no orders for a second', () => {
 	const subject = new Subject()
 	const kinds: string[] = []
 	subject.orders.stop(workerIn('south'), STOP, ({ kind }) => kinds.push(kind))
@@ -186,7 +186,7 @@
 	assert.deepEqual(kinds, ['not-carried', 'not-carried'])
 })
 
-test('a leader that was late itself takes nobody for silent', () => {
+test('a leader whose own tick was late takes no carrier as unresponsive', () => {
 	const subject = new Subject()
 	const kinds: string[] = []
 	subject.orders.stop(workerIn('south'), STOP, ({ kind }) => kinds.push(kind))
@@ -196,7 +196,7 @@
 	assert.deepEqual(kinds, [])
 })
 
-test('results of another term are dropped', () => {
+test('results of another term are ignored', () => {
 	const subject = new Subject()
 	const kinds: string[] = []
 	subject.orders.stop(workerIn('south'), STOP, ({ kind }) => kinds.push(kind))
--- a/packages/member/src/lib/carriers/OrderCarrier.ts
+++ b/packages/member/src/lib/carriers/OrderCarrier.ts
@@ -88,7 +88,7 @@
 			batch.results.push(result)
 			return
 		}
-		// Unsent results of an earlier term stay in its own batch: its leader has abandoned their orders.
+		// Results of an earlier term are obsolete; a new batch replaces theirs.
 		const newBatch = { term, results: [result] }
 		this.batches.set(leader, newBatch)
 		this.clock.after(BATCH_DELAY_MS, () => this.flush(leader, newBatch))
--- a/packages/member/src/lib/load/CarrierWeights.test.ts
+++ b/packages/member/src/lib/load/CarrierWeights.test.ts
@@ -1,4 +1,4 @@
-/** A carrier whose event loop runs late gives workers up, a few at a time. */
+/** A carrier whose event loop is late loses workers, a few at a time. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import { Log, Meter } from '@rillrudder/telemetry'
@@ -28,7 +28,7 @@
 		return this.weights.weigh(CARRIERS, now).map(({ kept }) => kept)
 	}
 
-	/** @returns the workers of each carrier as of a moment. */
+	/** @returns the number of workers of a carrier at a given time. */
 	workersOf(id: string, now: number): number {
 		this.selector.setCarriers(this.weights.weigh(CARRIERS, now))
 		const carriers = WORKERS.map((worker) =>
@@ -38,7 +38,7 @@
 	}
 }
 
-test('a late one gives up a tenth of its workers a second, down to a fifth, and takes them back as slowly', () => {
+test('a late carrier loses a tenth of its workers per second, down to a fifth, and regains them at the same rate', () => {
 	const subject = new Subject()
 	const all = subject.workersOf(LATE, 0)
 	let before = all
@@ -60,13 +60,13 @@
 	assert.ok(subject.lines[0].includes('carrier-weight-changed'))
 })
 
-test('a load that is old counts for nothing', () => {
+test('an outdated load report has no effect', () => {
 	const subject = new Subject()
 	subject.reportLoad(LATE, 500, 0)
 	assert.deepEqual(subject.kept(2001), [1, 1])
 })
 
-test('a delay between late and punctual changes nothing', () => {
+test('a delay between punctual and late changes nothing', () => {
 	const subject = new Subject()
 	for (let second = 0; second < 5; second++) {
 		subject.reportLoad(LATE, 40, second * SECOND)
@@ -74,7 +74,7 @@
 	}
 })
 
-test('a link that comes back before its first news takes no worker from the others', () => {
+test('a reconnected carrier without news yet takes no worker from the others', () => {
 	const subject = new Subject()
 	subject.reportLoad(LATE, 0, 0, 540)
 	subject.reportLoad(OTHER, 0, 0)
--- a/packages/member/src/lib/load/EntryLoad.test.ts
+++ b/packages/member/src/lib/load/EntryLoad.test.ts
@@ -22,7 +22,7 @@
 	readonly clock = new ManualClock()
 	readonly lines: string[] = []
 	readonly load: EntryLoad
-	/** Ends the calls that are under way. */
+	/** Ends the calls in flight. */
 	readonly ends: (() => void)[] = []
 
 	constructor(capacity = SMALL) {
@@ -31,7 +31,7 @@
 		this.load = new EntryLoad(parts)
 	}
 
-	/** Lets time pass in which the loop is so late each time. */
+	/** Advances the clock with a loop that is late by `delay` each time. */
 	run(span: number, delay = 0): void {
 		for (let spent = 0; spent < span; spent += PERIOD + delay) {
 			this.clock.advance(PERIOD + delay)
@@ -39,7 +39,7 @@
 		}
 	}
 
-	/** Begins a call that stays under way. */
+	/** Starts a call that stays in flight. */
 	startCall(): void {
 		const never = new Promise<CellReply>((resolve) => this.ends.push(() => resolve(ACCEPTED)))
 		void this.load.track(() => never)
@@ -50,7 +50,7 @@
 	}
 }
 
-test('a loop that stays late sends new connections elsewhere, and takes them again once it has been punctual for a while', async () => {
+test('a loop that stays late sheds new connections, and accepts them again once it has been punctual for a while', async () => {
 	const subject = new Subject()
 	subject.run(3000, 100)
 	assert.equal(subject.load.acceptsConnections, false)
@@ -62,14 +62,14 @@
 	assert.equal(subject.lines.length, 2)
 })
 
-test('a loop that is a second late refuses nothing: only a leader can tell that a job is not taken', async () => {
+test('a loop that is a second late refuses nothing: only a leader can tell that a job was not accepted', async () => {
 	const subject = new Subject()
 	subject.run(6000, 1000)
 	assert.equal(subject.load.acceptsConnections, false)
 	assert.equal(await subject.outcome(), 'accepted')
 })
 
-test('calls beyond half of what its link and memory hold send new connections elsewhere, sooner at a small one', async () => {
+test('calls beyond half of what link and memory hold shed new connections, sooner at a small instance', async () => {
 	assert.ok(maxCalls(SMALL) < maxCalls(LARGE) / 2)
 	assert.equal(maxCalls(UNKNOWN_CAPACITY), Number.POSITIVE_INFINITY)
 	const [small, large] = [new Subject(SMALL), new Subject(LARGE)]
@@ -87,7 +87,7 @@
 	assert.equal(small.load.acceptsConnections, true)
 })
 
-test('without knowledge of its capacity and with a punctual loop it takes everything', async () => {
+test('with unknown capacity and a punctual loop everything is accepted', async () => {
 	const subject = new Subject(UNKNOWN_CAPACITY)
 	for (let calls = 0; calls < 5000; calls++) subject.startCall()
 	subject.run(2000, 10)
@@ -95,20 +95,20 @@
 	assert.equal(await subject.outcome(), 'accepted')
 })
 
-test('below the bounds nothing is ever turned away', () => {
+test('below the thresholds nothing is ever shed', () => {
 	const calm = fc.record({
 		loopDelay: fc.double({ min: 0, max: LATE_LOOP_MS - 1, noNaN: true }),
 		fill: fc.double({ min: 0, max: 0.49, noNaN: true }),
 	})
 	const neverSheds = fc.property(fc.array(calm), (readings) => {
-		const shedding = new LoadShedder()
-		readings.forEach((reading, index) => shedding.update(reading, index * PERIOD))
-		assert.equal(shedding.isShedding, false)
+		const shedder = new LoadShedder()
+		readings.forEach((reading, index) => shedder.update(reading, index * PERIOD))
+		assert.equal(shedder.isShedding, false)
 	})
 	fc.assert(neverSheds, { numRuns: 200, seed: 36 })
 })
 
-test('one standstill of a process is no load, a loop that stays late is', () => {
+test('a single stall of the process is not load, a loop that stays late is', () => {
 	const delay = new LoopDelay(PERIOD, 0)
 	delay.onTimer(PERIOD)
 	delay.onTimer(5000)
--- a/packages/member/src/lib/load/adviserStanding.test.ts
+++ b/packages/member/src/lib/load/adviserStanding.test.ts
@@ -1,4 +1,4 @@
-/** Questions go past instances that are late, loaded or small. */
+/** Instances that are late, loaded or small rank lower for questions. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import { adviserStanding } from './adviserStanding'
@@ -11,7 +11,7 @@
 	return adviserStanding(loads.loadOf(id, now), { processor, largest: loads.largestProcessor() })
 }
 
-test('one of a third of the size is small, one of three quarters is not, and of an unknown one nothing is held', () => {
+test('an instance of a third of the size is small, one of three quarters is not, nor is one of unknown size', () => {
 	const loads = new PeerLoads()
 	loads.update('small', { processor: 243, loopDelay: 0, fill: 0 }, 0)
 	assert.deepEqual(standing(loads, 'small'), PLAIN)
@@ -26,7 +26,7 @@
 	assert.equal(loads.largestProcessor(), 608)
 })
 
-test('a loop that is late and calls under way count while they are fresh', () => {
+test('loop delay and calls in flight count while their report is fresh', () => {
 	const loads = new PeerLoads()
 	loads.update('one', { processor: 243, loopDelay: 80, fill: 60 }, 0)
 	assert.deepEqual(standing(loads, 'one', 2000), { late: true, load: 2, small: false })
--- a/packages/member/src/lib/load/rendezvous.test.ts
+++ b/packages/member/src/lib/load/rendezvous.test.ts
@@ -1,4 +1,7 @@
-/** Uneven carriers of one data centre: each gets its part, and no more workers move than have to. */
+/**
+ * Carriers of different size in one data centre: each gets its share, and no more workers move than
+ * necessary.
+ */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import { textHash } from '@rillrudder/utils'
@@ -25,7 +28,7 @@
 	return [...choices.values()].filter((other) => other === id).length / choices.size
 }
 
-test('alike and punctual, they are chosen by the plain hash of the pair', () => {
+test('equal and punctual candidates are chosen by the plain hash of the pair', () => {
 	const numbers = fc.uniqueArray(fc.integer({ min: 1, max: 250 }), { minLength: 1, maxLength: 6 })
 	const plain = (worker: string, ids: readonly string[]): string =>
 		ids.reduce((best, id) =>
@@ -39,13 +42,13 @@
 	fc.assert(same, TRIES)
 })
 
-test('one of a third of the size gets a third of the workers', () => {
+test('a candidate of a third of the size gets a third as many workers', () => {
 	const [small, large] = [candidate(16, 243), candidate(17, 729)]
 	const share = shareOf(chosen([small, large], true), small)
 	assert.ok(Math.abs(share - 0.25) < 0.04, `${share}`)
 })
 
-test('one that goes moves only its own workers', () => {
+test('a candidate that leaves moves only its own workers', () => {
 	const weights = fc.array(fc.integer({ min: 1, max: 9 }), { minLength: 2, maxLength: 5 })
 	const onlyItsOwn = fc.property(weights, fc.string({ minLength: 4 }), (some, worker) => {
 		const candidates = some.map((weight, number) => candidate(number, weight))
@@ -56,7 +59,7 @@
 	fc.assert(onlyItsOwn, TRIES)
 })
 
-test('one that keeps seven tenths gives up three of its own, and nobody else moves', () => {
+test('a candidate that keeps seven tenths loses three tenths of its workers, and no others move', () => {
 	for (const weighted of [false, true]) {
 		const [late, other] = [candidate(16), candidate(17)]
 		const before = chosen([late, other], weighted)
@@ -68,7 +71,7 @@
 	}
 })
 
-test('where all are late alike nobody moves', () => {
+test('if all are equally late no worker moves', () => {
 	const before = chosen([candidate(16), candidate(17)], false)
 	assert.deepEqual(chosen([candidate(16, 1, 0.4), candidate(17, 1, 0.4)], false), before)
 })
--- a/packages/member/src/lib/messageBodies.test.ts
+++ b/packages/member/src/lib/messageBodies.test.ts
@@ -12,7 +12,7 @@
 import { decodeOrders, decodeResults } from './carriers/CarriedOrder'
 import { decodeCall, decodeReply } from './messageBodies'
 
-/** Tries of each property; the seed makes them the same each time. */
+/** Runs of each property, with a fixed seed. */
 const TRIES = { numRuns: 300, seed: 33 }
 const ORDER = {
 	id: 1,
@@ -22,7 +22,7 @@
 
 const bytes = (value: unknown): Buffer => Buffer.from(JSON.stringify(value) ?? '')
 
-test('no bytes make a decoder of links throw', () => {
+test('no bytes make a message decoder throw', () => {
 	const bodies = fc.oneof(
 		fc.uint8Array({ maxLength: 100 }).map((some) => Buffer.from(some)),
 		fc.json().map((text) => Buffer.from(text)),
@@ -34,7 +34,7 @@
 	fc.assert(neverThrows, TRIES)
 })
 
-test('what is no call or reply is none, and a bad row of a batch leaves its neighbours', () => {
+test('malformed calls and replies decode to undefined, and a bad row of a batch does not affect the others', () => {
 	assert.equal(decodeCall(bytes({ kind: 'melt' })), undefined)
 	assert.equal(decodeCall(bytes(null)), undefined)
 	assert.equal(decodeCall(bytes({ kind: 'read-configuration' }))?.kind, 'read-configuration')
@@ -45,7 +45,7 @@
 	assert.deepEqual(decodeResults(bytes([null, { id: 4 }, result])), [result])
 })
 
-test('a call whose handling fails is answered, and is not handled again when it is repeated', () => {
+test('a call whose handler throws is answered, and is not handled again when it is repeated', () => {
 	const silent = (): void => undefined
 	const clock = new ManualClock()
 	const faults = new CallFaults(clock, new Log('test', clock, 'silent', silent), new Meter())
@@ -68,7 +68,7 @@
 	assert.equal(handled, 2)
 })
 
-test('a submission whose handling fails is not handled again when its caller brings it by another call', () => {
+test('a submission whose handler throws is not handled again under another call id', () => {
 	const clock = new ManualClock()
 	const faults = new CallFaults(
 		clock,
--- a/packages/member/src/lib/selectEntryPeers.test.ts
+++ b/packages/member/src/lib/selectEntryPeers.test.ts
@@ -9,7 +9,7 @@
 	return selectEntryPeers(self, SEEDS, MEMBERS, { leader, freshPeers: new Set(heard) })
 }
 
-test('without a leader for long, and in a small core, every known instance is dialled', () => {
+test('after a long time without a leader, and in a small core, every known instance is dialled', () => {
 	assert.deepEqual(selectEntryPeers('edge-1', SEEDS, MEMBERS, undefined).sort(), [
 		...MEMBERS,
 		'z:1',
@@ -23,17 +23,17 @@
 	])
 })
 
-test('with a leader, links go to it and to two others that talk', () => {
+test('with a leader, links go to it and to two others that send news', () => {
 	const chosen = peers('c:1', MEMBERS)
 	assert.equal(chosen.length, 3)
 	assert.equal(chosen[0], 'c:1')
-	assert.deepEqual(peers('c:1', chosen), chosen, 'the choice stays as it is')
+	assert.deepEqual(peers('c:1', chosen), chosen, 'the selection is stable')
 })
 
-test('a spare that falls silent is replaced by one that talks', () => {
+test('a spare that stops sending news is replaced by one that sends them', () => {
 	const [, lost, kept] = peers('c:1', MEMBERS)
 	const trying = peers('c:1', ['c:1', kept])
-	assert.deepEqual([...trying].sort(), MEMBERS, 'all are tried while too few talk')
+	assert.deepEqual([...trying].sort(), MEMBERS, 'all are tried while too few send news')
 	const next = peers(
 		'c:1',
 		MEMBERS.filter((member) => member !== lost)
@@ -42,12 +42,12 @@
 	assert.ok(!next.includes(lost))
 })
 
-test('while the leader changes, links that talk stay', () => {
+test('during a leader change, links to peers that send news are kept', () => {
 	const heard = ['a:1', 'd:1', 'f:1']
 	assert.deepEqual([...peers(undefined, heard)].sort(), heard)
 })
 
-test('entry instances spread over the core', () => {
+test('entry instances are spread over the core', () => {
 	const names = Array.from({ length: 30 }, (_, number) => `edge-${number}`)
 	const used = new Set(names.flatMap((name) => peers('a:1', MEMBERS, name)))
 	assert.equal(used.size, MEMBERS.length)
