--- a/packages/member/src/lib/HeartbeatBatcher.test.ts
+++ b/packages/member/src/lib/HeartbeatBatcher.test.ts
@@ -1,7 +1,4 @@
-/**
- * Heartbeats that bring nothing new are told together; everything else goes to the leader by
- * itself.
- */
+/** Routine heartbeats are reported in batches; all others are forwarded to the leader singly. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import {
--- a/packages/member/src/lib/carriers/CarriedOrders.test.ts
+++ b/packages/member/src/lib/carriers/CarriedOrders.test.ts
@@ -1,6 +1,6 @@
 /**
- * Orders go through the instance in the worker's data centre, and from here once that one falls
- * silent.
+ * Orders go through the carrier in the worker's data centre, and directly once it is
+ * unresponsive.
  */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
--- a/packages/member/src/lib/load/EntryLoad.test.ts
+++ b/packages/member/src/lib/load/EntryLoad.test.ts
@@ -1,6 +1,6 @@
 /**
- * An entry instance of a third of the others' size gets as many callers as they: it sends new ones
- * elsewhere before its answers come too late.
+ * An entry instance of a third of the others' size gets as many callers as they do: it sheds new
+ * ones before its answers come too late.
  */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
--- a/packages/member/src/lib/messageBodies.test.ts
+++ b/packages/member/src/lib/messageBodies.test.ts
@@ -1,7 +1,4 @@
-/**
- * Messages between instances: bytes that hold none never throw, and a call that can't be handled
- * ends nothing.
- */
+/** Malformed messages never throw, and a call whose handler throws does not end the process. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import type { CellCall, CellReply } from '@rillrudder/jobs'
