--- a/packages/member/src/lib/HeartbeatBatcher.test.ts
+++ b/packages/member/src/lib/HeartbeatBatcher.test.ts
@@ -51,7 +51,7 @@
 	}
 
 	/** Advances the clock and lets replies resolve. */
-	async run(span: number): Promise<void> {
+	async advance(span: number): Promise<void> {
 		for (let spent = 0; spent < span; spent += 100) {
 			this.clock.advance(100)
 			await Promise.resolve()
@@ -100,14 +100,14 @@
 	const subject = new Subject()
 	subject.answer = { kind: 'unknown', reason: 'no answer from a leader' }
 	assert.equal(subject.handle(1), HeartbeatHandling.Batched)
-	await subject.run(400)
+	await subject.advance(400)
 	assert.equal(subject.handle(2), HeartbeatHandling.Batched)
 	subject.answer = { kind: 'noted' }
-	await subject.run(400)
+	await subject.advance(400)
 	assert.equal(subject.reports.at(-1)?.[0].sequence, 2)
 	assert.ok(subject.reports.length <= 3)
 	const before = subject.reports.length
-	await subject.run(1000)
+	await subject.advance(1000)
 	assert.equal(subject.reports.length, before)
 })
 
@@ -115,10 +115,10 @@
 	const subject = new Subject()
 	subject.answer = { kind: 'unknown', reason: 'no answer from a leader' }
 	assert.equal(subject.handle(1), HeartbeatHandling.Batched)
-	await subject.run(2000)
+	await subject.advance(2000)
 	assert.equal(subject.handle(2), HeartbeatHandling.Refused)
 	subject.answer = { kind: 'noted' }
-	await subject.run(400)
+	await subject.advance(400)
 	assert.equal(subject.reports.at(-1)?.[0].sequence, 1)
 	assert.equal(subject.handle(3), HeartbeatHandling.Batched)
 })
--- a/packages/member/src/lib/HeartbeatBatcher.ts
+++ b/packages/member/src/lib/HeartbeatBatcher.ts
@@ -35,7 +35,7 @@
 	/** The leader is unreachable: the worker should call another instance. */
 	Refused: 'refused',
 } as const
-/** One of the ways. @internal */
+/** A value of `HeartbeatHandling`. @internal */
 export type HeartbeatHandling = (typeof HeartbeatHandling)[keyof typeof HeartbeatHandling]
 
 /** Dependencies of a heartbeat batcher. @internal */
--- a/packages/member/src/lib/LeaderCalls.test.ts
+++ b/packages/member/src/lib/LeaderCalls.test.ts
@@ -16,9 +16,9 @@
 	to: { queue: 'checks', id: '00000000000000aa' },
 	job: { spec: '', steps: [] },
 }
-const FINALITY: RetryLimits = { leaderWait: 800, limit: 1500 }
+const LIMITS: RetryLimits = { leaderWait: 800, limit: 1500 }
 /** Limits of a caller who waits longer than it takes to find a leader. */
-const PATIENT: RetryLimits = { ...FINALITY, limitOnceSent: 2400 }
+const PATIENT_LIMITS: RetryLimits = { ...LIMITS, limitOnceSent: 2400 }
 
 class Subject {
 	readonly clock = new ManualClock()
@@ -46,8 +46,8 @@
 		return this.reply?.kind
 	}
 
-	begin(call = CALL, finality = FINALITY): void {
-		void this.leaderCalls.call(call, finality).then((reply) => (this.reply = reply))
+	start(call = CALL, limits = LIMITS): void {
+		void this.leaderCalls.call(call, limits).then((reply) => (this.reply = reply))
 	}
 
 	answer(reply: CellReply): void {
@@ -86,7 +86,7 @@
 
 test('without a leader a call waits as long as a leader change takes, then is replied to as not run', async () => {
 	const subject = new Subject()
-	subject.begin()
+	subject.start()
 	await subject.run(600)
 	assert.equal(subject.outcome, undefined)
 	await subject.run(300)
@@ -97,7 +97,7 @@
 test('an instance that has long been without a leader refuses calls at once', async () => {
 	const subject = new Subject()
 	await subject.run(2000)
-	subject.begin()
+	subject.start()
 	await subject.run(10)
 	assert.equal(subject.outcome, 'not-run')
 })
@@ -105,7 +105,7 @@
 test('a call that was sent and not answered is never reported as not run', async () => {
 	const subject = new Subject()
 	subject.leader = leader('a', 1)
-	subject.begin()
+	subject.start()
 	await subject.run(10)
 	subject.leader = undefined
 	subject.lose('a')
@@ -116,7 +116,7 @@
 test('a call is sent again to the next leader, under its term', async () => {
 	const subject = new Subject()
 	subject.leader = leader('a', 1)
-	subject.begin()
+	subject.start()
 	await subject.run(10)
 	subject.lose('a')
 	subject.leader = leader('b', 2)
@@ -136,7 +136,7 @@
 test('a not-leader reply means that the call was not run, also if no leader is found later', async () => {
 	const subject = new Subject()
 	subject.leader = leader('a', 1)
-	subject.begin()
+	subject.start()
 	await subject.run(10)
 	subject.answer({ kind: 'not-leader' })
 	subject.leader = undefined
@@ -148,7 +148,7 @@
 	const subject = new Subject()
 	subject.leader = leader('a', 1)
 	subject.reachable = false
-	subject.begin()
+	subject.start()
 	await subject.run(1700)
 	assert.equal(subject.outcome, 'not-run')
 })
@@ -164,7 +164,7 @@
 	for (const refusal of refusals) {
 		const subject = new Subject()
 		subject.leader = leader('a', 1)
-		subject.begin(SUBMIT)
+		subject.start(SUBMIT)
 		await subject.run(10)
 		subject.lose('a')
 		subject.leader = leader('b', 2)
@@ -178,7 +178,7 @@
 test('a refusal of the first try is returned as it is', async () => {
 	const subject = new Subject()
 	subject.leader = leader('a', 1)
-	subject.begin(SUBMIT)
+	subject.start(SUBMIT)
 	await subject.run(10)
 	subject.answer({ kind: 'unauthorized' })
 	await subject.run(10)
@@ -193,12 +193,12 @@
 test('all tries of a submission carry one call id, and another submission carries another', async () => {
 	const subject = new Subject()
 	subject.leader = leader('a', 1)
-	subject.begin(SUBMIT)
+	subject.start(SUBMIT)
 	await subject.run(10)
 	subject.lose('a')
 	subject.leader = leader('b', 2)
 	await subject.run(100)
-	subject.begin(SUBMIT)
+	subject.start(SUBMIT)
 	await subject.run(10)
 	const [first, again, other] = callIdsSent(subject)
 	assert.deepEqual(first, { instance: 'first', number: 1 })
@@ -214,7 +214,7 @@
 test('a settled refusal of the leader is returned to the caller, also after an unanswered try', async () => {
 	const subject = new Subject()
 	subject.leader = leader('a', 1)
-	subject.begin(SUBMIT)
+	subject.start(SUBMIT)
 	await subject.run(10)
 	subject.lose('a')
 	subject.leader = leader('b', 2)
@@ -227,7 +227,7 @@
 test('a settled refusal of an earlier leader does not cover a try that was sent to a later one', async () => {
 	const subject = new Subject()
 	subject.leader = leader('b', 2)
-	subject.begin(SUBMIT)
+	subject.start(SUBMIT)
 	await subject.run(10)
 	subject.lose('b')
 	subject.leader = leader('a', 1)
@@ -240,7 +240,7 @@
 test('a call that may have run is retried until a leader reports its outcome, as long as its caller waits', async () => {
 	const subject = new Subject()
 	subject.leader = leader('a', 1)
-	subject.begin(SUBMIT, PATIENT)
+	subject.start(SUBMIT, PATIENT_LIMITS)
 	await subject.run(10)
 	subject.leader = undefined
 	subject.lose('a')
@@ -256,7 +256,7 @@
 test('a settled refusal of an earlier leader does not cover a try that this instance may have accepted in a later term', async () => {
 	const subject = new Subject()
 	subject.localTerm = 2
-	subject.begin(SUBMIT)
+	subject.start(SUBMIT)
 	await subject.run(10)
 	subject.localTerm = undefined
 	subject.answerHere?.({ kind: 'unknown', reason: 'the leader has changed' })
@@ -270,7 +270,7 @@
 test('a settled refusal of this instance as the newest leader covers a try that was sent to an earlier one', async () => {
 	const subject = new Subject()
 	subject.leader = leader('a', 1)
-	subject.begin(SUBMIT)
+	subject.start(SUBMIT)
 	await subject.run(10)
 	subject.localTerm = 2
 	subject.lose('a')
@@ -284,7 +284,7 @@
 	const subject = new Subject()
 	let gone = false
 	subject.leader = leader('a', 1)
-	subject.begin(SUBMIT, { ...PATIENT, isAbandoned: () => gone })
+	subject.start(SUBMIT, { ...PATIENT_LIMITS, isAbandoned: () => gone })
 	await subject.run(10)
 	gone = true
 	subject.lose('a')
--- a/packages/member/src/lib/MemberEvent.ts
+++ b/packages/member/src/lib/MemberEvent.ts
@@ -69,5 +69,5 @@
 	/** The process ends because of a fault; `reason`. */
 	Failed: 'failed',
 } as const
-/** One of the events. @public */
+/** The name of an event. @public */
 export type MemberEvent = (typeof MemberEvent)[keyof typeof MemberEvent]
--- a/packages/member/src/lib/carriers/CarriedOrders.ts
+++ b/packages/member/src/lib/carriers/CarriedOrders.ts
@@ -218,7 +218,7 @@
 		for (const { carrier } of this.pending.values()) {
 			if (this.isUnresponsive(carrier, now)) unresponsive.add(carrier)
 		}
-		for (const carrier of unresponsive) this.fail(carrier, 'it is silent')
+		for (const carrier of unresponsive) this.fail(carrier, 'it is unresponsive')
 	}
 
 	private failOverdue(now: number): void {
@@ -226,7 +226,7 @@
 		for (const { carrier, deadline } of this.pending.values()) {
 			if (now > deadline) overdue.add(carrier)
 		}
-		for (const carrier of overdue) this.fail(carrier, 'an order took too long')
+		for (const carrier of overdue) this.fail(carrier, 'an order timed out')
 	}
 
 	private isUnresponsive(carrier: string, now: number): boolean {
--- a/packages/member/src/lib/carriers/OrderCarrier.ts
+++ b/packages/member/src/lib/carriers/OrderCarrier.ts
@@ -50,7 +50,7 @@
 		private readonly orders: WorkerOrders,
 		private readonly clock: Clock,
 		private readonly send: (to: string, results: OrderResults) => void,
-		private readonly onDropped: (leader: string, orders: number, heldUp: number) => void = () =>
+		private readonly onDropped: (leader: string, orders: number, delay: number) => void = () =>
 			undefined
 	) {}
 
@@ -61,9 +61,9 @@
 
 	/** Carries a leader's batch of orders, unless it was delayed. */
 	onOrders(leader: string, { term, body, sent }: OrderBatch): void {
-		const heldUp = this.delays.observe(leader, sent, this.clock.now())
+		const delay = this.delays.observe(leader, sent, this.clock.now())
 		const orders = decodeOrders(body)
-		if (heldUp > ORDER_TIMEOUT_MS) return this.onDropped(leader, orders.length, heldUp)
+		if (delay > ORDER_TIMEOUT_MS) return this.onDropped(leader, orders.length, delay)
 		for (const order of orders) {
 			this.carry(order, (result) => this.addResult(leader, term, { id: order.id, result }))
 		}
--- a/packages/member/src/lib/load/EntryLoad.test.ts
+++ b/packages/member/src/lib/load/EntryLoad.test.ts
@@ -32,7 +32,7 @@
 	}
 
 	/** Advances the clock with a loop that is late by `delay` each time. */
-	run(span: number, delay = 0): void {
+	advance(span: number, delay = 0): void {
 		for (let spent = 0; spent < span; spent += PERIOD + delay) {
 			this.clock.advance(PERIOD + delay)
 			this.load.tick()
@@ -52,19 +52,19 @@
 
 test('a loop that stays late sheds new connections, and accepts them again once it has been punctual for a while', async () => {
 	const subject = new Subject()
-	subject.run(3000, 100)
+	subject.advance(3000, 100)
 	assert.equal(subject.load.acceptsConnections, false)
 	assert.equal(await subject.outcome(), 'accepted')
-	subject.run(2000)
+	subject.advance(2000)
 	assert.equal(subject.load.acceptsConnections, false)
-	subject.run(4000)
+	subject.advance(4000)
 	assert.equal(subject.load.acceptsConnections, true)
 	assert.equal(subject.lines.length, 2)
 })
 
 test('a loop that is a second late refuses nothing: only a leader can tell that a job was not accepted', async () => {
 	const subject = new Subject()
-	subject.run(6000, 1000)
+	subject.advance(6000, 1000)
 	assert.equal(subject.load.acceptsConnections, false)
 	assert.equal(await subject.outcome(), 'accepted')
 })
@@ -77,20 +77,20 @@
 		small.startCall()
 		large.startCall()
 	}
-	small.run(PERIOD)
-	large.run(PERIOD)
+	small.advance(PERIOD)
+	large.advance(PERIOD)
 	assert.equal(small.load.acceptsConnections, false)
 	assert.equal(large.load.acceptsConnections, true)
 	for (const end of small.ends) end()
 	await Promise.resolve()
-	small.run(8000)
+	small.advance(8000)
 	assert.equal(small.load.acceptsConnections, true)
 })
 
 test('with unknown capacity and a punctual loop everything is accepted', async () => {
 	const subject = new Subject(UNKNOWN_CAPACITY)
 	for (let calls = 0; calls < 5000; calls++) subject.startCall()
-	subject.run(2000, 10)
+	subject.advance(2000, 10)
 	assert.equal(subject.load.acceptsConnections, true)
 	assert.equal(await subject.outcome(), 'accepted')
 })
