--- a/packages/member/src/lib/ApiServer.ts
+++ b/packages/member/src/lib/ApiServer.ts
@@ -25,7 +25,7 @@
 
 /** Dependencies of the API server. @public */
 export interface ApiServerParts {
-	readonly call: (call: CellCall, finality: RetryLimits) => Promise<CellReply>
+	readonly call: (call: CellCall, limits: RetryLimits) => Promise<CellReply>
 	readonly meter: Meter
 	/** Updates the gauges that are only computed when metrics are read. */
 	readonly refresh: () => void
--- a/packages/member/src/lib/CoreInstance.ts
+++ b/packages/member/src/lib/CoreInstance.ts
@@ -98,7 +98,7 @@
  * ```ts
  * const core = new CoreInstance(parts)
  * await core.start()
- * const reply = await core.call({ kind: 'read-configuration' }, finality)
+ * const reply = await core.call({ kind: 'read-configuration' }, limits)
  * ```
  * @public
  */
