--- a/packages/member/src/lib/HeartbeatBatcher.test.ts
+++ b/packages/member/src/lib/HeartbeatBatcher.test.ts
@@ -1,4 +1,4 @@
-/** Heartbeats that bring nothing new are told together; everything else goes to the leader by itself. */
+/** Routine heartbeats are reported in batches; all others are forwarded to the leader singly. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import {
@@ -50,8 +50,8 @@
 		return this.heartbeats.handle({ worker: { ...WORKER, ...changes }, sequence, draining })
 	}
 
-	/** Lets time pass, and answers come. */
-	async run(span: number): Promise<void> {
+	/** Advances the clock and lets replies resolve. */
+	async advance(span: number): Promise<void> {
 		for (let spent = 0; spent < span; spent += 100) {
 			this.clock.advance(100)
 			await Promise.resolve()
@@ -60,7 +60,7 @@
 	}
 }
 
-test('heartbeats of a while are told at once, each worker once, with how long ago it was heard', () => {
+test('a batch reports each worker once, with the age of its last heartbeat', () => {
 	const subject = new Subject()
 	assert.ok(subject.isBatched(4))
 	subject.clock.advance(100)
@@ -69,7 +69,7 @@
 	assert.deepEqual(subject.reports, [[{ worker: 'w1', sequence: 5, clock: undefined, age: 200 }]])
 })
 
-test('what the replica does not know, what changes and what leaves is not gathered', () => {
+test('heartbeats of unknown, changed, draining and removed workers are not batched', () => {
 	const subject = new Subject()
 	assert.equal(subject.isBatched(1, { id: 'w2', address: 'h:2' }), false)
 	assert.equal(subject.isBatched(1, { id: 'w2' }), false)
@@ -79,7 +79,7 @@
 	assert.equal(subject.isBatched(2), false)
 })
 
-test('without a leader that can be told, workers are not told that they were heard', async () => {
+test('without a reachable leader, heartbeats are not acknowledged from a batch', async () => {
 	const subject = new Subject()
 	subject.hasLeader = false
 	assert.equal(subject.isBatched(1), false)
@@ -94,30 +94,31 @@
 	assert.ok(subject.isBatched(4))
 })
 
-// Guards against a busy leader that is kept busy: what it could not answer in time was sent again singly, thousands of calls a second.
-test('heartbeats that a busy leader has not answered are told again with later ones, and never each by itself', async () => {
+// Guards against keeping a busy leader busy: heartbeats that it had not answered in time were forwarded
+// one by one, thousands of calls a second.
+test('heartbeats that a busy leader has not answered are reported again with later ones, never one by one', async () => {
 	const subject = new Subject()
 	subject.answer = { kind: 'unknown', reason: 'no answer from a leader' }
 	assert.equal(subject.handle(1), HeartbeatHandling.Batched)
-	await subject.run(400)
+	await subject.advance(400)
 	assert.equal(subject.handle(2), HeartbeatHandling.Batched)
 	subject.answer = { kind: 'noted' }
-	await subject.run(400)
+	await subject.advance(400)
 	assert.equal(subject.reports.at(-1)?.[0].sequence, 2)
 	assert.ok(subject.reports.length <= 3)
 	const before = subject.reports.length
-	await subject.run(1000)
+	await subject.advance(1000)
 	assert.equal(subject.reports.length, before)
 })
 
-test('where the leader goes on giving no answer, workers are sent to other instances at once, until it answers', async () => {
+test('while the leader keeps not answering, workers are sent to other instances at once', async () => {
 	const subject = new Subject()
 	subject.answer = { kind: 'unknown', reason: 'no answer from a leader' }
 	assert.equal(subject.handle(1), HeartbeatHandling.Batched)
-	await subject.run(2000)
+	await subject.advance(2000)
 	assert.equal(subject.handle(2), HeartbeatHandling.Refused)
 	subject.answer = { kind: 'noted' }
-	await subject.run(400)
+	await subject.advance(400)
 	assert.equal(subject.reports.at(-1)?.[0].sequence, 1)
 	assert.equal(subject.handle(3), HeartbeatHandling.Batched)
 })
--- a/packages/member/src/lib/load/EntryLoad.test.ts
+++ b/packages/member/src/lib/load/EntryLoad.test.ts
@@ -1,4 +1,7 @@
-/** An entry instance of a third of the others' size gets as many callers as they: it sends new ones elsewhere before its answers come too late. */
+/**
+ * An entry instance of a third of the others' size gets as many callers as they do: it sheds new
+ * ones before its answers come too late.
+ */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import type { CellReply } from '@rillrudder/jobs'
@@ -19,7 +22,7 @@
 	readonly clock = new ManualClock()
 	readonly lines: string[] = []
 	readonly load: EntryLoad
-	/** Ends the calls that are under way. */
+	/** Ends the calls in flight. */
 	readonly ends: (() => void)[] = []
 
 	constructor(capacity = SMALL) {
@@ -28,15 +31,15 @@
 		this.load = new EntryLoad(parts)
 	}
 
-	/** Lets time pass in which the loop is so late each time. */
-	run(span: number, delay = 0): void {
+	/** Advances the clock with a loop that is late by `delay` each time. */
+	advance(span: number, delay = 0): void {
 		for (let spent = 0; spent < span; spent += PERIOD + delay) {
 			this.clock.advance(PERIOD + delay)
 			this.load.tick()
 		}
 	}
 
-	/** Begins a call that stays under way. */
+	/** Starts a call that stays in flight. */
 	startCall(): void {
 		const never = new Promise<CellReply>((resolve) => this.ends.push(() => resolve(ACCEPTED)))
 		void this.load.track(() => never)
@@ -47,26 +50,26 @@
 	}
 }
 
-test('a loop that stays late sends new connections elsewhere, and takes them again once it has been punctual for a while', async () => {
+test('a loop that stays late sheds new connections, and accepts them again once it has been punctual for a while', async () => {
 	const subject = new Subject()
-	subject.run(3000, 100)
+	subject.advance(3000, 100)
 	assert.equal(subject.load.acceptsConnections, false)
 	assert.equal(await subject.outcome(), 'accepted')
-	subject.run(2000)
+	subject.advance(2000)
 	assert.equal(subject.load.acceptsConnections, false)
-	subject.run(4000)
+	subject.advance(4000)
 	assert.equal(subject.load.acceptsConnections, true)
 	assert.equal(subject.lines.length, 2)
 })
 
-test('a loop that is a second late refuses nothing: only a leader can tell that a job is not taken', async () => {
+test('a loop that is a second late refuses nothing: only a leader can tell that a job was not accepted', async () => {
 	const subject = new Subject()
-	subject.run(6000, 1000)
+	subject.advance(6000, 1000)
 	assert.equal(subject.load.acceptsConnections, false)
 	assert.equal(await subject.outcome(), 'accepted')
 })
 
-test('calls beyond half of what its link and memory hold send new connections elsewhere, sooner at a small one', async () => {
+test('calls beyond half of what link and memory hold shed new connections, sooner at a small instance', async () => {
 	assert.ok(maxCalls(SMALL) < maxCalls(LARGE) / 2)
 	assert.equal(maxCalls(UNKNOWN_CAPACITY), Number.POSITIVE_INFINITY)
 	const [small, large] = [new Subject(SMALL), new Subject(LARGE)]
@@ -74,38 +77,38 @@
 		small.startCall()
 		large.startCall()
 	}
-	small.run(PERIOD)
-	large.run(PERIOD)
+	small.advance(PERIOD)
+	large.advance(PERIOD)
 	assert.equal(small.load.acceptsConnections, false)
 	assert.equal(large.load.acceptsConnections, true)
 	for (const end of small.ends) end()
 	await Promise.resolve()
-	small.run(8000)
+	small.advance(8000)
 	assert.equal(small.load.acceptsConnections, true)
 })
 
-test('without knowledge of its capacity and with a punctual loop it takes everything', async () => {
+test('with unknown capacity and a punctual loop everything is accepted', async () => {
 	const subject = new Subject(UNKNOWN_CAPACITY)
 	for (let calls = 0; calls < 5000; calls++) subject.startCall()
-	subject.run(2000, 10)
+	subject.advance(2000, 10)
 	assert.equal(subject.load.acceptsConnections, true)
 	assert.equal(await subject.outcome(), 'accepted')
 })
 
-test('below the bounds nothing is ever turned away', () => {
+test('below the thresholds nothing is ever shed', () => {
 	const calm = fc.record({
 		loopDelay: fc.double({ min: 0, max: LATE_LOOP_MS - 1, noNaN: true }),
 		fill: fc.double({ min: 0, max: 0.49, noNaN: true }),
 	})
 	const neverSheds = fc.property(fc.array(calm), (readings) => {
-		const shedding = new LoadShedder()
-		readings.forEach((reading, index) => shedding.update(reading, index * PERIOD))
-		assert.equal(shedding.isShedding, false)
+		const shedder = new LoadShedder()
+		readings.forEach((reading, index) => shedder.update(reading, index * PERIOD))
+		assert.equal(shedder.isShedding, false)
 	})
 	fc.assert(neverSheds, { numRuns: 200, seed: 36 })
 })
 
-test('one standstill of a process is no load, a loop that stays late is', () => {
+test('a single stall of the process is not load, a loop that stays late is', () => {
 	const delay = new LoopDelay(PERIOD, 0)
 	delay.onTimer(PERIOD)
 	delay.onTimer(5000)
