--- a/packages/runs/src/lib/jobs/JobRun.ts
+++ b/packages/runs/src/lib/jobs/JobRun.ts
@@ -266,7 +266,7 @@
 		this.advance(SETTLE_MS)
 		for (const { worker } of this.fleet.machines) {
 			const known = this.state.workers.find(worker.id) !== undefined
-			invariant(known, 'a worker that reports is known by its current incarnation', {
+			invariant(known, 'a worker that reports is known by its present life', {
 				worker: worker.id,
 			})
 		}
@@ -525,8 +525,6 @@
 	private mayRun(task: string, worker: string, ticket: string): boolean {
 		const [id] = task.split('.')
 		const advised = this.state.jobs.find(id)?.queue.advice !== undefined
-		return (
-			!advised || this.advisers.isValidTicket(ticket, task.slice(0, task.lastIndexOf('.')), worker)
-		)
+		return !advised || this.advisers.isValid(ticket, task.slice(0, task.lastIndexOf('.')), worker)
 	}
 }
--- a/packages/runs/src/lib/jobs/RunAdvisers.ts
+++ b/packages/runs/src/lib/jobs/RunAdvisers.ts
@@ -79,7 +79,7 @@
 	}
 
 	/** @returns whether a ticket was issued for the step and worker and has not expired. */
-	isValidTicket(ticket: string, step: string, worker: string): boolean {
+	isValid(ticket: string, step: string, worker: string): boolean {
 		const [forStep, forWorker, until] = ticket.split('|')
 		return forStep === step && forWorker === worker && this.clock.now() <= Number(until)
 	}
--- a/packages/runs/src/lib/jobs/restartedRun.test.ts
+++ b/packages/runs/src/lib/jobs/restartedRun.test.ts
@@ -106,7 +106,7 @@
 
 const PATCHES: readonly PatchCase[] = [
 	{
-		rule: /does not begin again|an accepted job ends|is known by its current incarnation/,
+		rule: /does not begin again|an accepted job ends|is known by its present life/,
 		without: 'distinguishing incarnations in lists of runs',
 		patches: () => [
 			[
@@ -118,7 +118,7 @@
 		runSeed: runWithManyRestarts,
 	},
 	{
-		rule: /is known by its current incarnation/,
+		rule: /is known by its present life/,
 		without: 'distinguishing incarnations in heartbeats',
 		patches: () => [
 			[
