--- a/apps/control/src/index.ts
+++ b/apps/control/src/index.ts
@@ -1,4 +1,4 @@
-/** `rr-control`: groups, decisions and the operator API. */
+/** `rr-control`: replicas, controllers and the operator API. */
 export { ControlProcess, type ControlOverrides } from './lib/ControlProcess'
 export {
 	checkControlSettings,
--- a/apps/control/src/lib/ControlProcess.ts
+++ b/apps/control/src/lib/ControlProcess.ts
@@ -1,4 +1,4 @@
-/** `rr-control`: the replicas of this instance, the decisions of those that lead, and the operator API. */
+/** The `rr-control` process: the replicas of one instance, their controllers, and the operator API. */
 import { linkSecurity, LinkHub, type Event } from '@rillrudder/protocol'
 import { RunningProgram } from '@rillrudder/program'
 import {
@@ -23,30 +23,30 @@
 import { randomInt, randomUUID } from 'node:crypto'
 import { VError } from 'verror'
 import type { ControlSettings } from './ControlSettings'
-import { DiskKeeper } from './DiskKeeper'
+import { FileRevisionKeeper } from './FileRevisionKeeper'
 import { DataCentreHost } from './groups/DataCentreHost'
 import { SystemHost } from './groups/SystemHost'
-import { OperatorIdentity } from './operators/OperatorIdentity'
+import { OperatorAuthenticator } from './operators/OperatorAuthenticator'
 import { OperatorServer } from './operators/OperatorServer'
-import { PlatformList } from './workers/PlatformList'
+import { PlatformListPoller } from './workers/PlatformListPoller'
 import { WorkerClient } from './workers/WorkerClient'
 
-/** All groups take their ticks together, so that their messages go together. */
-const TICK = 50
-const MOST_SEED = 0x7fffffff
-const HAND_OVER_FOR = 2000
-const HAND_OVER_LOOK = 20
+/** All groups tick together, so that their messages are sent in the same batch. */
+const TICK_MS = 50
+const MAX_SEED = 0x7fffffff
+const HANDOVER_TIMEOUT_MS = 2000
+const HANDOVER_POLL_MS = 20
 
-/** What a process may be given instead of the machine's own. @public */
+/** Replacements for the system clock, the default log and the fault handler. @public */
 export interface ControlOverrides {
 	readonly clock?: Clock
 	readonly log?: Log
-	/** Told of a fault after which the process can't go on; the default ends it. */
-	readonly fail?: (fault: Error) => void
+	/** Called on a fault that the process cannot recover from; exits the process by default. */
+	readonly onFault?: (fault: Error) => void
 }
 
 /**
- * One `rr-control`.
+ * An `rr-control` process.
  *
  * @public
  */
@@ -63,17 +63,17 @@
 	private readonly router: OperatorRouter
 	private readonly operators: OperatorServer
 	private readonly workers = new WorkerClient()
-	private readonly platform: PlatformList | undefined
+	private readonly platform: PlatformListPoller | undefined
 	private readonly connected = new Set<string>()
-	private readonly fail: (fault: Error) => void
-	private readonly file: RevisionFile | undefined
+	private readonly onFault: (fault: Error) => void
+	private readonly revisionFile: RevisionFile | undefined
 	private lock: FolderLock | undefined
 	private operatorPort = 0
 	private timer: Timer | undefined
 
 	/**
 	 * @param settings - checked settings.
-	 * @param overrides - for tests and for several processes in one.
+	 * @param overrides - for tests, and for running several instances in one process.
 	 */
 	constructor(
 		private readonly settings: ControlSettings,
@@ -84,51 +84,57 @@
 		this.clock = overrides.clock ?? new SystemClock()
 		this.log = overrides.log ?? new Log(self.id, this.clock, settings.logLevel as 'info')
 		this.metrics = new Metrics(self.id, settings.metrics)
-		this.fail = overrides.fail ?? ((fault) => this.endAtOnce(fault))
+		this.onFault = overrides.onFault ?? ((fault) => this.exitOnFault(fault))
 		this.groups = groupsOf(instances)
 		this.hub = this.makeHub()
-		this.file = settings.data ? new RevisionFile(new SystemDisk(), settings.data) : undefined
-		const keeper = this.file ? new DiskKeeper(this.file, this.fail) : undefined
-		this.holder = new ConfigurationHolder(keeper, (revision) => this.configured(revision))
+		this.revisionFile = settings.data
+			? new RevisionFile(new SystemDisk(), settings.data)
+			: undefined
+		const keeper = this.revisionFile
+			? new FileRevisionKeeper(this.revisionFile, this.onFault)
+			: undefined
+		this.holder = new ConfigurationHolder(keeper, (revision) =>
+			this.onConfigurationChanged(revision)
+		)
 		this.relay = this.makeRelay()
 		this.system = this.makeSystem()
 		for (const layout of this.groups) this.addHost(layout)
 		this.router = this.makeRouter()
-		this.operators = this.makeOperators()
-		this.platform = this.makePlatform()
+		this.operators = this.makeOperatorServer()
+		this.platform = this.makePlatformList()
 	}
 
-	/** Where operators call, once started. */
+	/** Address of the operators' HTTP server, once started. */
 	get operatorAddress(): string {
 		return `${this.settings.operators.host}:${this.operatorPort}`
 	}
 
-	/** Data centres for which this process decides now. */
+	/** Names of the data centres whose groups this process currently leads. */
 	get leading(): string[] {
 		return [...this.hosts.values()].filter((host) => host.leads).map((host) => host.name)
 	}
 
 	override async start(): Promise<void> {
-		this.lockFolder()
-		const kept = await this.file?.load()
+		this.lockDataFolder()
+		const kept = await this.revisionFile?.load()
 		if (kept) this.holder.restore(kept)
 		await this.system?.start()
 		for (const host of this.hosts.values()) await host.start()
 		await this.hub.listen(this.settings.self.address)
 		this.dialPeers()
 		this.operatorPort = await this.operators.start()
-		this.timer = this.clock.every(TICK, () => this.tick())
+		this.timer = this.clock.every(TICK_MS, () => this.tick())
 		this.platform?.start()
 		this.log.info('started', { operators: this.operatorAddress })
 	}
 
-	/** Hands leadership over before it goes. */
+	/** Hands leadership over to other replicas before it stops. */
 	override async stop(): Promise<void> {
 		this.log.info('stopping')
 		this.platform?.stop()
 		for (const host of this.hosts.values()) host.handOver()
 		this.system?.handOver()
-		await this.waitUntilHandedOver()
+		await this.waitForHandover()
 		this.halt()
 		for (const host of this.hosts.values()) await host.stop()
 		await this.system?.stop()
@@ -136,7 +142,7 @@
 		this.log.info('stopped')
 	}
 
-	/** Ends as a killed process does, for tests: nothing is handed over, nothing more is sent. */
+	/** Stops abruptly, like a killed process: hands nothing over and sends nothing more. For tests. */
 	halt(): void {
 		this.timer?.cancel()
 		this.operators.stop()
@@ -152,7 +158,7 @@
 		for (const host of this.hosts.values()) host.tick()
 	}
 
-	private lockFolder(): void {
+	private lockDataFolder(): void {
 		const { data } = this.settings
 		if (!data) return
 		const lock = FolderLock.acquire(data)
@@ -190,31 +196,31 @@
 		const layout = this.groups.find((group) => group.name === SYSTEM_GROUP)
 		const { self, data } = this.settings
 		if (!layout?.voters.some((voter) => voter.id === self.id)) return undefined
-		const { clock, log, fail } = this
+		const { clock, log, onFault } = this
 		return new SystemHost({
 			self: self.id,
 			layout,
 			data,
 			clock,
-			random: new Random(randomInt(MOST_SEED)),
+			random: new Random(randomInt(MAX_SEED)),
 			log,
-			fail,
+			onFault,
 			send: (to, event) => this.send(to, event),
-			accepted: (revision) => this.holder.install(revision),
+			onAccepted: (revision) => this.holder.install(revision),
 		})
 	}
 
 	private addHost(layout: GroupLayout): void {
 		const { self, data } = this.settings
-		const member = layout.voters.some((voter) => voter.id === self.id)
-		if (layout.name === SYSTEM_GROUP || !member) return
-		const { clock, log, metrics, workers, fail } = this
+		const isVoter = layout.voters.some((voter) => voter.id === self.id)
+		if (layout.name === SYSTEM_GROUP || !isVoter) return
+		const { clock, log, metrics, workers, onFault } = this
 		const host = new DataCentreHost({
 			self: self.id,
 			layout,
 			data,
 			clock,
-			random: new Random(randomInt(MOST_SEED)),
+			random: new Random(randomInt(MAX_SEED)),
 			log,
 			metrics,
 			dataCentres: dataCentresOf(this.settings.instances),
@@ -222,7 +228,7 @@
 			callGroup: (group, call) => this.callGroup(group, call),
 			send: (to, event) => this.send(to, event),
 			workers,
-			fail,
+			onFault,
 		})
 		this.hosts.set(layout.name, host)
 	}
@@ -234,18 +240,19 @@
 			groups: this.groups,
 			name: () => randomUUID(),
 			send: (to, event) => this.send(to, event),
-			callHere: (group, call, reply) => this.callHere(group, call, reply),
+			callHere: (group, call, reply) => this.callLocal(group, call, reply),
 		})
 	}
 
-	private makeOperators(): OperatorServer {
+	private makeOperatorServer(): OperatorServer {
 		const { operators, tls, operatorTokens, self } = this.settings
-		const identity = new OperatorIdentity(operatorTokens, tls !== undefined)
-		if (identity.open) this.log.warn('operators-are-believed', { why: 'no TLS or tokens are set' })
+		const authenticator = new OperatorAuthenticator(operatorTokens, tls !== undefined)
+		if (authenticator.isOpen)
+			this.log.warn('operators-are-believed', { why: 'no TLS or tokens are set' })
 		return new OperatorServer({
 			listen: operators,
 			tls,
-			identity,
+			authenticator,
 			dataCentre: self.dataCentre,
 			call: (group, call) => this.callGroup(group, call),
 			status: () => this.status(),
@@ -253,16 +260,16 @@
 		})
 	}
 
-	private makePlatform(): PlatformList | undefined {
+	private makePlatformList(): PlatformListPoller | undefined {
 		const { platform } = this.settings
 		if (!platform) return undefined
-		const wanted = () => this.leading.length > 0
-		return new PlatformList(platform, this.clock, this.log, wanted, (workers) => {
-			for (const host of this.hosts.values()) if (host.leads) host.list(workers)
+		const isWanted = () => this.leading.length > 0
+		return new PlatformListPoller(platform, this.clock, this.log, isWanted, (workers) => {
+			for (const host of this.hosts.values()) if (host.leads) host.onPlatformList(workers)
 		})
 	}
 
-	/** Of two instances the one with the lower name dials. */
+	/** Dials the peers with a higher id; of two instances the one with the lower id dials. */
 	private dialPeers(): void {
 		const { self, instances } = this.settings
 		for (const peer of instances) if (self.id < peer.id) this.hub.dial(peer.id, peer.address)
@@ -282,13 +289,13 @@
 				else this.hosts.get(body.value.group)?.receive(from, event)
 				return
 			case 'beat':
-				return this.toHost(body.value.group, from, event)
+				return this.forwardToHost(body.value.group, from, event)
 			case 'submit':
-				return this.toHost(body.value.group, from, event)
+				return this.forwardToHost(body.value.group, from, event)
 			case 'report':
-				return this.toHost(body.value.group, from, event)
+				return this.forwardToHost(body.value.group, from, event)
 			case 'withdraw':
-				return this.toHost(body.value.group, from, event)
+				return this.forwardToHost(body.value.group, from, event)
 			case 'configurationOffer': {
 				const { revision, document, fences } = body.value
 				return this.holder.install({ revision, document: document.toString(), fences })
@@ -304,7 +311,7 @@
 		}
 	}
 
-	private toHost(group: string, from: string, event: Event): void {
+	private forwardToHost(group: string, from: string, event: Event): void {
 		const host = this.hosts.get(group)
 		if (host) {
 			host.receive(from, event)
@@ -318,7 +325,7 @@
 		return new Promise((resolve) => this.router.call(group, call, resolve))
 	}
 
-	private callHere(group: string, call: OperatorCall, reply: ReplyTo): boolean {
+	private callLocal(group: string, call: OperatorCall, reply: ReplyTo): boolean {
 		if (group === SYSTEM_GROUP) {
 			this.system?.call(call, reply)
 			return this.system !== undefined
@@ -339,10 +346,10 @@
 		this.log.debug(connected ? 'peer-connected' : 'peer-lost', { peer })
 	}
 
-	private configured(revision: KeptRevision): void {
+	private onConfigurationChanged(revision: KeptRevision): void {
 		this.metrics.gauge(Metric.ConfigurationRevision, revision.revision)
 		this.log.info('configuration-in-force', { revision: revision.revision })
-		for (const host of this.hosts.values()) host.configured()
+		for (const host of this.hosts.values()) host.onConfigurationChanged()
 		this.relay?.changed()
 	}
 
@@ -365,17 +372,17 @@
 		}
 	}
 
-	/** Another replica leads every group, or there is nobody to hand over to. */
-	private async waitUntilHandedOver(): Promise<void> {
-		const until = this.clock.now() + HAND_OVER_FOR
+	/** Waits until this process leads no group, or times out because no replica can take over. */
+	private async waitForHandover(): Promise<void> {
+		const deadline = this.clock.now() + HANDOVER_TIMEOUT_MS
 		const groups = [...this.hosts.values()].map((host) => host.replicaGroup)
 		if (this.system) groups.push(this.system.replicaGroup)
-		while (this.clock.now() < until && groups.some((group) => group.replica.leads)) {
-			await new Promise<void>((resolve) => this.clock.after(HAND_OVER_LOOK, () => resolve()))
+		while (this.clock.now() < deadline && groups.some((group) => group.replica.leads)) {
+			await new Promise<void>((resolve) => this.clock.after(HANDOVER_POLL_MS, () => resolve()))
 		}
 	}
 
-	private endAtOnce(fault: Error): void {
+	private exitOnFault(fault: Error): void {
 		this.log.error('can-not-go-on', { fault: fault.message })
 		process.exit(1)
 	}
--- a/apps/control/src/lib/ControlSettings.ts
+++ b/apps/control/src/lib/ControlSettings.ts
@@ -3,24 +3,24 @@
 import { SettingsReader, type Endpoint, type Instance } from '@rillrudder/settings'
 import type { Finding, Result } from '@rillrudder/utils'
 
-/** Settings, checked. @public */
+/** Validated settings. @public */
 export interface ControlSettings {
 	readonly self: Instance
 	readonly instances: readonly Instance[]
-	/** Where operators call. */
+	/** Listen address for operators. */
 	readonly operators: Endpoint
-	/** Where the platform's list is; absent when there is none. */
+	/** Address of the platform's worker list; absent if there is none. */
 	readonly platform?: Endpoint
-	/** Data folder; present on an instance with a disk. */
+	/** Data folder; only set on an instance with a disk. */
 	readonly data?: string
 	readonly metrics?: Endpoint
 	readonly logLevel: string
 	readonly tls?: TlsFiles
-	/** File of operators' tokens, `name: token` a line; absent for none. */
+	/** File of operators' tokens, with one `name: token` per line; absent for none. */
 	readonly operatorTokens?: string
 }
 
-/** Settings as flags and variables give them. @public */
+/** Unvalidated settings from flags and environment variables. @public */
 export interface WrittenControlSettings {
 	readonly id?: string
 	readonly peers: readonly string[]
@@ -36,8 +36,8 @@
 }
 
 /**
- * @param written - settings as they were given.
- * @returns checked settings, or everything that is wrong with them.
+ * @param written - unvalidated settings.
+ * @returns validated settings, or all findings.
  * @public
  */
 export function checkControlSettings(
--- a/apps/control/src/lib/groups/DataCentreHost.ts
+++ b/apps/control/src/lib/groups/DataCentreHost.ts
@@ -1,4 +1,4 @@
-/** One data centre's group at work in this process, and the driver of its controller. */
+/** Hosts one data centre's group in this process, with the driver of its controllers. */
 import {
 	LeaderDriver,
 	Environment,
@@ -19,7 +19,7 @@
 import { openGroup, type GroupHostParts } from './openGroup'
 import { ReplicaAccess } from './ReplicaAccess'
 
-/** What a host works with. @internal */
+/** Dependencies of `DataCentreHost`. @internal */
 export interface DataCentreHostParts extends GroupHostParts {
 	readonly metrics: Metrics
 	readonly dataCentres: readonly string[]
@@ -29,11 +29,11 @@
 	readonly workers: WorkerClient
 }
 
-/** The clock, the links and the workers of this process, as the driver sees them. */
+/** Gives the driver access to the clock, the links and the worker client of this process. */
 class ProcessEnvironment extends Environment {
 	constructor(
 		private readonly parts: DataCentreHostParts,
-		private readonly post: (step: (driver: LeaderDriver) => void) => void
+		private readonly post: (action: (driver: LeaderDriver) => void) => void
 	) {
 		super()
 	}
@@ -77,7 +77,7 @@
 }
 
 /**
- * One data centre's group in this process.
+ * Hosts one data centre's group in this process.
  *
  * @internal
  */
@@ -89,7 +89,7 @@
 	constructor(private readonly parts: DataCentreHostParts) {
 		const { layout, self, random, dataCentres, inForce } = parts
 		const { name } = layout
-		const surroundings = new ProcessEnvironment(parts, (step) => void this.mailbox.post(step))
+		const surroundings = new ProcessEnvironment(parts, (action) => void this.mailbox.post(action))
 		this.driver = new LeaderDriver({ name, self, random, dataCentres, inForce, surroundings })
 	}
 
@@ -103,36 +103,40 @@
 		return this.group
 	}
 
-	/** Whether this process decides for the data centre. */
+	/** Whether this process leads the data centre's group. */
 	get leads(): boolean {
 		return this.driver.leads
 	}
 
 	async start(): Promise<void> {
-		this.group = await openGroup(this.parts, this.driver.state, () => this.followGroup())
+		this.group = await openGroup(this.parts, this.driver.state, () => this.onGroupAdvanced())
 		this.driver.join(new ReplicaAccess(this.group, () => this.isFenced))
-		this.mailbox.serve(`controller ${this.name}`, (batch) => this.run(batch), this.parts.fail)
+		this.mailbox.serve(
+			`controller ${this.name}`,
+			(batch) => this.runBatch(batch),
+			this.parts.onFault
+		)
 	}
 
-	/** Takes an event of a peer. */
+	/** Handles an event from a peer; ignored while the data centre is fenced. */
 	receive(from: string, event: Event): void {
 		if (this.isFenced) return
 		if (event.body?.$case === 'group') this.group.receive(event.body.value)
 		else this.post((driver) => driver.receive(from, event))
 	}
 
-	/** Takes an operator's call, or says who leads. */
+	/** Handles an operator's call, or replies with the current leader. */
 	call(call: OperatorCall, reply: ReplyTo): void {
 		this.post((driver) => driver.call(call, reply))
 	}
 
-	/** Takes the platform's list. */
-	list(workers: readonly ListedWorker[]): void {
+	/** Passes the platform's worker list to the driver. */
+	onPlatformList(workers: readonly ListedWorker[]): void {
 		this.post((driver) => driver.list(workers))
 	}
 
-	/** The configuration has changed. */
-	configured(): void {
+	/** Applies a change of the configuration. */
+	onConfigurationChanged(): void {
 		this.post((driver) => driver.configured())
 	}
 
@@ -146,21 +150,24 @@
 		await this.group.stop()
 	}
 
-	/** Declared down: this replica takes no part, so that a return finds no quorum. */
+	/**
+	 * Whether the data centre was declared down. Its replicas then ignore all events, so that the group
+	 * has no quorum if the data centre comes back.
+	 */
 	private get isFenced(): boolean {
 		return isDown(this.parts.inForce().fences, this.name)
 	}
 
-	private post(step: (driver: LeaderDriver) => void): void {
-		this.mailbox.post(step)
+	private post(action: (driver: LeaderDriver) => void): void {
+		this.mailbox.post(action)
 	}
 
-	private run(batch: ((driver: LeaderDriver) => void)[]): void {
-		for (const step of batch) step(this.driver)
+	private runBatch(batch: ((driver: LeaderDriver) => void)[]): void {
+		for (const action of batch) action(this.driver)
 		this.driver.carryOut()
 	}
 
-	/** Lets time pass, for the replica and for the controller. */
+	/** Advances the timers of the replica and, on the leader, of the controllers. */
 	tick(): void {
 		this.group.tick()
 		if (this.driver.leads) this.post(() => this.tickController())
@@ -176,7 +183,7 @@
 		metrics.gauge(Metric.WorkersClosed, workersClosed, this.name)
 	}
 
-	private followGroup(): void {
+	private onGroupAdvanced(): void {
 		const applied = this.driver.followGroup()
 		this.parts.metrics.count(Metric.Commands, applied, this.name)
 		this.driver.carryOut()
--- a/apps/control/src/lib/groups/ReplicaAccess.ts
+++ b/apps/control/src/lib/groups/ReplicaAccess.ts
@@ -1,20 +1,20 @@
-/** A group of this process, as drivers see it. */
+/** Gives drivers access to a group that this process hosts. */
 import { GroupAccess } from '@rillrudder/cell'
 import type { Group } from '@rillrudder/group'
 
 /**
- * A group of this process, as drivers see it.
+ * Gives drivers access to a group that this process hosts.
  *
  * @internal
  */
 export class ReplicaAccess extends GroupAccess {
 	/**
 	 * @param group - the group.
-	 * @param fenced - whether its data centre was declared down; it decides nothing then.
+	 * @param isFenced - whether its data centre was declared down; it may not act then.
 	 */
 	constructor(
 		private readonly group: Group,
-		private readonly fenced: () => boolean = () => false
+		private readonly isFenced: () => boolean = () => false
 	) {
 		super()
 	}
@@ -24,7 +24,7 @@
 	}
 
 	override get mayAct(): boolean {
-		return this.group.mayAct && !this.fenced()
+		return this.group.mayAct && !this.isFenced()
 	}
 
 	override get leader(): string {
--- a/apps/control/src/lib/groups/SystemHost.ts
+++ b/apps/control/src/lib/groups/SystemHost.ts
@@ -1,4 +1,4 @@
-/** The system's group at work in this process. */
+/** Hosts the system group in this process. */
 import { SystemDriver, type OperatorCall, type ReplyTo } from '@rillrudder/cell'
 import type { Group } from '@rillrudder/group'
 import type { Event } from '@rillrudder/protocol'
@@ -6,14 +6,14 @@
 import { openGroup, type GroupHostParts } from './openGroup'
 import { ReplicaAccess } from './ReplicaAccess'
 
-/** What a host works with. @internal */
+/** Dependencies of `SystemHost`. @internal */
 export interface SystemHostParts extends GroupHostParts {
-	/** Told of the configuration in force whenever the group has taken a step. */
-	readonly accepted: (revision: KeptRevision) => void
+	/** Called with the configuration in force whenever the group has advanced. */
+	readonly onAccepted: (revision: KeptRevision) => void
 }
 
 /**
- * The system's group in this process.
+ * Hosts the system group in this process.
  *
  * @internal
  */
@@ -22,11 +22,11 @@
 	private group!: Group
 
 	constructor(private readonly parts: SystemHostParts) {
-		const { self, clock, log, accepted } = parts
+		const { self, clock, log, onAccepted } = parts
 		this.driver = new SystemDriver({
 			self,
 			at: () => clock.date().getTime(),
-			accepted,
+			accepted: onAccepted,
 			leadership: (gained) =>
 				log.info(gained ? 'leadership-gained' : 'leadership-lost', { group: SYSTEM_GROUP }),
 		})
@@ -37,7 +37,7 @@
 		return this.group
 	}
 
-	/** Whether a leader has been heard since the start, so that what is committed is known. */
+	/** Whether a leader was heard from since the start, so that the commit index is known. */
 	get isCurrent(): boolean {
 		return this.driver.isCurrent
 	}
@@ -52,12 +52,12 @@
 		if (event.body?.$case === 'group') this.group.receive(event.body.value)
 	}
 
-	/** Takes an operator's call, or says who leads. */
+	/** Handles an operator's call, or replies with the current leader. */
 	call(call: OperatorCall, reply: ReplyTo): void {
 		this.driver.call(call, reply)
 	}
 
-	/** Lets time pass. */
+	/** Advances the replica's timers. */
 	tick(): void {
 		this.group.tick()
 	}
--- a/apps/control/src/lib/groups/openGroup.ts
+++ b/apps/control/src/lib/groups/openGroup.ts
@@ -1,4 +1,4 @@
-/** Opens a group's files and starts to drive its replica. */
+/** Opens a group's files and starts its replica. */
 import { randomUUID } from 'node:crypto'
 import { join } from 'node:path'
 import { Replica } from '@rillrudder/consensus'
@@ -9,40 +9,40 @@
 import type { Log } from '@rillrudder/telemetry'
 import type { Clock, Random } from '@rillrudder/utils'
 
-/** What the hosts of groups have in common. @internal */
+/** Dependencies that all group hosts share. @internal */
 export interface GroupHostParts {
 	readonly self: string
 	readonly layout: GroupLayout
-	/** Absent without a disk. */
+	/** Data folder; absent on an instance without a disk. */
 	readonly data?: string
 	readonly clock: Clock
 	readonly random: Random
 	readonly log: Log
-	/** Sends to a process. @returns false when it was dropped for certain. */
+	/** Sends an event to a process. @returns false if it was certainly dropped. */
 	readonly send: (to: string, event: Event) => boolean
-	readonly fail: (fault: Error) => void
+	readonly onFault: (fault: Error) => void
 }
 
 /**
- * @param parts - what to open and with what.
- * @param machine - what committed entries are applied to.
- * @param settled - told after every batch of events.
- * @returns the group, which runs.
+ * @param parts - the group's layout and dependencies.
+ * @param machine - the state machine to which committed entries are applied.
+ * @param onAdvanced - called after every batch of events.
+ * @returns the running group.
  * @internal
  */
 export async function openGroup(
 	parts: GroupHostParts,
 	machine: StateMachine,
-	settled: () => void
+	onAdvanced: () => void
 ): Promise<Group> {
-	const { self, layout, clock, fail } = parts
-	const fresh = randomUUID()
+	const { self, layout, clock, onFault } = parts
+	const freshIncarnation = randomUUID()
 	const opened = parts.data
 		? await GroupStore.open({
 				disk: new SystemDisk(),
 				folder: join(parts.data, 'groups', layout.name),
 				group: layout.name,
-				freshIncarnation: fresh,
+				freshIncarnation,
 			})
 		: undefined
 	if (opened && opened.ending !== Ending.Clean) {
@@ -51,7 +51,7 @@
 	const options = {
 		group: layout.name,
 		id: self,
-		incarnation: opened?.incarnation ?? fresh,
+		incarnation: opened?.incarnation ?? freshIncarnation,
 		founders: layout.voters,
 		random: parts.random,
 	}
@@ -59,5 +59,14 @@
 	const { name } = layout
 	const send = (to: string, message: GroupMessage): void =>
 		void parts.send(to, { body: { $case: 'group', value: message } })
-	return new Group({ name, replica, store: opened?.store, machine, clock, send, fail, settled })
+	return new Group({
+		name,
+		replica,
+		store: opened?.store,
+		machine,
+		clock,
+		send,
+		fail: onFault,
+		settled: onAdvanced,
+	})
 }
--- a/apps/control/src/lib/operators/OperatorIdentity.ts
+++ b/apps/control/src/lib/operators/OperatorAuthenticator.ts
@@ -1,4 +1,4 @@
-/** Who an operator is: by certificate, by token, or on plain loopback by their own word. */
+/** Identifies operators by certificate, by token, or on plain loopback by an unverified header. */
 import { timingSafeEqual } from 'node:crypto'
 import { readFileSync } from 'node:fs'
 import type { IncomingMessage } from 'node:http'
@@ -14,37 +14,37 @@
 }
 
 /**
- * Tells who makes a call.
+ * Identifies the operator who makes a call.
  *
  * @internal
  */
-export class OperatorIdentity {
+export class OperatorAuthenticator {
 	private readonly tokens: readonly Token[]
 
 	/**
-	 * @param tokenFile - lines of `name: token`, or undefined for no tokens.
-	 * @param secure - whether certificates are shown.
+	 * @param tokenFile - file with one `name: token` per line, or undefined for no tokens.
+	 * @param usesTls - whether operators present certificates.
 	 */
 	constructor(
 		tokenFile: string | undefined,
-		private readonly secure: boolean
+		private readonly usesTls: boolean
 	) {
 		this.tokens = tokenFile === undefined ? [] : readTokens(readFileSync(tokenFile, 'utf8'))
 	}
 
-	/** Whether everybody on loopback is believed. */
-	get open(): boolean {
-		return !this.secure && this.tokens.length === 0
+	/** Whether names are accepted without verification. */
+	get isOpen(): boolean {
+		return !this.usesTls && this.tokens.length === 0
 	}
 
-	/** @returns the operator's name, or undefined when the call is not theirs to make. */
+	/** @returns the operator's name, or undefined if the caller is not authorized. */
 	nameOf(request: IncomingMessage): string | undefined {
-		if (this.tokens.length > 0) return this.byToken(request)
-		if (this.secure) return commonName(request)
+		if (this.tokens.length > 0) return this.nameByToken(request)
+		if (this.usesTls) return commonName(request)
 		return String(request.headers[NAME_HEADER] ?? UNNAMED)
 	}
 
-	private byToken(request: IncomingMessage): string | undefined {
+	private nameByToken(request: IncomingMessage): string | undefined {
 		const given = Buffer.from(BEARER.exec(request.headers.authorization ?? '')?.[1] ?? '')
 		const match = this.tokens.find(
 			({ token }) => token.length === given.length && timingSafeEqual(token, given)
--- a/apps/control/src/lib/operators/OperatorServer.ts
+++ b/apps/control/src/lib/operators/OperatorServer.ts
@@ -13,15 +13,15 @@
 import type { TlsFiles } from '@rillrudder/protocol'
 import { SYSTEM_GROUP, type Endpoint } from '@rillrudder/settings'
 import { readBody } from '@rillrudder/web'
-import type { OperatorIdentity } from './OperatorIdentity'
+import type { OperatorAuthenticator } from './OperatorAuthenticator'
 
-const MOST_BODY_BYTES = 4 * 1024 * 1024
+const MAX_BODY_BYTES = 4 * 1024 * 1024
 
-/** What a server works with. @internal */
+/** Dependencies of `OperatorServer`. @internal */
 export interface OperatorServerParts {
 	readonly listen: Endpoint
 	readonly tls?: TlsFiles
-	readonly identity: OperatorIdentity
+	readonly authenticator: OperatorAuthenticator
 	readonly dataCentre: string
 	readonly call: (group: string, call: OperatorCall) => Promise<OperatorReply>
 	readonly status: () => unknown
@@ -31,11 +31,12 @@
 interface Route {
 	readonly method: string
 	readonly path: RegExp
-	/** Kind of the call that it makes. */
+	/** Kind of the resulting operator call. */
 	readonly kind: OperatorCall['kind']
-	/** Field that the path's last part gives. */
+	/** Field of the call that is set from the parameter in the path. */
 	readonly subject?: string
-	readonly system?: boolean
+	/** Whether the call always goes to the system group. */
+	readonly isSystem?: boolean
 }
 
 const ROUTES: readonly Route[] = [
@@ -44,16 +45,16 @@
 		path: /^\/v1\/data-centres\/([^/]+)\/declare-down$/,
 		kind: 'declare-down',
 		subject: 'dataCentre',
-		system: true,
+		isSystem: true,
 	},
 	{
 		method: 'POST',
 		path: /^\/v1\/data-centres\/([^/]+)\/declare-up$/,
 		kind: 'declare-up',
 		subject: 'dataCentre',
-		system: true,
+		isSystem: true,
 	},
-	{ method: 'POST', path: /^\/v1\/configuration$/, kind: 'propose', system: true },
+	{ method: 'POST', path: /^\/v1\/configuration$/, kind: 'propose', isSystem: true },
 	{ method: 'POST', path: /^\/v1\/plans$/, kind: 'plan' },
 	{ method: 'POST', path: /^\/v1\/plans\/([^/]+)\/confirm$/, kind: 'confirm', subject: 'plan' },
 	{ method: 'POST', path: /^\/v1\/plans\/([^/]+)\/reject$/, kind: 'reject', subject: 'plan' },
@@ -78,11 +79,11 @@
 			void this.handle(request, response)
 		}
 		this.server = parts.tls
-			? createSecureServer(secureOptions(parts.tls), handle)
+			? createSecureServer(tlsOptionsOf(parts.tls), handle)
 			: createPlainServer(handle)
 	}
 
-	/** @returns the port. */
+	/** Starts listening. @returns the port. */
 	async start(): Promise<number> {
 		const { host, port } = this.parts.listen
 		await new Promise<void>((resolve, reject) => {
@@ -98,18 +99,22 @@
 	}
 
 	private async handle(request: IncomingMessage, response: ServerResponse): Promise<void> {
-		const body = await readBody(request, MOST_BODY_BYTES)
-		if (!body.ok) return send(response, { code: 413, message: 'the body is too long' })
-		const operator = this.parts.identity.nameOf(request)
-		if (operator === undefined) return send(response, { code: 401, message: 'who are you?' })
+		const body = await readBody(request, MAX_BODY_BYTES)
+		if (!body.ok) return sendReply(response, { code: 413, message: 'the body is too long' })
+		const operator = this.parts.authenticator.nameOf(request)
+		if (operator === undefined)
+			return sendReply(response, {
+				code: 401,
+				message: 'unauthorized: a valid operator token or certificate is required',
+			})
 		const url = new URL(request.url ?? '/', 'http://operators')
 		if (request.method === 'GET' && url.pathname === '/v1/status') {
-			return send(response, { code: 200, message: '', content: this.parts.status() })
+			return sendReply(response, { code: 200, message: '', content: this.parts.status() })
 		}
 		if (request.method === 'GET' && url.pathname === '/v1/configuration') {
-			return send(response, { code: 200, message: '', content: this.parts.configuration() })
+			return sendReply(response, { code: 200, message: '', content: this.parts.configuration() })
 		}
-		send(response, await this.route(request, url, body.value, operator))
+		sendReply(response, await this.route(request, url, body.value, operator))
 	}
 
 	private async route(
@@ -122,18 +127,18 @@
 			const match = route.path.exec(url.pathname)
 			if (!match || route.method !== request.method) continue
 			const fields = fieldsOf(body, url)
-			if (!fields) return { code: 400, message: 'the body is no JSON object' }
+			if (!fields) return { code: 400, message: 'the body is not a JSON object' }
 			const subject = route.subject ? { [route.subject]: decodeURIComponent(match[1]) } : {}
-			const made = { request: randomUUID(), ...fields, ...subject, kind: route.kind, operator }
-			const call = operatorCallSchema.safeParse(made)
+			const input = { request: randomUUID(), ...fields, ...subject, kind: route.kind, operator }
+			const call = operatorCallSchema.safeParse(input)
 			if (!call.success) return { code: 400, message: call.error.issues[0].message }
 			return this.parts.call(this.groupOf(route, url, fields), call.data)
 		}
-		return { code: 404, message: `there is no ${request.method} ${url.pathname}` }
+		return { code: 404, message: `no such route: ${request.method} ${url.pathname}` }
 	}
 
 	private groupOf(route: Route, url: URL, fields: { [name: string]: unknown }): string {
-		if (route.system) return SYSTEM_GROUP
+		if (route.isSystem) return SYSTEM_GROUP
 		const named = url.searchParams.get('dataCentre') ?? fields.dataCentre
 		return typeof named === 'string' && named !== '' ? named : this.parts.dataCentre
 	}
@@ -152,13 +157,13 @@
 	}
 }
 
-function send(response: ServerResponse, reply: OperatorReply): void {
+function sendReply(response: ServerResponse, reply: OperatorReply): void {
 	const { code, message, content } = reply
 	response.writeHead(code, { 'content-type': 'application/json' })
 	response.end(JSON.stringify({ message, content }))
 }
 
-function secureOptions(tls: TlsFiles) {
+function tlsOptionsOf(tls: TlsFiles) {
 	return {
 		ca: readFileSync(tls.authority),
 		cert: readFileSync(tls.certificate),
--- a/apps/control/src/lib/tls.test.ts
+++ b/apps/control/src/lib/tls.test.ts
@@ -1,4 +1,4 @@
-/** Mutual TLS: who has no certificate of the authority gets nowhere, and an operator's name is its own. */
+/** Mutual TLS: peers and operators need the authority's certificate, which also names operators. */
 import assert from 'node:assert/strict'
 import { mkdtempSync, readFileSync, rmSync } from 'node:fs'
 import { createServer, type AddressInfo } from 'node:net'
@@ -37,7 +37,7 @@
 		if (await holds()) return
 		await new Promise<void>((resolve) => clock.after(25, () => resolve()))
 	}
-	assert.fail('it did not come to be')
+	assert.fail('the condition did not become true in time')
 }
 
 before(async () => {
@@ -78,7 +78,7 @@
 	return requestJson(call)
 }
 
-test("an operator's name in the audit is the certificate's, whatever the header says", async () => {
+test('the audit names the operator by the certificate, regardless of the name header', async () => {
 	const document = 'customers: []'
 	const proposed = await operate('POST', '/v1/configuration', 'operator', { replaces: 0, document })
 	assert.ok(proposed.ok)
@@ -92,12 +92,12 @@
 	)
 })
 
-test('an operator without a certificate, or with one of somebody else, is not heard', async () => {
+test('an operator without a certificate, or with one of another authority, is rejected', async () => {
 	assert.equal((await operate('GET', '/v1/status', undefined)).ok, false)
 	assert.equal((await operate('GET', '/v1/status', 'stranger')).ok, false)
 })
 
-/** Dials the control process. @returns whether anything came back before the time was over. */
+/** Dials the control process. @returns whether any event was received within the attempts. */
 async function isAnswered(certificate: string): Promise<boolean> {
 	const heard: Event[] = []
 	const hub = new LinkHub({
@@ -127,7 +127,7 @@
 	return heard.length > 0
 }
 
-test('a peer with a certificate of the authority is answered, and no other', async () => {
+test('only a peer with a certificate of the authority is answered', async () => {
 	assert.equal(await isAnswered('instance'), true)
 	assert.equal(await isAnswered('stranger'), false)
 })
--- a/apps/control/src/lib/workers/PlatformList.ts
+++ b/apps/control/src/lib/workers/PlatformListPoller.ts
@@ -1,4 +1,4 @@
-/** Reads the platform's list of workers again and again. */
+/** Polls the platform's list of workers. */
 import type { ListedWorker } from '@rillrudder/cell'
 import type { Endpoint } from '@rillrudder/settings'
 import type { Log } from '@rillrudder/telemetry'
@@ -7,8 +7,8 @@
 import { z } from 'zod'
 
 const LIST_PATH = '/v1/workers'
-const EVERY = 500
-const TIMEOUT = 2000
+const POLL_INTERVAL_MS = 500
+const TIMEOUT_MS = 2000
 
 const listSchema = z.object({
 	workers: z.array(
@@ -24,27 +24,27 @@
 })
 
 /**
- * The platform's list.
+ * Polls the platform's list of workers while this process leads a group.
  *
  * @internal
  */
-export class PlatformList {
+export class PlatformListPoller {
 	private timer: Timer | undefined
-	private reading = false
-	private readable = true
+	private isReading = false
+	private isReadable = true
 
 	constructor(
 		private readonly platform: Endpoint,
 		private readonly clock: Clock,
 		private readonly log: Log,
-		/** Whether anybody here decides with the list. */
-		private readonly wanted: () => boolean,
-		private readonly take: (workers: readonly ListedWorker[]) => void
+		/** Whether any controller in this process needs the list. */
+		private readonly isWanted: () => boolean,
+		private readonly onList: (workers: readonly ListedWorker[]) => void
 	) {}
 
 	start(): void {
 		void this.read()
-		this.timer = this.clock.every(EVERY, () => void this.read())
+		this.timer = this.clock.every(POLL_INTERVAL_MS, () => void this.read())
 	}
 
 	stop(): void {
@@ -52,25 +52,26 @@
 	}
 
 	private async read(): Promise<void> {
-		if (this.reading || !this.wanted()) return
-		this.reading = true
+		if (this.isReading || !this.isWanted()) return
+		this.isReading = true
 		const { host, port } = this.platform
 		const reply = await requestJson({
 			host,
 			port,
 			method: 'GET',
 			path: LIST_PATH,
-			timeout: TIMEOUT,
+			timeout: TIMEOUT_MS,
 		})
-		this.reading = false
+		this.isReading = false
 		const parsed = reply.ok ? listSchema.safeParse(reply.value.body) : undefined
-		this.note(parsed?.success === true)
-		if (parsed?.success) this.take(parsed.data.workers)
+		this.logReadable(parsed?.success === true)
+		if (parsed?.success) this.onList(parsed.data.workers)
 	}
 
-	private note(readable: boolean): void {
-		if (readable === this.readable) return
-		this.readable = readable
+	/** Logs when the list becomes readable or unreadable. */
+	private logReadable(readable: boolean): void {
+		if (readable === this.isReadable) return
+		this.isReadable = readable
 		if (readable) this.log.info('platform-list-readable')
 		else this.log.warn('platform-list-unreadable')
 	}
--- a/apps/control/src/main.ts
+++ b/apps/control/src/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** `rr-control`, the program. */
+/** Command line entry point of `rr-control`. */
 import { peersFrom, PROCESS_FLAGS, runCommand, runUntilStopped, setting } from '@rillrudder/program'
 import { command } from 'cmd-ts'
 import { ControlProcess } from './lib/ControlProcess'
