--- a/apps/control/src/lib/groups/openGroup.ts
+++ b/apps/control/src/lib/groups/openGroup.ts
@@ -5,7 +5,7 @@
 import { Group, type StateMachine } from '@rillrudder/group'
 import type { Event, GroupMessage } from '@rillrudder/protocol'
 import type { GroupLayout } from '@rillrudder/settings'
-import { Ending, GroupStore, SystemDisk } from '@rillrudder/store'
+import { FileCondition, GroupStore, SystemDisk } from '@rillrudder/store'
 import type { Log } from '@rillrudder/telemetry'
 import type { Clock, Random } from '@rillrudder/utils'
 
@@ -45,7 +45,7 @@
 				freshIncarnation,
 			})
 		: undefined
-	if (opened && opened.ending !== Ending.Clean) {
+	if (opened && opened.ending !== FileCondition.Clean) {
 		parts.log.warn('log-repaired', { group: layout.name, ending: opened.ending })
 	}
 	const options = {
--- a/packages/member/src/lib/CoreInstance.ts
+++ b/packages/member/src/lib/CoreInstance.ts
@@ -12,7 +12,7 @@
 	type WorkerOrders,
 } from '@rillrudder/jobs'
 import type { Event, Member, PeerCall } from '@rillrudder/protocol'
-import { Ending, GroupStore, SystemDisk } from '@rillrudder/store'
+import { FileCondition, GroupStore, SystemDisk } from '@rillrudder/store'
 import { Measure, type Log, type Meter } from '@rillrudder/telemetry'
 import { exhaustive, Random, type Clock, type Timer } from '@rillrudder/utils'
 import type { Adviser } from './Adviser'
@@ -221,7 +221,8 @@
 			group: GROUP,
 			freshIncarnation: randomUUID(),
 		})
-		if (opened.ending !== Ending.Clean) log.warn(MemberEvent.LogRepaired, { ending: opened.ending })
+		if (opened.ending !== FileCondition.Clean)
+			log.warn(MemberEvent.LogRepaired, { ending: opened.ending })
 		const contacts = (): readonly string[] => this.peersToDial()
 		const options = {
 			group: GROUP,
--- a/packages/store/src/index.ts
+++ b/packages/store/src/index.ts
@@ -1,18 +1,18 @@
 /** The data folder: synced records, snapshots and the folder lock. */
 export { AppendFile, Disk, SystemDisk } from './lib/Disk'
-export { FolderLock, type FolderHeld } from './lib/FolderLock'
+export { FolderLock, type FolderInUse } from './lib/FolderLock'
 export {
 	FORMAT_VERSION,
 	GroupStore,
 	type Batch,
 	type GroupFiles,
-	type Opened,
+	type OpenedStore,
 } from './lib/GroupStore'
 export {
 	decodeRecords,
 	encodeRecord,
-	Ending,
-	MOST_RECORD_BYTES,
+	FileCondition,
+	MAX_RECORD_BYTES,
 	RECORD_HEADER_BYTES,
 	type ReadRecords,
 } from './lib/recordCodec'
--- a/packages/store/src/lib/FolderLock.ts
+++ b/packages/store/src/lib/FolderLock.ts
@@ -7,7 +7,7 @@
 const START_TIME_FIELD = 19
 
 /** The process that holds the folder. @public */
-export interface FolderHeld {
+export interface FolderInUse {
 	readonly folder: string
 	readonly pid: number
 }
@@ -25,7 +25,7 @@
 	 * @param folder - the data folder; created when missing.
 	 * @returns the lock, or the process that holds it.
 	 */
-	static acquire(folder: string): Result<FolderLock, FolderHeld> {
+	static acquire(folder: string): Result<FolderLock, FolderInUse> {
 		mkdirSync(folder, { recursive: true })
 		const path = join(folder, LOCK_FILE)
 		if (tryCreate(path)) return success(new FolderLock(path))
--- a/packages/store/src/lib/GroupStore.test.ts
+++ b/packages/store/src/lib/GroupStore.test.ts
@@ -8,7 +8,7 @@
 import { AppendFile, SystemDisk } from './Disk'
 import { FolderLock } from './FolderLock'
 import { GroupStore, type GroupFiles } from './GroupStore'
-import { Ending } from './recordCodec'
+import { FileCondition } from './recordCodec'
 
 const entry = (index: number, term = 1): Entry => ({
 	index,
@@ -39,7 +39,7 @@
 	const where = await written(context)
 	const opened = await GroupStore.open(where)
 	assert.equal(opened.incarnation, 'first')
-	assert.equal(opened.ending, Ending.Clean)
+	assert.equal(opened.ending, FileCondition.Clean)
 	assert.deepEqual(opened.restored?.hardState, { term: 1, votedFor: 'a', commit: 2 })
 	assert.deepEqual(
 		opened.restored?.entries.map((one) => one.index),
@@ -84,7 +84,7 @@
 	const { length } = await readFile(path)
 	await truncate(path, length - 5)
 	const opened = await GroupStore.open(where)
-	assert.equal(opened.ending, Ending.Torn)
+	assert.equal(opened.ending, FileCondition.Torn)
 	assert.equal(opened.incarnation, 'first')
 	assert.equal(opened.restored?.entries.length, 2)
 	await opened.store.save({ entries: [entry(3)] })
@@ -101,7 +101,7 @@
 	bytes[Math.floor(bytes.length / 2)] ^= 0xff
 	await writeFile(path, bytes)
 	const opened = await GroupStore.open(where)
-	assert.equal(opened.ending, Ending.Damaged)
+	assert.equal(opened.ending, FileCondition.Damaged)
 	assert.equal(opened.incarnation, 'second')
 	assert.equal(opened.restored, undefined)
 	await opened.store.close()
@@ -114,7 +114,7 @@
 	bytes[bytes.length - 1] ^= 0xff
 	await writeFile(path, bytes)
 	const opened = await GroupStore.open(where)
-	assert.equal(opened.ending, Ending.Damaged)
+	assert.equal(opened.ending, FileCondition.Damaged)
 	await opened.store.close()
 })
 
@@ -126,7 +126,7 @@
 	await first.store.close()
 	await rm(join(where.folder, 'log'))
 	const opened = await GroupStore.open(where)
-	assert.equal(opened.ending, Ending.Damaged)
+	assert.equal(opened.ending, FileCondition.Damaged)
 	await opened.store.close()
 })
 
--- a/packages/store/src/lib/GroupStore.ts
+++ b/packages/store/src/lib/GroupStore.ts
@@ -10,7 +10,7 @@
 import type { HardState, Restored, Snapshot } from '@rillrudder/consensus'
 import { StoredRecord, type Entry, type StoreHeader } from '@rillrudder/protocol'
 import type { AppendFile, Disk } from './Disk'
-import { decodeRecords, encodeRecord, Ending } from './recordCodec'
+import { decodeRecords, encodeRecord, FileCondition } from './recordCodec'
 
 /** Version of the record format; a higher one in a file is refused. @public */
 export const FORMAT_VERSION = 1
@@ -28,12 +28,12 @@
 }
 
 /** How a group's files were found. @public */
-export interface Opened {
+export interface OpenedStore {
 	readonly store: GroupStore
 	readonly incarnation: string
 	/** Absent when there was nothing, or nothing that can be trusted. */
 	readonly restored?: Restored
-	readonly ending: Ending
+	readonly ending: FileCondition
 }
 
 /** Where a group's files are and who they belong to. @public */
@@ -68,19 +68,20 @@
 	 * @returns the store and what it held.
 	 * @throws VError named `FormatTooNew` when a later version wrote the files.
 	 */
-	static async open(files: GroupFiles): Promise<Opened> {
+	static async open(files: GroupFiles): Promise<OpenedStore> {
 		const { disk, folder } = files
 		await disk.makeFolder(folder)
 		const logBytes = await disk.read(join(folder, LOG_FILE))
 		const snapshotBytes = await disk.read(join(folder, SNAPSHOT_FILE))
-		if (!logBytes && !snapshotBytes) return GroupStore.create(files, Ending.Clean)
+		if (!logBytes && !snapshotBytes) return GroupStore.create(files, FileCondition.Clean)
 		const log = decodeRecords(logBytes ?? Buffer.alloc(0))
 		const snapshot = snapshotBytes ? decodeRecords(snapshotBytes) : undefined
 		const read = readRecords(log.records, snapshot?.records ?? [])
-		const snapshotWhole = !snapshot || (snapshot.ending === Ending.Clean && read.snapshotFound)
-		if (log.ending === Ending.Damaged || !snapshotWhole || !read.header || read.gap) {
+		const snapshotWhole =
+			!snapshot || (snapshot.ending === FileCondition.Clean && read.snapshotFound)
+		if (log.ending === FileCondition.Damaged || !snapshotWhole || !read.header || read.gap) {
 			await setAside(files)
-			return GroupStore.create(files, Ending.Damaged)
+			return GroupStore.create(files, FileCondition.Damaged)
 		}
 		const file = await disk.openAt(join(folder, LOG_FILE), log.length)
 		const store = new GroupStore(files, read.header.incarnation, file)
@@ -153,7 +154,7 @@
 		return encodeHeader(this.files.group, this.incarnation)
 	}
 
-	private static async create(files: GroupFiles, ending: Ending): Promise<Opened> {
+	private static async create(files: GroupFiles, ending: FileCondition): Promise<OpenedStore> {
 		const incarnation = files.freshIncarnation
 		const header = encodeHeader(files.group, incarnation)
 		const log = await replaceFile(files, LOG_FILE, [header])
--- a/packages/store/src/lib/RevisionFile.ts
+++ b/packages/store/src/lib/RevisionFile.ts
@@ -3,7 +3,7 @@
 import { VError } from 'verror'
 import type { KeptRevision } from '@rillrudder/settings'
 import type { Disk } from './Disk'
-import { decodeRecords, encodeRecord, Ending } from './recordCodec'
+import { decodeRecords, encodeRecord, FileCondition } from './recordCodec'
 
 const FILE = 'configuration'
 const NEW_SUFFIX = '.new'
@@ -27,7 +27,7 @@
 		const bytes = await this.disk.read(join(this.folder, FILE))
 		if (!bytes) return undefined
 		const read = decodeRecords(bytes)
-		if (read.ending !== Ending.Clean || read.records.length !== 1) {
+		if (read.ending !== FileCondition.Clean || read.records.length !== 1) {
 			throw new VError({ name: 'RevisionDamaged' }, 'the kept configuration is damaged')
 		}
 		return JSON.parse(read.records[0].toString()) as KeptRevision
--- a/packages/store/src/lib/recordCodec.ts
+++ b/packages/store/src/lib/recordCodec.ts
@@ -4,10 +4,10 @@
 /** Bytes before each record: its length and its checksum, both unsigned 32-bit little-endian. @public */
 export const RECORD_HEADER_BYTES = 8
 /** No record is longer; a longer length is damage, not a record. @public */
-export const MOST_RECORD_BYTES = 1 << 30
+export const MAX_RECORD_BYTES = 1 << 30
 
 /** How reading a file ended. @public */
-export const Ending = {
+export const FileCondition = {
 	/** At the end of the last record. */
 	Clean: 'clean',
 	/** In the middle of a record that was being written when the power went: nothing was promised of it. */
@@ -16,14 +16,14 @@
 	Damaged: 'damaged',
 } as const
 /** One of the endings. @public */
-export type Ending = (typeof Ending)[keyof typeof Ending]
+export type FileCondition = (typeof FileCondition)[keyof typeof FileCondition]
 
 /** What a file held. @public */
 export interface ReadRecords {
 	readonly records: Buffer[]
 	/** Bytes up to the end of the last whole record. */
 	readonly length: number
-	readonly ending: Ending
+	readonly ending: FileCondition
 }
 
 /**
@@ -53,22 +53,22 @@
 	const records: Buffer[] = []
 	let offset = 0
 	while (offset < file.length) {
-		if (isZeroFrom(file, offset)) return { records, length: offset, ending: Ending.Torn }
+		if (isZeroFrom(file, offset)) return { records, length: offset, ending: FileCondition.Torn }
 		if (file.length - offset < RECORD_HEADER_BYTES) {
-			return { records, length: offset, ending: Ending.Torn }
+			return { records, length: offset, ending: FileCondition.Torn }
 		}
 		const size = file.readUInt32LE(offset)
-		if (size > MOST_RECORD_BYTES) return { records, length: offset, ending: Ending.Damaged }
+		if (size > MAX_RECORD_BYTES) return { records, length: offset, ending: FileCondition.Damaged }
 		const end = offset + RECORD_HEADER_BYTES + size
-		if (end > file.length) return { records, length: offset, ending: Ending.Torn }
+		if (end > file.length) return { records, length: offset, ending: FileCondition.Torn }
 		const payload = file.subarray(offset + RECORD_HEADER_BYTES, end)
 		if (crc32(payload) !== file.readUInt32LE(offset + 4)) {
-			return { records, length: offset, ending: Ending.Damaged }
+			return { records, length: offset, ending: FileCondition.Damaged }
 		}
 		records.push(payload)
 		offset = end
 	}
-	return { records, length: offset, ending: Ending.Clean }
+	return { records, length: offset, ending: FileCondition.Clean }
 }
 
 function isZeroFrom(file: Buffer, offset: number): boolean {
