--- a/packages/store/src/index.ts
+++ b/packages/store/src/index.ts
@@ -1,4 +1,4 @@
-/** The data folder: synced records, snapshots and the folder lock. */
+/** The data folder: durable records, snapshots and the folder lock. */
 export { AppendFile, Disk, SystemDisk } from './lib/Disk'
 export { FolderLock, type FolderInUse } from './lib/FolderLock'
 export {
--- a/packages/store/src/lib/Disk.test.ts
+++ b/packages/store/src/lib/Disk.test.ts
@@ -1,4 +1,4 @@
-/** What is kept on disk is for the owner of the process alone. */
+/** Stored files are accessible only to the owner of the process. */
 import assert from 'node:assert/strict'
 import { mkdtempSync, rmSync, statSync } from 'node:fs'
 import { tmpdir } from 'node:os'
--- a/packages/store/src/lib/Disk.ts
+++ b/packages/store/src/lib/Disk.ts
@@ -1,27 +1,27 @@
-/** The file calls that the store makes, so that tests can make them fail. */
+/** The file operations of the store, behind an interface so that tests can inject failures. */
 import { open, mkdir, readFile, rename, rm, type FileHandle } from 'node:fs/promises'
 
-/** A file that is appended to. @public */
+/** A file opened for appending. @public */
 export abstract class AppendFile {
-	/** Writes at the end. Nothing is lasting before `sync`. */
+	/** Writes at the end of the file. Not durable before `sync`. */
 	abstract append(bytes: Uint8Array): Promise<void>
-	/** Makes everything appended so far lasting. */
+	/** Makes everything appended so far durable. */
 	abstract sync(): Promise<void>
 	abstract close(): Promise<void>
 }
 
-/** The file calls that the store makes. @public */
+/** The file operations of the store. @public */
 export abstract class Disk {
-	/** @returns the bytes, or undefined when there is no such file. */
+	/** @returns the content, or undefined if the file does not exist. */
 	abstract read(path: string): Promise<Buffer | undefined>
-	/** Opens for appending, cutting the file to `length` first. */
+	/** Truncates the file to `length` and opens it for appending. */
 	abstract openAt(path: string, length: number): Promise<AppendFile>
-	/** Renames and makes the new name lasting. */
+	/** Renames a file. Durable after `syncFolder`. */
 	abstract rename(from: string, to: string): Promise<void>
 	abstract remove(path: string): Promise<void>
 	/** Creates a folder and its parents. */
 	abstract makeFolder(path: string): Promise<void>
-	/** Makes the names in a folder lasting. */
+	/** Makes the directory entries of a folder durable. */
 	abstract syncFolder(path: string): Promise<void>
 }
 
@@ -48,11 +48,11 @@
 	}
 }
 
-/** Configurations hold keys of client accounts: only the owner of the process reads what it keeps. */
-const OWNERS_FILE = 0o600
-const OWNERS_FOLDER = 0o700
+/** Configurations contain keys of client accounts, so only the owner of the process may read files. */
+const OWNER_ONLY_FILE_MODE = 0o600
+const OWNER_ONLY_FOLDER_MODE = 0o700
 
-/** The operating system's files. @public */
+/** The file system of the operating system. @public */
 export class SystemDisk extends Disk {
 	override async read(path: string): Promise<Buffer | undefined> {
 		try {
@@ -64,7 +64,7 @@
 	}
 
 	override async openAt(path: string, length: number): Promise<AppendFile> {
-		const handle = await open(path, 'a', OWNERS_FILE)
+		const handle = await open(path, 'a', OWNER_ONLY_FILE_MODE)
 		await handle.truncate(length)
 		await handle.sync()
 		return new SystemFile(handle)
@@ -79,7 +79,7 @@
 	}
 
 	override async makeFolder(path: string): Promise<void> {
-		await mkdir(path, { recursive: true, mode: OWNERS_FOLDER })
+		await mkdir(path, { recursive: true, mode: OWNER_ONLY_FOLDER_MODE })
 	}
 
 	override async syncFolder(path: string): Promise<void> {
--- a/packages/store/src/lib/FolderLock.ts
+++ b/packages/store/src/lib/FolderLock.ts
@@ -1,10 +1,11 @@
-/** Keeps two processes from using one data folder. */
+/** Prevents two processes from using the same data folder. */
 import { openSync, closeSync, readFileSync, rmSync, writeSync, mkdirSync } from 'node:fs'
 import { join } from 'node:path'
 import { failure, success, type Result } from '@rillrudder/utils'
 
 const LOCK_FILE = 'lock'
-const START_TIME_FIELD = 19
+/** Index of the start time among the fields that follow the command name in `/proc/<pid>/stat`. */
+const START_TIME_INDEX = 19
 
 /** The process that holds the folder. @public */
 export interface FolderInUse {
@@ -13,8 +14,8 @@
 }
 
 /**
- * A lock on a data folder. It names the process and the time that the process started, so that the
- * lock of a killed process is known to be stale even when its id is in use again.
+ * A lock on a data folder. The lock file contains the process id and start time, so that the lock of a
+ * killed process is recognized as stale even if its id has been reused.
  *
  * @public
  */
@@ -22,7 +23,7 @@
 	private constructor(private readonly path: string) {}
 
 	/**
-	 * @param folder - the data folder; created when missing.
+	 * @param folder - the data folder; created if missing.
 	 * @returns the lock, or the process that holds it.
 	 */
 	static acquire(folder: string): Result<FolderLock, FolderInUse> {
@@ -30,14 +31,14 @@
 		const path = join(folder, LOCK_FILE)
 		if (tryCreate(path)) return success(new FolderLock(path))
 		const holder = readHolder(path)
-		if (holder && holder.started === startTime(holder.pid)) {
+		if (holder && holder.started === startTimeOf(holder.pid)) {
 			return failure({ folder, pid: holder.pid })
 		}
 		rmSync(path, { force: true })
 		return tryCreate(path) ? success(new FolderLock(path)) : failure({ folder, pid: 0 })
 	}
 
-	/** Gives the folder back. */
+	/** Releases the lock. */
 	release(): void {
 		rmSync(this.path, { force: true })
 	}
@@ -46,7 +47,7 @@
 function tryCreate(path: string): boolean {
 	try {
 		const file = openSync(path, 'wx')
-		writeSync(file, JSON.stringify({ pid: process.pid, started: startTime(process.pid) }))
+		writeSync(file, JSON.stringify({ pid: process.pid, started: startTimeOf(process.pid) }))
 		closeSync(file)
 		return true
 	} catch (fault) {
@@ -68,11 +69,11 @@
 	}
 }
 
-/** Start time of a process in clock ticks since boot, field 22 of its `stat`; empty when it is gone. */
-function startTime(pid: number): string {
+/** @returns start time of a process in clock ticks since boot (`stat` field 22); empty if gone. */
+function startTimeOf(pid: number): string {
 	try {
 		const stat = readFileSync(`/proc/${pid}/stat`, 'utf8')
-		return stat.slice(stat.lastIndexOf(')') + 2).split(' ')[START_TIME_FIELD]
+		return stat.slice(stat.lastIndexOf(')') + 2).split(' ')[START_TIME_INDEX]
 	} catch {
 		return ''
 	}
--- a/packages/store/src/lib/GroupStore.test.ts
+++ b/packages/store/src/lib/GroupStore.test.ts
@@ -1,4 +1,4 @@
-/** What the data folder gives back after each kind of damage. */
+/** Recovery of a group's files after a restart, torn writes, damage, and disk failures. */
 import assert from 'node:assert/strict'
 import { mkdtemp, readFile, rm, truncate, writeFile } from 'node:fs/promises'
 import { tmpdir } from 'node:os'
@@ -17,27 +17,27 @@
 	data: Buffer.from(`command ${index} of term ${term}`),
 })
 
-async function files(context: TestContext): Promise<GroupFiles> {
+async function emptyFiles(context: TestContext): Promise<GroupFiles> {
 	const folder = await mkdtemp(join(tmpdir(), 'rillrudder-store-'))
 	context.after(() => rm(folder, { recursive: true }))
 	return { disk: new SystemDisk(), folder, group: 'vake', freshIncarnation: 'first' }
 }
 
-async function written(context: TestContext): Promise<GroupFiles> {
-	const where = await files(context)
-	const { store } = await GroupStore.open(where)
+async function writtenFiles(context: TestContext): Promise<GroupFiles> {
+	const files = await emptyFiles(context)
+	const { store } = await GroupStore.open(files)
 	await store.save({
 		hardState: { term: 1, votedFor: 'a', commit: 2 },
 		entries: [entry(1), entry(2)],
 	})
 	await store.save({ entries: [entry(3)] })
 	await store.close()
-	return { ...where, freshIncarnation: 'second' }
+	return { ...files, freshIncarnation: 'second' }
 }
 
-test('what was saved is there after a restart, under the same incarnation', async (context) => {
-	const where = await written(context)
-	const opened = await GroupStore.open(where)
+test('saved state is restored after a restart, under the same incarnation', async (context) => {
+	const files = await writtenFiles(context)
+	const opened = await GroupStore.open(files)
 	assert.equal(opened.incarnation, 'first')
 	assert.equal(opened.ending, FileCondition.Clean)
 	assert.deepEqual(opened.restored?.hardState, { term: 1, votedFor: 'a', commit: 2 })
@@ -48,26 +48,26 @@
 	await opened.store.close()
 })
 
-test('a commit index is found only with the entries that it speaks of', async (context) => {
-	const where = await written(context)
-	const path = join(where.folder, 'log')
+test('a commit index is restored only together with the entries it covers', async (context) => {
+	const files = await writtenFiles(context)
+	const path = join(files.folder, 'log')
 	const whole = await readFile(path)
-	// Cut anywhere, the log never holds a commit index above its last entry.
+	// Wherever the log is truncated, its commit index never exceeds its last entry.
 	for (let length = whole.length - 1; length > whole.length - 60; length--) {
 		await writeFile(path, whole.subarray(0, length))
-		const opened = await GroupStore.open(where)
+		const opened = await GroupStore.open(files)
 		const { hardState, entries } = opened.restored ?? { hardState: undefined, entries: [] }
 		assert.ok((hardState?.commit ?? 0) <= entries.length)
 		await opened.store.close()
 	}
 })
 
-test('an entry replaces what stood at its index and after', async (context) => {
-	const where = await written(context)
-	const first = await GroupStore.open(where)
+test('an entry replaces the entries at its index and above', async (context) => {
+	const files = await writtenFiles(context)
+	const first = await GroupStore.open(files)
 	await first.store.save({ entries: [entry(2, 2)] })
 	await first.store.close()
-	const second = await GroupStore.open(where)
+	const second = await GroupStore.open(files)
 	assert.deepEqual(
 		second.restored?.entries.map((one) => [one.index, one.term]),
 		[
@@ -78,66 +78,66 @@
 	await second.store.close()
 })
 
-test('a torn tail is cut off and the rest kept', async (context) => {
-	const where = await written(context)
-	const path = join(where.folder, 'log')
+test('a torn tail is truncated and the rest is kept', async (context) => {
+	const files = await writtenFiles(context)
+	const path = join(files.folder, 'log')
 	const { length } = await readFile(path)
 	await truncate(path, length - 5)
-	const opened = await GroupStore.open(where)
+	const opened = await GroupStore.open(files)
 	assert.equal(opened.ending, FileCondition.Torn)
 	assert.equal(opened.incarnation, 'first')
 	assert.equal(opened.restored?.entries.length, 2)
 	await opened.store.save({ entries: [entry(3)] })
 	await opened.store.close()
-	const again = await GroupStore.open(where)
+	const again = await GroupStore.open(files)
 	assert.equal(again.restored?.entries.length, 3)
 	await again.store.close()
 })
 
-test('a damaged record in the middle ends trust: the replica starts as another life', async (context) => {
-	const where = await written(context)
-	const path = join(where.folder, 'log')
+test('a damaged record in the middle makes the replica start under a new incarnation', async (context) => {
+	const files = await writtenFiles(context)
+	const path = join(files.folder, 'log')
 	const bytes = await readFile(path)
 	bytes[Math.floor(bytes.length / 2)] ^= 0xff
 	await writeFile(path, bytes)
-	const opened = await GroupStore.open(where)
+	const opened = await GroupStore.open(files)
 	assert.equal(opened.ending, FileCondition.Damaged)
 	assert.equal(opened.incarnation, 'second')
 	assert.equal(opened.restored, undefined)
 	await opened.store.close()
 })
 
-test('a damaged last record is not taken for a torn one', async (context) => {
-	const where = await written(context)
-	const path = join(where.folder, 'log')
+test('a damaged last record is not treated as torn', async (context) => {
+	const files = await writtenFiles(context)
+	const path = join(files.folder, 'log')
 	const bytes = await readFile(path)
 	bytes[bytes.length - 1] ^= 0xff
 	await writeFile(path, bytes)
-	const opened = await GroupStore.open(where)
+	const opened = await GroupStore.open(files)
 	assert.equal(opened.ending, FileCondition.Damaged)
 	await opened.store.close()
 })
 
-test('a lost log beside a snapshot ends trust', async (context) => {
-	const where = await written(context)
-	const first = await GroupStore.open(where)
+test('a snapshot without its log counts as damage', async (context) => {
+	const files = await writtenFiles(context)
+	const first = await GroupStore.open(files)
 	const snapshot = { index: 2, term: 1, membership: { members: [] }, data: Buffer.from('two') }
 	await first.store.save({ snapshot, entries: [entry(3)] })
 	await first.store.close()
-	await rm(join(where.folder, 'log'))
-	const opened = await GroupStore.open(where)
+	await rm(join(files.folder, 'log'))
+	const opened = await GroupStore.open(files)
 	assert.equal(opened.ending, FileCondition.Damaged)
 	await opened.store.close()
 })
 
 test('a snapshot replaces the entries it covers', async (context) => {
-	const where = await written(context)
-	const first = await GroupStore.open(where)
+	const files = await writtenFiles(context)
+	const first = await GroupStore.open(files)
 	const snapshot = { index: 2, term: 1, membership: { members: [] }, data: Buffer.from('two') }
 	await first.store.save({ snapshot, entries: [entry(3)] })
 	await first.store.save({ entries: [entry(4)] })
 	await first.store.close()
-	const second = await GroupStore.open(where)
+	const second = await GroupStore.open(files)
 	assert.equal(second.restored?.snapshot?.index, 2)
 	assert.equal(Buffer.from(second.restored?.snapshot?.data ?? []).toString(), 'two')
 	assert.deepEqual(
@@ -147,7 +147,7 @@
 	await second.store.close()
 })
 
-/** A file whose sync fails once and then seems to work. */
+/** A file whose first sync fails and whose later syncs succeed. */
 class FailingFile extends AppendFile {
 	failures = 1
 
@@ -176,16 +176,16 @@
 	}
 }
 
-test('after a failed sync nothing more is taken, even when a second sync would work', async (context) => {
-	const where = await written(context)
-	const { store } = await GroupStore.open({ ...where, disk: new FailingDisk() })
+test('after a failed sync no more batches are accepted, even if a second sync would succeed', async (context) => {
+	const files = await writtenFiles(context)
+	const { store } = await GroupStore.open({ ...files, disk: new FailingDisk() })
 	const failed = { name: 'StoreFailed' }
 	await assert.rejects(store.save({ entries: [entry(4)] }), failed)
 	await assert.rejects(store.save({ entries: [entry(5)] }), failed)
 	await store.close()
 })
 
-/** A file on a disk that is full. */
+/** A file on a full disk. */
 class FullFile extends AppendFile {
 	constructor(private readonly inner: AppendFile) {
 		super()
@@ -210,18 +210,18 @@
 	}
 }
 
-test('a full disk ends the store, and what was saved before is there when there is room', async (context) => {
-	const where = await written(context)
-	const full = await GroupStore.open({ ...where, disk: new FullDisk() })
+test('a full disk fails the store, and earlier batches are restored once space is available', async (context) => {
+	const files = await writtenFiles(context)
+	const full = await GroupStore.open({ ...files, disk: new FullDisk() })
 	await assert.rejects(full.store.save({ entries: [entry(4)] }), { name: 'StoreFailed' })
 	await full.store.close()
-	const opened = await GroupStore.open(where)
+	const opened = await GroupStore.open(files)
 	assert.equal(opened.restored?.entries.length, 3)
 	await opened.store.close()
 })
 
-test('two processes cannot hold one folder, and a dead holder does not keep it', async (context) => {
-	const { folder } = await files(context)
+test('two processes cannot lock one folder, and the lock of a dead process is stale', async (context) => {
+	const { folder } = await emptyFiles(context)
 	const first = FolderLock.acquire(folder)
 	assert.ok(first.ok)
 	assert.equal(FolderLock.acquire(folder).ok, false)
--- a/packages/store/src/lib/GroupStore.ts
+++ b/packages/store/src/lib/GroupStore.ts
@@ -1,9 +1,9 @@
 /**
- * One group's log, votes and snapshot in the data folder.
+ * Stores one group's log, hard state and snapshot in the data folder.
  *
- * `log` holds a header, then hard states and entries in the order they were stored; an entry replaces
- * whatever stood at its index and after. `snapshot` holds a header and one snapshot. Both are replaced
- * whole by writing a new file, syncing it and renaming it.
+ * `log` contains a header, then hard states and entries in the order they were stored; an entry
+ * replaces all earlier entries at its index and above. `snapshot` contains a header and one snapshot.
+ * Either file is replaced atomically: a new file is written, synced and renamed over the old one.
  */
 import { join } from 'node:path'
 import { VError } from 'verror'
@@ -12,41 +12,41 @@
 import type { AppendFile, Disk } from './Disk'
 import { decodeRecords, encodeRecord, FileCondition } from './recordCodec'
 
-/** Version of the record format; a higher one in a file is refused. @public */
+/** Version of the record format; files with a higher version are rejected. @public */
 export const FORMAT_VERSION = 1
 const LOG_FILE = 'log'
 const SNAPSHOT_FILE = 'snapshot'
 const DAMAGED_SUFFIX = '.damaged'
-const NEW_SUFFIX = '.new'
+const TEMPORARY_SUFFIX = '.new'
 const NO_HARD_STATE: HardState = { term: 0, votedFor: '' }
 
-/** What one sync makes lasting. @public */
+/** The data that one sync makes durable. @public */
 export interface Batch {
 	readonly hardState?: HardState
 	readonly snapshot?: Snapshot
 	readonly entries: readonly Entry[]
 }
 
-/** How a group's files were found. @public */
+/** An opened store and the state restored from its files. @public */
 export interface OpenedStore {
 	readonly store: GroupStore
 	readonly incarnation: string
-	/** Absent when there was nothing, or nothing that can be trusted. */
+	/** Absent if there were no files, or none that can be trusted. */
 	readonly restored?: Restored
 	readonly ending: FileCondition
 }
 
-/** Where a group's files are and who they belong to. @public */
+/** The location and owner of a group's files. @public */
 export interface GroupFiles {
 	readonly disk: Disk
 	readonly folder: string
 	readonly group: string
-	/** The incarnation to take when there is nothing that can be trusted. */
+	/** The incarnation to use if there are no files that can be trusted. */
 	readonly freshIncarnation: string
 }
 
 /**
- * One group's files.
+ * The files of one group.
  *
  * @public
  */
@@ -61,12 +61,12 @@
 	) {}
 
 	/**
-	 * Opens a group's files, cutting off a torn tail. Damaged files are set aside, and the replica
-	 * starts anew under another incarnation, so that its group takes it back as a learner.
+	 * Opens a group's files and truncates a torn tail. Damaged files are renamed, and the replica starts
+	 * empty under a new incarnation, so that its group readmits it as a learner.
 	 *
-	 * @param files - where they are.
-	 * @returns the store and what it held.
-	 * @throws VError named `FormatTooNew` when a later version wrote the files.
+	 * @param files - location and owner of the files.
+	 * @returns the store and its restored state.
+	 * @throws VError named `FormatTooNew` if a later version wrote the files.
 	 */
 	static async open(files: GroupFiles): Promise<OpenedStore> {
 		const { disk, folder } = files
@@ -76,26 +76,31 @@
 		if (!logBytes && !snapshotBytes) return GroupStore.create(files, FileCondition.Clean)
 		const log = decodeRecords(logBytes ?? Buffer.alloc(0))
 		const snapshot = snapshotBytes ? decodeRecords(snapshotBytes) : undefined
-		const read = readRecords(log.records, snapshot?.records ?? [])
-		const snapshotWhole =
-			!snapshot || (snapshot.ending === FileCondition.Clean && read.snapshotFound)
-		if (log.ending === FileCondition.Damaged || !snapshotWhole || !read.header || read.gap) {
-			await setAside(files)
+		const parsed = parseFiles(log.records, snapshot?.records ?? [])
+		const isSnapshotIntact =
+			!snapshot || (snapshot.ending === FileCondition.Clean && parsed.hasSnapshot)
+		if (
+			log.ending === FileCondition.Damaged ||
+			!isSnapshotIntact ||
+			!parsed.header ||
+			parsed.hasGap
+		) {
+			await quarantineFiles(files)
 			return GroupStore.create(files, FileCondition.Damaged)
 		}
 		const file = await disk.openAt(join(folder, LOG_FILE), log.length)
-		const store = new GroupStore(files, read.header.incarnation, file)
-		store.hardState = read.restored.hardState
-		const { restored } = read
-		return { store, incarnation: read.header.incarnation, restored, ending: log.ending }
+		const store = new GroupStore(files, parsed.header.incarnation, file)
+		store.hardState = parsed.restored.hardState
+		const { restored } = parsed
+		return { store, incarnation: parsed.header.incarnation, restored, ending: log.ending }
 	}
 
 	/**
-	 * Makes a batch lasting with one sync.
+	 * Makes a batch durable with one sync.
 	 *
 	 * @param batch - what to store.
-	 * @throws VError named `StoreFailed`. After that the store takes nothing more: what a failed sync
-	 * left on the disk is not known, and a second sync may wrongly succeed.
+	 * @throws VError named `StoreFailed`. The store accepts no batch after that: it is unknown what a
+	 * failed sync left on the disk, and a second sync may wrongly succeed.
 	 */
 	async save(batch: Batch): Promise<void> {
 		if (this.failed) throw this.failed
@@ -125,7 +130,7 @@
 			return
 		}
 		const records = batch.entries.map((entry) => encodeEntry(entry))
-		// After the entries: a reader that finds its commit index has found the entries it speaks of.
+		// Written after the entries, so that a torn log never has a commit index above its last entry.
 		if (batch.hardState) records.push(encodeHardState(batch.hardState))
 		if (records.length === 0) return
 		await this.log.append(Buffer.concat(records))
@@ -165,15 +170,15 @@
 async function replaceFile(files: GroupFiles, name: string, records: Buffer[]) {
 	const { disk, folder } = files
 	const path = join(folder, name)
-	const file = await disk.openAt(path + NEW_SUFFIX, 0)
+	const file = await disk.openAt(path + TEMPORARY_SUFFIX, 0)
 	await file.append(Buffer.concat(records))
 	await file.sync()
-	await disk.rename(path + NEW_SUFFIX, path)
+	await disk.rename(path + TEMPORARY_SUFFIX, path)
 	await disk.syncFolder(folder)
 	return file
 }
 
-async function setAside(files: GroupFiles): Promise<void> {
+async function quarantineFiles(files: GroupFiles): Promise<void> {
 	const { disk, folder } = files
 	for (const name of [LOG_FILE, SNAPSHOT_FILE]) {
 		const path = join(folder, name)
@@ -200,17 +205,17 @@
 	return encode({ body: { $case: 'hardState', value } })
 }
 
-interface Read {
+interface ParsedFiles {
 	readonly header?: StoreHeader
 	readonly restored: Restored
-	readonly snapshotFound: boolean
+	readonly hasSnapshot: boolean
 	/** Whether entries are missing between the snapshot and the log. */
-	readonly gap: boolean
+	readonly hasGap: boolean
 }
 
-/** Puts the records of both files together. */
-function readRecords(logRecords: Buffer[], snapshotRecords: Buffer[]): Read {
-	const kept = readSnapshot(snapshotRecords)
+/** Combines the records of both files. */
+function parseFiles(logRecords: Buffer[], snapshotRecords: Buffer[]): ParsedFiles {
+	const snapshotFile = parseSnapshotFile(snapshotRecords)
 	let header: StoreHeader | undefined
 	let hardState: HardState = NO_HARD_STATE
 	const log: Entry[] = []
@@ -218,31 +223,32 @@
 		const { body } = StoredRecord.decode(bytes)
 		if (body?.$case === 'header') header = checkVersion(body.value)
 		if (body?.$case === 'hardState') hardState = body.value
-		if (body?.$case === 'entry') place(log, body.value)
+		if (body?.$case === 'entry') replaceFrom(log, body.value)
 	}
-	const snapshot = kept.life === header?.incarnation ? kept.snapshot : undefined
-	const entries = snapshot ? after(log, snapshot) : log
-	const gap = entries.length > 0 && entries[0].index !== (snapshot?.index ?? 0) + 1
+	const snapshot =
+		snapshotFile.incarnation === header?.incarnation ? snapshotFile.snapshot : undefined
+	const entries = snapshot ? entriesAfter(log, snapshot) : log
+	const hasGap = entries.length > 0 && entries[0].index !== (snapshot?.index ?? 0) + 1
 	const restored = { hardState, snapshot, entries }
-	return { header, restored, snapshotFound: snapshot !== undefined, gap }
+	return { header, restored, hasSnapshot: snapshot !== undefined, hasGap }
 }
 
-interface KeptSnapshot {
-	readonly life?: string
+interface StoredSnapshotFile {
+	readonly incarnation?: string
 	readonly snapshot?: Snapshot
 }
 
-function readSnapshot(records: Buffer[]): KeptSnapshot {
-	let life: string | undefined
+function parseSnapshotFile(records: Buffer[]): StoredSnapshotFile {
+	let incarnation: string | undefined
 	let snapshot: Snapshot | undefined
 	for (const bytes of records) {
 		const { body } = StoredRecord.decode(bytes)
-		if (body?.$case === 'header') life = checkVersion(body.value).incarnation
+		if (body?.$case === 'header') incarnation = checkVersion(body.value).incarnation
 		if (body?.$case === 'snapshot' && body.value.membership) {
 			snapshot = { ...body.value, membership: body.value.membership }
 		}
 	}
-	return { life, snapshot }
+	return { incarnation, snapshot }
 }
 
 function checkVersion(header: StoreHeader): StoreHeader {
@@ -251,18 +257,18 @@
 	throw new VError({ name: 'FormatTooNew', info }, 'data folder has format %d', header.version)
 }
 
-/** An entry replaces whatever stood at its index and after. */
-function place(log: Entry[], entry: Entry): void {
+/** Appends an entry, dropping all entries at its index and above. */
+function replaceFrom(log: Entry[], entry: Entry): void {
 	const start = log.length === 0 ? entry.index : log[0].index
 	if (entry.index < start) log.length = 0
 	else log.length = Math.min(log.length, entry.index - start)
 	log.push(entry)
 }
 
-/** The entries after a snapshot, if the log they are in agrees with it. */
-function after(log: Entry[], snapshot: Snapshot): Entry[] {
+/** @returns the entries after a snapshot, or none if the log does not match the snapshot. */
+function entriesAfter(log: Entry[], snapshot: Snapshot): Entry[] {
 	const start = log.length === 0 ? 0 : log[0].index
-	const follows = start === snapshot.index + 1
-	const agrees = log[snapshot.index - start]?.term === snapshot.term
-	return follows || agrees ? log.filter((entry) => entry.index > snapshot.index) : []
+	const isAdjacent = start === snapshot.index + 1
+	const hasMatchingTerm = log[snapshot.index - start]?.term === snapshot.term
+	return isAdjacent || hasMatchingTerm ? log.filter((entry) => entry.index > snapshot.index) : []
 }
--- a/packages/store/src/lib/RevisionFile.ts
+++ b/packages/store/src/lib/RevisionFile.ts
@@ -1,4 +1,4 @@
-/** The newest configuration revision that this instance has shown, so that it never shows a lower one. */
+/** Stores the newest configuration revision of the instance, so that it never reverts to a lower one. */
 import { join } from 'node:path'
 import { VError } from 'verror'
 import type { KeptRevision } from '@rillrudder/settings'
@@ -6,10 +6,10 @@
 import { decodeRecords, encodeRecord, FileCondition } from './recordCodec'
 
 const FILE = 'configuration'
-const NEW_SUFFIX = '.new'
+const TEMPORARY_SUFFIX = '.new'
 
 /**
- * A file that holds one revision.
+ * A file that contains one configuration revision.
  *
  * @public
  */
@@ -20,27 +20,27 @@
 	) {}
 
 	/**
-	 * @returns the kept revision, or undefined when there is none.
-	 * @throws VError named `RevisionDamaged`; the instance must not guess what it has shown.
+	 * @returns the stored revision, or undefined if there is none.
+	 * @throws VError named `RevisionDamaged`; the instance must not guess which revision it had applied.
 	 */
 	async load(): Promise<KeptRevision | undefined> {
 		const bytes = await this.disk.read(join(this.folder, FILE))
 		if (!bytes) return undefined
 		const read = decodeRecords(bytes)
 		if (read.ending !== FileCondition.Clean || read.records.length !== 1) {
-			throw new VError({ name: 'RevisionDamaged' }, 'the kept configuration is damaged')
+			throw new VError({ name: 'RevisionDamaged' }, 'the stored configuration revision is damaged')
 		}
 		return JSON.parse(read.records[0].toString()) as KeptRevision
 	}
 
-	/** Makes a revision lasting. */
+	/** Stores a revision durably. */
 	async save(kept: KeptRevision): Promise<void> {
 		const path = join(this.folder, FILE)
-		const file = await this.disk.openAt(path + NEW_SUFFIX, 0)
+		const file = await this.disk.openAt(path + TEMPORARY_SUFFIX, 0)
 		await file.append(encodeRecord(Buffer.from(JSON.stringify(kept))))
 		await file.sync()
 		await file.close()
-		await this.disk.rename(path + NEW_SUFFIX, path)
+		await this.disk.rename(path + TEMPORARY_SUFFIX, path)
 		await this.disk.syncFolder(this.folder)
 	}
 }
--- a/packages/store/src/lib/recordCodec.ts
+++ b/packages/store/src/lib/recordCodec.ts
@@ -1,34 +1,34 @@
-/** Records in a file: length, checksum, bytes. */
+/** Encodes and decodes the records of a file: length, checksum, payload. */
 import { crc32 } from 'node:zlib'
 
-/** Bytes before each record: its length and its checksum, both unsigned 32-bit little-endian. @public */
+/** Size of a record header: length and CRC-32 checksum, both unsigned 32-bit little-endian. @public */
 export const RECORD_HEADER_BYTES = 8
-/** No record is longer; a longer length is damage, not a record. @public */
+/** Maximum payload size; a header with a greater length counts as damage. @public */
 export const MAX_RECORD_BYTES = 1 << 30
 
-/** How reading a file ended. @public */
+/** The condition in which a file was found. @public */
 export const FileCondition = {
-	/** At the end of the last record. */
+	/** The file ends with a complete record. */
 	Clean: 'clean',
-	/** In the middle of a record that was being written when the power went: nothing was promised of it. */
+	/** The last record is incomplete, as after a power loss; it was never acknowledged. */
 	Torn: 'torn',
-	/** At a whole record that is not what was written: nothing in the file can be trusted. */
+	/** A complete record has a wrong checksum or length: nothing in the file can be trusted. */
 	Damaged: 'damaged',
 } as const
-/** One of the endings. @public */
+/** One of the values of `FileCondition`. @public */
 export type FileCondition = (typeof FileCondition)[keyof typeof FileCondition]
 
-/** What a file held. @public */
+/** The records read from a file. @public */
 export interface ReadRecords {
 	readonly records: Buffer[]
-	/** Bytes up to the end of the last whole record. */
+	/** Offset of the end of the last complete record, in bytes. */
 	readonly length: number
 	readonly ending: FileCondition
 }
 
 /**
- * @param payload - the bytes of a record.
- * @returns the bytes to write.
+ * @param payload - the payload of a record.
+ * @returns the header and the payload.
  * @public
  */
 export function encodeRecord(payload: Uint8Array): Buffer {
@@ -40,13 +40,13 @@
 }
 
 /**
- * Reads records until the file ends or stops making sense.
+ * Decodes records until the end of the file or the first invalid record.
  *
- * A record that the file is too short for, and a tail of zeros, are what a lost power supply leaves
- * behind. A whole record with a wrong checksum may have been acknowledged, so it counts as damage.
+ * A truncated last record and a tail of zeros are what a power loss leaves behind. A complete record
+ * with a wrong checksum may have been acknowledged, so it counts as damage.
  *
- * @param file - the bytes of the file.
- * @returns the records and how reading ended.
+ * @param file - the content of the file.
+ * @returns the records and the condition of the file.
  * @public
  */
 export function decodeRecords(file: Buffer): ReadRecords {
