--- a/apps/control/src/lib/groups/openGroup.ts
+++ b/apps/control/src/lib/groups/openGroup.ts
@@ -1,57 +1,57 @@
-/** Opens a group's files and starts to drive its replica. */
+/** Opens a group's files and starts its replica. */
 import { randomUUID } from 'node:crypto'
 import { join } from 'node:path'
 import { Replica } from '@rillrudder/consensus'
 import { Group, type StateMachine } from '@rillrudder/group'
 import type { Event, GroupMessage } from '@rillrudder/protocol'
 import type { GroupLayout } from '@rillrudder/settings'
-import { Ending, GroupStore, SystemDisk } from '@rillrudder/store'
+import { FileCondition, GroupStore, SystemDisk } from '@rillrudder/store'
 import type { Log } from '@rillrudder/telemetry'
 import type { Clock, Random } from '@rillrudder/utils'
 
-/** What the hosts of groups have in common. @internal */
+/** Dependencies that all group hosts share. @internal */
 export interface GroupHostParts {
 	readonly self: string
 	readonly layout: GroupLayout
-	/** Absent without a disk. */
+	/** Data folder; absent on an instance without a disk. */
 	readonly data?: string
 	readonly clock: Clock
 	readonly random: Random
 	readonly log: Log
-	/** Sends to a process. @returns false when it was dropped for certain. */
+	/** Sends an event to a process. @returns false if it was certainly dropped. */
 	readonly send: (to: string, event: Event) => boolean
-	readonly fail: (fault: Error) => void
+	readonly onFault: (fault: Error) => void
 }
 
 /**
- * @param parts - what to open and with what.
- * @param machine - what committed entries are applied to.
- * @param settled - told after every batch of events.
- * @returns the group, which runs.
+ * @param parts - the group's layout and dependencies.
+ * @param machine - the state machine to which committed entries are applied.
+ * @param onAdvanced - called after every batch of events.
+ * @returns the running group.
  * @internal
  */
 export async function openGroup(
 	parts: GroupHostParts,
 	machine: StateMachine,
-	settled: () => void
+	onAdvanced: () => void
 ): Promise<Group> {
-	const { self, layout, clock, fail } = parts
-	const fresh = randomUUID()
+	const { self, layout, clock, onFault } = parts
+	const freshIncarnation = randomUUID()
 	const opened = parts.data
 		? await GroupStore.open({
 				disk: new SystemDisk(),
 				folder: join(parts.data, 'groups', layout.name),
 				group: layout.name,
-				freshIncarnation: fresh,
+				freshIncarnation,
 			})
 		: undefined
-	if (opened && opened.ending !== Ending.Clean) {
+	if (opened && opened.ending !== FileCondition.Clean) {
 		parts.log.warn('log-repaired', { group: layout.name, ending: opened.ending })
 	}
 	const options = {
 		group: layout.name,
 		id: self,
-		incarnation: opened?.incarnation ?? fresh,
+		incarnation: opened?.incarnation ?? freshIncarnation,
 		founders: layout.voters,
 		random: parts.random,
 	}
@@ -66,7 +66,7 @@
 		machine,
 		clock,
 		send,
-		fail,
-		onBatchHandled: settled,
+		fail: onFault,
+		onBatchHandled: onAdvanced,
 	})
 }
