--- a/apps/control/src/lib/groups/SystemHost.ts
+++ b/apps/control/src/lib/groups/SystemHost.ts
@@ -26,7 +26,7 @@
 		this.driver = new SystemDriver({
 			self,
 			at: () => clock.date().getTime(),
-			onConfiguration: accepted: onAccepted,
+			onConfiguration: onAccepted,
 			onLeadershipChanged: (gained) =>
 				log.info(gained ? 'leadership-gained' : 'leadership-lost', { group: SYSTEM_GROUP }),
 		})
