--- a/apps/entry/src/lib/callers/problems.ts
+++ b/apps/entry/src/lib/callers/problems.ts
@@ -2,13 +2,13 @@
 import { Outcome, Problem } from '@rillrudder/cell'
 
 const TITLES: Record<Problem, string> = {
-	[Problem.Overloaded]: 'Too many requests are waiting to serve this one in time',
-	[Problem.TimedOut]: 'The timeout expired before the request was started',
-	[Problem.KeyReused]: 'The key was already used with a different request',
-	[Problem.WorkerSilent]: 'The request was sent to a worker, which has not answered',
-	[Problem.HomeUnreachable]: 'The home of the customer is unreachable',
-	[Problem.NoWorker]: 'No worker was available in time',
-	[Problem.AnswerForgotten]: 'The request ran, but its answer is no longer stored',
+	[Problem.Overloaded]: 'More is waiting than can be served in time',
+	[Problem.TimedOut]: 'Its time ran out before it was started',
+	[Problem.KeyReused]: 'The key was used before with another request',
+	[Problem.WorkerSilent]: 'A worker was given it and has not answered',
+	[Problem.HomeUnreachable]: 'The home of the customer cannot be reached',
+	[Problem.NoWorker]: 'No worker could take it in time',
+	[Problem.AnswerForgotten]: 'It ran; the answer is no longer kept',
 }
 
 const STATUSES: Partial<Record<Problem, number>> = {
--- a/packages/cell/src/lib/leader/DataCentreController.ts
+++ b/packages/cell/src/lib/leader/DataCentreController.ts
@@ -126,7 +126,7 @@
 		const { holder, replaced } = this.holders.onHeartbeat(from, beat, moment.now)
 		if (replaced) this.requests.onHolderReplaced(replaced.incarnationId, moment)
 		for (const sign of beat.signs) {
-			if (sign.leaving) this.workers.onLeaving(sign.worker, 'the worker refused work', moment)
+			if (sign.leaving) this.workers.onLeaving(sign.worker, 'it refused work', moment)
 			for (const customer of sign.failedFor)
 				this.health.onFailure(sign.worker, customer, moment.now)
 			for (let count = sign.succeeded; count > 0; count--) this.health.onSuccess(sign.worker)
@@ -163,7 +163,7 @@
 
 	/** Handles a worker's report on its tasks. */
 	onExchangeReply(worker: string, reply: ExchangeReply, moment: Moment): void {
-		if (reply.leaving) this.workers.onLeaving(worker, 'reported by the worker', moment)
+		if (reply.leaving) this.workers.onLeaving(worker, 'it says so', moment)
 		this.tasks.onExchangeReply(worker, reply, moment)
 		for (const one of reply.ended) {
 			const intent = this.parts.state.tasks.find(one.task)?.task.intent ?? one.task
@@ -253,7 +253,7 @@
 	private onLeavingRefusal(report: Report, moment: Moment): void {
 		const record = this.parts.state.requests.find(report.customer, report.key)
 		const same = record?.attempt === report.attempt
-		if (record && same) this.workers.onLeaving(record.worker, 'the worker refused work', moment)
+		if (record && same) this.workers.onLeaving(record.worker, 'it refused work', moment)
 	}
 
 	private onWorkerChanged(id: string, moment: Moment): void {
--- a/packages/cell/src/lib/leader/HomeController.ts
+++ b/packages/cell/src/lib/leader/HomeController.ts
@@ -118,7 +118,7 @@
 		const record = this.state.homes.find(customer)
 		if (record?.revision === revision && record.to === to) {
 			if (this.state.requests.openOf(customer) > 0) {
-				reply({ code: ClaimStatus.Pending, message: 'finishing open requests' })
+				reply({ code: ClaimStatus.Pending, message: 'ending what is open' })
 			} else {
 				reply({ code: ClaimStatus.Released, message: '', content: this.recordsOf(customer) })
 			}
@@ -127,7 +127,7 @@
 		const hasNewerClaim = (record?.revision ?? 0) >= revision
 		const namesOtherHome = this.inForce().revision >= revision && this.homeOf(customer) !== to
 		if (hasNewerClaim || namesOtherHome) {
-			reply({ code: ClaimStatus.Refused, message: 'a newer claim or configuration is in force' })
+			reply({ code: ClaimStatus.Refused, message: 'a newer claim or configuration stands' })
 			return
 		}
 		reply({ code: ClaimStatus.Pending, message: 'closing' })
--- a/packages/cell/src/lib/leader/OperatorController.ts
+++ b/packages/cell/src/lib/leader/OperatorController.ts
@@ -40,8 +40,7 @@
 	/** Rejects waiting calls. Operators call again and get the stored answer. */
 	clear(): void {
 		for (const waiting of this.replies.values()) {
-			for (const reply of waiting)
-				reply({ code: 503, message: 'leadership has changed; repeat the call' })
+			for (const reply of waiting) reply({ code: 503, message: 'leadership has moved; ask again' })
 		}
 		this.replies.clear()
 	}
@@ -78,7 +77,7 @@
 			case 'declare-down':
 			case 'declare-up':
 			case 'take-home':
-				return reply({ code: 400, message: 'this call is for the system group' })
+				return reply({ code: 400, message: 'this is for the system group' })
 		}
 	}
 
@@ -147,7 +146,7 @@
 		this.commit({ ...command, id: `${command.id}-${this.state.ground}` }, (fresh) =>
 			reply({
 				code: 409,
-				message: 'the plan is stale; a new one is attached',
+				message: 'the plan is stale; here is a fresh one',
 				content: fresh.content,
 			})
 		)
@@ -166,7 +165,7 @@
 	private sendStoredAnswer(request: string, reply: ReplyCallback): void {
 		const answer = this.state.answers.find(request)
 		if (!answer) {
-			reply({ code: 503, message: 'the answer is not known; repeat the call' })
+			reply({ code: 503, message: 'the answer is not known; ask again' })
 			return
 		}
 		const plan = this.state.tasks.plan(answer.subject)
@@ -176,7 +175,7 @@
 
 	private explain(id: string): OperatorReply {
 		const record = this.state.tasks.find(id)
-		if (!record) return { code: 404, message: `task ${id} does not exist`, content: undefined }
+		if (!record) return { code: 404, message: `no task ${id} is known`, content: undefined }
 		const waiting = record.phase === TaskPhase.Waiting ? this.whyWaiting(id) : undefined
 		const content = { ...describe(record), waiting, history: record.history }
 		return { code: 200, message: '', content }
--- a/packages/cell/src/lib/leader/OperatorRouter.ts
+++ b/packages/cell/src/lib/leader/OperatorRouter.ts
@@ -62,7 +62,7 @@
 	call(group: string, call: OperatorCall, reply: ReplyCallback): void {
 		const layout = this.parts.groups.find((one) => one.name === group)
 		if (!layout) {
-			reply({ code: 404, message: `group ${group} does not exist` })
+			reply({ code: 404, message: `there is no group ${group}` })
 			return
 		}
 		const voters = layout.voters.map((voter) => voter.id)
@@ -77,7 +77,7 @@
 			const value = { id: event.id, reply: Buffer.from(JSON.stringify(reply)) }
 			this.parts.send(from, { body: { $case: 'operatorReply', value } })
 		}
-		if (!parsed.success) answer({ code: 400, message: 'the call does not match the schema' })
+		if (!parsed.success) answer({ code: 400, message: 'the call is not as it should be' })
 		else if (!this.parts.callHere(event.group, parsed.data, answer)) {
 			answer({ code: NOT_THE_LEADER, message: '' })
 		}
@@ -91,7 +91,7 @@
 	private tryNext(search: LeaderSearch): void {
 		if (search.tries === MAX_TRIES) {
 			this.leaders.delete(search.group)
-			const message = `no leader of ${search.group} could be reached; repeat the call to learn whether it took effect`
+			const message = `no leader of ${search.group} could be reached; ask again to learn whether it was done`
 			search.reply({ code: UNAVAILABLE, message })
 			return
 		}
--- a/packages/cell/src/lib/leader/PlanController.ts
+++ b/packages/cell/src/lib/leader/PlanController.ts
@@ -105,12 +105,12 @@
 }
 
 function waitReasonOf(intent: Intent, allowed: number, fitting: number): string {
-	if (allowed < intent.tasks) return `the quota of team ${intent.team} is exhausted`
+	if (allowed < intent.tasks) return `the quota of team ${intent.team} is used up`
 	if (intent.kind === IntentKind.Gang) {
 		return `only ${fitting} of ${intent.tasks} tasks fit now, and a gang starts whole`
 	}
-	if (intent.urgent) return 'no worker has enough free capacity; batch tasks are preempted for it'
-	return 'no worker has enough free capacity now'
+	if (intent.urgent) return 'no worker has enough free; batch work makes room for it'
+	return 'no worker has enough free now'
 }
 
 /** @returns one step per rack, with the number of tasks on each of its workers. */
--- a/packages/cell/src/lib/leader/SystemDriver.ts
+++ b/packages/cell/src/lib/leader/SystemDriver.ts
@@ -71,7 +71,7 @@
 			case 'audit':
 				return reply({ code: 200, message: '', content: this.state.audit.select(call) })
 			default:
-				return reply({ code: 400, message: 'this call is for a data centre' })
+				return reply({ code: 400, message: 'this is for a data centre' })
 		}
 	}
 
@@ -129,8 +129,7 @@
 	/** Rejects waiting calls. Operators call again and get the stored answer if there is one. */
 	private rejectWaiting(): void {
 		for (const waiting of this.replies.values()) {
-			for (const reply of waiting)
-				reply({ code: 503, message: 'leadership has changed; repeat the call' })
+			for (const reply of waiting) reply({ code: 503, message: 'leadership has moved; ask again' })
 		}
 		this.replies.clear()
 	}
--- a/packages/cell/src/lib/leader/TaskController.ts
+++ b/packages/cell/src/lib/leader/TaskController.ts
@@ -174,7 +174,7 @@
 	/** Places tasks, renews leases, and unplaces tasks whose leases have certainly expired. */
 	tick(moment: Moment): void {
 		for (const record of this.leases.expired(moment.now)) {
-			this.unplaceLost(record, 'the worker is unreachable and its lease has expired', moment)
+			this.unplaceLost(record, 'the worker is silent and its lease is over', moment)
 		}
 		this.submitDue(moment.at)
 		if (this.needsDecision || this.placement.waitingCount > 0) this.decide(moment)
@@ -208,7 +208,7 @@
 	private preempt(decision: PreemptionDecision): void {
 		const record = this.state.tasks.find(decision.task.id)
 		if (!record) return
-		this.departureReasons.set(decision.task.id, `preempted for ${decision.for}`)
+		this.departureReasons.set(decision.task.id, `made room for ${decision.for}`)
 		switch (decision.how) {
 			case PreemptionMethod.Throttle:
 				return this.leases.orderThrottle(record, decision.task.throttleTo ?? 0)
--- a/packages/cell/src/lib/leader/WorkerController.ts
+++ b/packages/cell/src/lib/leader/WorkerController.ts
@@ -57,7 +57,7 @@
 			const since = this.missingSince.get(id) ?? moment.now
 			this.missingSince.set(id, since)
 			if (moment.now - since >= MISSING_TIMEOUT_MS)
-				this.proposeState(id, 'gone', 'missing from the platform list', moment)
+				this.proposeState(id, 'gone', 'not listed', moment)
 		}
 	}
 
--- a/packages/intake/src/lib/HomeForwarder.ts
+++ b/packages/intake/src/lib/HomeForwarder.ts
@@ -321,7 +321,7 @@
 
 /** @returns the answer that replaces a response above the size limit. */
 function tooLongAnswer(): Answer {
-	const title = 'The request ran, but its answer is too long to pass on'
+	const title = 'It ran; its answer is longer than can be passed on'
 	const type = 'urn:rillrudder:problem:answer-too-long'
 	const body = Buffer.from(JSON.stringify({ type, title, status: 502, outcome: Outcome.Ran }))
 	const headers = [{ name: 'content-type', value: 'application/problem+json' }]
--- a/packages/jobs/src/lib/accounts/AccountUsage.ts
+++ b/packages/jobs/src/lib/accounts/AccountUsage.ts
@@ -123,7 +123,7 @@
 	tolerance: number
 ): string | undefined {
 	const number = job.steps.findIndex((step) => !canRunAlone(step, terms, tolerance))
-	return number < 0 ? undefined : `the gang of step ${number} exceeds the quota of its account`
+	return number < 0 ? undefined : `the gang of step ${number} is beyond the quota of its account`
 }
 
 /** @returns whether the task or gang that a step starts may run alone; a single task always may. */
--- a/packages/jobs/src/lib/accounts/ClientAccount.test.ts
+++ b/packages/jobs/src/lib/accounts/ClientAccount.test.ts
@@ -29,9 +29,9 @@
 		accountNamed('', { keyDigests: [] })
 	)
 	assert.deepEqual(findings, [
-		'accounts[0].weight is not a number of at least 0',
-		'accounts[0].quota.cpu is not a number of at least 0',
-		'accounts[1] has the same name as another account (town)',
+		'accounts[0].weight is not a number from 0',
+		'accounts[0].quota.cpu is not a number from 0',
+		'accounts[1] has the name of another account (town)',
 		'accounts[1].keys hold an empty key',
 		'accounts[2].keys hold one of town',
 		'accounts[3] has no name',
--- a/packages/jobs/src/lib/accounts/ClientAccount.ts
+++ b/packages/jobs/src/lib/accounts/ClientAccount.ts
@@ -51,12 +51,12 @@
 		const path = `accounts[${index}]`
 		const { name, weight, quota } = account
 		if (name === '') report(path, 'has no name')
-		if (names.has(name)) report(path, `has the same name as another account (${name})`)
+		if (names.has(name)) report(path, `has the name of another account (${name})`)
 		names.add(name)
-		if (!(weight >= 0)) report(`${path}.weight`, 'is not a number of at least 0')
+		if (!(weight >= 0)) report(`${path}.weight`, 'is not a number from 0')
 		for (const [resource, amount] of Object.entries(quota ?? {})) {
 			if (amount !== undefined && !(amount >= 0))
-				report(`${path}.quota.${resource}`, 'is not a number of at least 0')
+				report(`${path}.quota.${resource}`, 'is not a number from 0')
 		}
 		for (const digest of account.keyDigests) {
 			const holder = holders.get(digest)
--- a/packages/jobs/src/lib/leader/JobController.ts
+++ b/packages/jobs/src/lib/leader/JobController.ts
@@ -152,7 +152,7 @@
 			case 'leave':
 				return this.workers.onWorkerLeaving(call.worker, () => reply({ kind: 'noted' }))
 			case 'advise':
-				return reply({ kind: 'unknown', reason: 'a leader does not answer requests for advice' })
+				return reply({ kind: 'unknown', reason: 'a leader asks others for advice' })
 			default:
 				return exhaustive(call)
 		}
@@ -290,12 +290,7 @@
 	private heartbeat(heartbeat: Heartbeat, reply: Reply): void {
 		this.workers.handleHeartbeat(heartbeat, (noted) =>
 			reply(
-				noted
-					? { kind: 'noted' }
-					: {
-							kind: 'unknown',
-							reason: 'another worker is known under this name or at this address',
-						}
+				noted ? { kind: 'noted' } : { kind: 'unknown', reason: 'another worker is known there' }
 			)
 		)
 	}
--- a/packages/jobs/src/lib/leader/steps/StepWaitMonitor.test.ts
+++ b/packages/jobs/src/lib/leader/steps/StepWaitMonitor.test.ts
@@ -31,10 +31,7 @@
 	subject.heartbeat('w1')
 	subject.submit(JOB, jobOf({ count: 2, ...WIDE }))
 	subject.run(8000, 'w1')
-	assert.match(
-		reasonOf(subject),
-		/^none of 1 open workers has capacity .* for 8000 ms, until runs end/
-	)
+	assert.match(reasonOf(subject), /^none of 1 open workers has room .* for 8000 ms, until runs end/)
 	assert.equal(await oldestWait(subject, 'room'), 8000)
 	assert.equal(await oldestWait(subject, 'advice'), 0)
 	assert.deepEqual(longWaitLines(subject), [])
@@ -51,9 +48,6 @@
 	const [line, ...more] = longWaitLines(subject)
 	assert.deepEqual(more, [])
 	assert.match(line, /"step":"00000000000000aa\.0\.0".*"waiting":1,/)
-	assert.match(
-		line,
-		/"reason":"capacity for all its tasks is reserved and expected in .*"until":"the runs on that capacity end"/
-	)
+	assert.match(line, /"reason":"room for all of it is expected in .*"until":"the runs there end"/)
 	assert.ok((await oldestWait(subject, 'reservation')) > 5000)
 })
--- a/packages/jobs/src/lib/leader/steps/waitReason.ts
+++ b/packages/jobs/src/lib/leader/steps/waitReason.ts
@@ -114,16 +114,16 @@
 	if (isHeld) {
 		return {
 			reason: WaitReason.Held,
-			text: 'workers of its tasks became unreachable, and it is not known yet whether they crashed',
-			until: 'each of them answers, or counts as crashed (60 s without heartbeat)',
+			text: 'workers fell silent under its tasks, and whether they crashed is awaited',
+			until: 'each of them answers, or is known to have crashed (60 s of silence)',
 		}
 	}
 	const open = eligible.length
 	if (open === 0) {
 		return {
 			reason: WaitReason.Worker,
-			text: 'no open worker of its service has the label that it requires',
-			until: 'one joins, or becomes reachable and healthy again',
+			text: 'no open worker of its service has the label that it asks for',
+			until: 'one joins, or is heard and found well again',
 		}
 	}
 	if (isBarred(work, eligible)) {
@@ -136,30 +136,30 @@
 	if (!isWithinQuota) {
 		return {
 			reason: WaitReason.Quota,
-			text: `its account ${work.account?.terms.name} has no quota left for it`,
+			text: `its account ${work.account?.terms.name} has as much running as its quota allows`,
 			until: 'runs of the account end, or its quota grows',
 		}
 	}
 	if (withCapacity.length === 0) {
 		return {
 			reason: WaitReason.Capacity,
-			text: `none of ${open} open workers has capacity for a task`,
-			until: 'runs end or are preempted',
+			text: `none of ${open} open workers has room for one task`,
+			until: 'runs end, or urgent work makes room',
 		}
 	}
 	if (reservation) {
 		const wait = Math.round(Math.max(0, reservation.last - now))
 		return {
 			reason: WaitReason.Reservation,
-			text: `capacity for all its tasks is reserved and expected in ${wait} ms`,
-			until: 'the runs on that capacity end',
+			text: `room for all of it is expected in ${wait} ms and kept`,
+			until: 'the runs there end',
 		}
 	}
 	if (isStartWindowFull) {
 		return {
 			reason: WaitReason.StartWindow,
-			text: 'the cell is behind with starts',
-			until: 'workers confirm the starts that are under way',
+			text: 'the cell is behind with its starts',
+			until: 'workers confirm those that are under way',
 		}
 	}
 	return work.queue.advice ? explainAdviceWait(work, withCapacity, now) : explainRemainingWait(work)
@@ -176,14 +176,14 @@
 	if (advice.isAsking) {
 		return {
 			reason: WaitReason.Advice,
-			text: `advice about ${withCapacity.length} workers with capacity is awaited`,
-			until: 'it arrives, or times out and is requested again',
+			text: `advice about ${withCapacity.length} workers with room is awaited`,
+			until: 'it comes, or is given up and asked for again',
 		}
 	}
 	return {
 		reason: WaitReason.Policy,
-		text: `its queue's policy allows none of ${withCapacity.length} workers with capacity`,
-		until: 'others have capacity, or join',
+		text: `none of ${withCapacity.length} workers with room is allowed by its queue's policy`,
+		until: 'others have room, or join',
 	}
 }
 
@@ -191,13 +191,13 @@
 	if (step.gang) {
 		return {
 			reason: WaitReason.Gang,
-			text: 'there is not enough capacity for its whole gang',
-			until: 'enough runs end on workers that may run it',
+			text: 'not all of its gang has room',
+			until: 'enough runs end at workers that may run it',
 		}
 	}
 	return {
 		reason: WaitReason.None,
-		text: 'it is about to start',
+		text: 'it is about to begin',
 		until: 'the next pass, within 0.1 s',
 	}
 }
--- a/packages/jobs/src/lib/records/Cell.ts
+++ b/packages/jobs/src/lib/records/Cell.ts
@@ -77,7 +77,7 @@
 	configuration.queues.forEach((queue, index) => {
 		const path = `queues[${index}]`
 		const place = `${queue.host} ${queue.prefix}`
-		if (!services.has(queue.service)) add(path, `refers to unknown service ${queue.service}`)
+		if (!services.has(queue.service)) add(path, `names service ${queue.service}, which is unknown`)
 		if (places.has(place)) add(path, `has the host and prefix of another queue (${place})`)
 		if (!(queue.timeout > 0)) add(path, 'has a timeout that is not above 0')
 		places.add(place)
--- a/packages/jobs/src/lib/records/checkJob.ts
+++ b/packages/jobs/src/lib/records/checkJob.ts
@@ -35,14 +35,14 @@
 	if (Buffer.byteLength(job.spec) > MAX_SPEC_BYTES) {
 		add('spec', `is longer than ${MAX_SPEC_BYTES} bytes`)
 	}
-	if (job.steps.length === 0) add('steps', 'is empty')
+	if (job.steps.length === 0) add('steps', 'has no step')
 	if (job.steps.length > MAX_STEPS) add('steps', `has more than ${MAX_STEPS} steps`)
 	job.steps.forEach((step, index) => checkStep(step, index, add))
 	if (countTasks(job) > MAX_TASKS_PER_JOB) {
-		add('steps', `has more than ${MAX_TASKS_PER_JOB} tasks in all repeats`)
+		add('steps', `have more than ${MAX_TASKS_PER_JOB} tasks in all repeats`)
 	}
 	const { repeat } = job
-	if (repeat && repeat.count > MAX_REPEATS) add('repeat', `has more than ${MAX_REPEATS} repeats`)
+	if (repeat && repeat.count > MAX_REPEATS) add('repeat', `is more than ${MAX_REPEATS} times`)
 	if (repeat && repeat.interval < 0) add('repeat', 'has an interval below 0')
 	return findings
 }
@@ -52,9 +52,9 @@
 	if (!Number.isInteger(step.count) || step.count < 1) add(path, 'has no task')
 	if (step.count > MAX_TASKS_PER_STEP) add(path, `has more than ${MAX_TASKS_PER_STEP} tasks`)
 	const { cpu, memory, accelerators } = step.need
-	if (cpu < 0 || memory < 0 || accelerators < 0) add(path, 'has a negative amount in need')
+	if (cpu < 0 || memory < 0 || accelerators < 0) add(path, 'asks for less than nothing')
 	for (const earlier of step.dependsOn) {
 		const valid = Number.isInteger(earlier) && earlier >= 0 && earlier < index
-		if (!valid) add(`${path}.dependsOn`, `refers to ${earlier}, which is not an earlier step`)
+		if (!valid) add(`${path}.dependsOn`, `names ${earlier}, which is no earlier step`)
 	}
 }
--- a/packages/member/src/lib/ApiServer.ts
+++ b/packages/member/src/lib/ApiServer.ts
@@ -101,7 +101,7 @@
 
 function toSubmission(to: Destination, body: Buffer): CellCall | HttpAnswer {
 	const job = parseJob(body)
-	if (!job) return { status: 400, body: { message: 'the body is not a job' } }
+	if (!job) return { status: 400, body: { message: 'the body is no job' } }
 	const findings = checkJob(job)
 	if (findings.length === 0) return { kind: 'submit', to, job }
 	return { status: 422, body: { message: findings.map(formatFinding).join('; ') } }
--- a/packages/member/src/lib/CallFaults.ts
+++ b/packages/member/src/lib/CallFaults.ts
@@ -50,7 +50,7 @@
 	 * @param handle - handles the call.
 	 */
 	handle(call: CellCall, done: (reply: CellReply) => void, handle: () => void): void {
-		const unknown: CellReply = { kind: 'unknown', reason: 'the call could not be handled' }
+		const unknown: CellReply = { kind: 'unknown', reason: 'it could not be handled' }
 		if (this.faultyCalls.size > 0 && this.faultyCalls.has(digestOf(call))) return done(unknown)
 		try {
 			handle()
--- a/packages/member/src/lib/CoreInstance.ts
+++ b/packages/member/src/lib/CoreInstance.ts
@@ -51,7 +51,7 @@
 /** Reply to a worker whose heartbeat can't be forwarded to the leader at the moment. */
 const LEADER_UNREACHABLE: CellReply = {
 	kind: 'not-run',
-	reason: 'the leader is unreachable',
+	reason: 'the leader does not answer',
 	retryAfter: 1000,
 }
 
