--- a/packages/jobs/src/lib/leader/callers/ClientCalls.ts
+++ b/packages/jobs/src/lib/leader/callers/ClientCalls.ts
@@ -1,124 +1,128 @@
-/** What clients ask of the leader: to take a job, to show its state, to cancel it. */
-import { Access, mayUse, type Caller } from '../../accounts/Access'
-import { whyBeyondQuota } from '../../accounts/AccountUsage'
+/** Handles the calls of clients on the leader: submit a job, show its state, cancel it. */
+import { Access, canAccessJob, type Caller } from '../../accounts/Access'
+import { explainQuotaExcess } from '../../accounts/AccountUsage'
 import { termsOf } from '../../accounts/ClientAccount'
-import { SendingRate } from '../../accounts/SendingRate'
+import { SubmissionRate } from '../../accounts/SubmissionRate'
 import { objectiveOf } from '../../placement/stepTimes'
 import { countTasks } from '../../records/checkJob'
 import type { JobRequest } from '../../records/Job'
 import type { CellConfiguration } from '../../records/Cell'
 import { isActive, type JobRecord } from '../../state/JobRecord'
-import {
-	isJobRefusal,
-	type CallName,
-	type CellCall,
-	type CellReply,
-	type Destination,
-} from './calls'
+import { isJobRefusal, type CallId, type CellCall, type CellReply, type Destination } from './calls'
 import { shapeOf } from '../explainJob'
-import { epochOf, type LeaderContext } from '../LeaderContext'
+import { epochTimeOf, type LeaderContext } from '../LeaderContext'
 import { LeaderEvent } from '../LeaderEvent'
 import { PendingCounts } from './PendingCounts'
-import { QueueTable, type Addressed } from './QueueTable'
+import { QueueTable, type ResolvedDestination } from './QueueTable'
 import { RefusedCalls } from './RefusedCalls'
 
-/** Jobs that may be kept at a time; bounds the leader's memory and its snapshots. */
-const MOST_JOBS = 20_000
-/** Tasks of all kept jobs together, for the same reason: at about 100 bytes each, a sixth of the heap. */
-const MOST_TASKS = 300_000
-/** Milliseconds after which a refused submission may come again. */
-const RETRY_AFTER = 1000
+/** Maximum number of jobs that are kept; bounds the leader's memory and its snapshots. */
+const MAX_JOBS = 20_000
+/**
+ * Maximum number of tasks of all kept jobs, for the same reason: at about 100 bytes each, a sixth
+ * of the heap.
+ */
+const MAX_TASKS = 300_000
+/** Milliseconds after which a client may retry a refused submission. */
+const RETRY_AFTER_MS = 1000
 
 type Reply = (reply: CellReply) => void
-/** A call that hands a job in. */
+/** A call that submits a job. */
 type Submission = Extract<CellCall, { readonly kind: 'submit' }>
 
-/** A submission that waits to be committed. */
-interface Submitting {
-	/** Name of the account that it comes from; undefined for none. */
+/** A submission whose command is not committed yet. */
+interface PendingSubmission {
+	/** Name of the submitting account; undefined for none. */
 	readonly account: string | undefined
 	readonly replies: Reply[]
 }
 
-/** A call whose queue and caller are known. */
-interface Admitted extends Addressed {
+/** A call with its resolved queue and authenticated caller. */
+interface AdmittedCall extends ResolvedDestination {
 	readonly caller: Caller
 }
 
 /**
- * The calls of clients. The leader checks keys itself: it alone knows that no newer configuration is in force.
+ * Handles client calls. The leader checks keys itself, because only the leader is certain to have
+ * the newest configuration.
  *
  * @internal
  */
 export class ClientCalls {
 	private queues: QueueTable
 	private access: Access
-	private readonly rate: SendingRate
-	private readonly submitting = new Map<string, Submitting>()
+	private readonly rate: SubmissionRate
+	private readonly submitting = new Map<string, PendingSubmission>()
 	private readonly refusedCalls = new RefusedCalls()
-	/** Jobs refused by account name. */
+	/** Number of refused jobs by account name. */
 	private readonly refusals = new Map<string, number>()
 	private readonly pending: PendingCounts
 
 	/**
-	 * @param context - what the parts of the leader share.
-	 * @param hasBegun - whether a task of a running job has begun at a worker.
+	 * @param context - the state and ports of the leadership.
+	 * @param hasStarted - whether a task of a running job has started on a worker.
 	 */
 	constructor(
 		private readonly context: LeaderContext,
-		hasBegun: (job: JobRecord) => boolean
+		hasStarted: (job: JobRecord) => boolean
 	) {
 		const { clock, state } = context
-		this.pending = new PendingCounts(clock, () => state.jobs.all(), hasBegun)
-		this.rate = new SendingRate(context.timing.rateWindow)
+		this.pending = new PendingCounts(clock, () => state.jobs.all(), hasStarted)
+		this.rate = new SubmissionRate(context.timing.rateWindow)
 		if (context.policy.overload) {
-			this.rate.restore(context.state.jobs.all(), epochOf(context))
+			this.rate.restore(context.state.jobs.all(), epochTimeOf(context))
 		}
 		this.queues = new QueueTable(context.state.configuration)
 		this.access = new Access(context.state.configuration)
 	}
 
-	/** A configuration is in force from now on. */
-	configured(configuration: CellConfiguration): void {
+	/** Applies a new configuration. */
+	onConfigured(configuration: CellConfiguration): void {
 		this.queues = new QueueTable(configuration)
 		this.access = new Access(configuration)
 	}
 
-	/** @returns how many jobs of an account were refused since this leadership began. */
-	refusedOf(account: string): number {
+	/** @returns the number of jobs of an account that this leadership has refused. */
+	refusalCountOf(account: string): number {
 		return this.refusals.get(account) ?? 0
 	}
 
-	/** Takes a job; the same id again from the same account remains one job. */
+	/** Submits a job. Submitting the same id again from the same account is idempotent. */
 	submit({ to, job, call }: Submission, reply: Reply): void {
-		if (!call) this.take(to, job, reply)
-		else this.takeOnce(call, to, job, reply)
+		if (!call) this.trySubmit(to, job, reply)
+		else this.submitWithCallId(call, to, job, reply)
 	}
 
-	/** Takes a job by a call that may have been tried before: a refusal holds for all its tries. */
-	private takeOnce(call: CallName, to: Destination, job: JobRequest, reply: Reply): void {
+	/**
+	 * Submits a job by a call that may be retried: once refused, the call is refused for all its
+	 * tries.
+	 */
+	private submitWithCallId(call: CallId, to: Destination, job: JobRequest, reply: Reply): void {
 		const { clock } = this.context
 		const refused = this.refusedCalls.find(call, clock.now())
 		if (refused) {
 			reply({ kind: 'settled', refusal: refused })
 			return
 		}
-		this.take(to, job, (answer) => {
-			if (!isJobRefusal(answer) || this.mayHaveTaken(to)) return reply(answer)
-			this.refusedCalls.note(call, answer, clock.now())
+		this.trySubmit(to, job, (answer) => {
+			if (!isJobRefusal(answer) || this.mayBeSubmitted(to)) return reply(answer)
+			this.refusedCalls.add(call, answer, clock.now())
 			reply({ kind: 'settled', refusal: answer })
 		})
 	}
 
-	/** Whether an earlier try may have handed a job of the id in; its key or queue may have gone since. */
-	private mayHaveTaken(to: Destination): boolean {
+	/**
+	 * Whether an earlier try may have submitted the job; its key or queue may have been removed
+	 * since.
+	 */
+	private mayBeSubmitted(to: Destination): boolean {
 		const id = idOf(to)
 		return this.submitting.has(id) || this.context.state.jobs.find(id) !== undefined
 	}
 
-	private take(to: Destination, job: JobRequest, reply: Reply): void {
+	private trySubmit(to: Destination, job: JobRequest, reply: Reply): void {
 		if (!this.context.state.configuration) {
-			reply({ kind: 'not-run', reason: 'no configuration yet', retryAfter: RETRY_AFTER })
+			reply({ kind: 'not-run', reason: 'no configuration yet', retryAfter: RETRY_AFTER_MS })
 			return
 		}
 		const admitted = this.admit(to)
@@ -127,14 +131,14 @@
 		else this.submitAdmitted(admitted, job, reply)
 	}
 
-	/** Shows a job's state, or how many jobs of a queue wait. */
+	/** @returns a job's state, or the number of pending jobs of a queue. */
 	show(to: Destination): CellReply {
 		const admitted = this.admit(to)
 		if ('kind' in admitted) return admitted
 		const { id, queue, caller } = admitted
-		if (id === '') return { kind: 'pending', count: this.pending.of(queue.name) }
+		if (id === '') return { kind: 'pending', count: this.pending.countOf(queue.name) }
 		const job = this.context.state.jobs.find(id)
-		if (!job || !mayUse(caller, queue, job)) return { kind: 'no-such-job' }
+		if (!job || !canAccessJob(caller, queue, job)) return { kind: 'no-such-job' }
 		return { kind: 'state', state: job.state }
 	}
 
@@ -149,7 +153,7 @@
 			reply({ kind: 'noted' })
 			return
 		}
-		const command = { kind: 'cancel', id: job.id, at: epochOf(this.context) } as const
+		const command = { kind: 'cancel', id: job.id, at: epochTimeOf(this.context) } as const
 		this.context.proposals.propose(command, () => reply({ kind: 'noted' }))
 	}
 
@@ -160,11 +164,11 @@
 		const admitted = this.admit(to)
 		if ('kind' in admitted) return admitted.kind === 'no-such-queue' ? NO_SUCH_JOB : admitted
 		const job = jobs.find(admitted.id)
-		return job && mayUse(admitted.caller, admitted.queue, job) ? job : NO_SUCH_JOB
+		return job && canAccessJob(admitted.caller, admitted.queue, job) ? job : NO_SUCH_JOB
 	}
 
-	/** Finds the queue of a call, and who calls. */
-	private admit(to: Destination): Admitted | CellReply {
+	/** Resolves the queue of a call and authenticates its caller. */
+	private admit(to: Destination): AdmittedCall | CellReply {
 		const addressed = this.queues.find(to)
 		if (!addressed) return { kind: 'no-such-queue' }
 		const caller = this.access.callerOf(
@@ -178,12 +182,12 @@
 		return { kind: 'unauthorized' }
 	}
 
-	private submitAdmitted(admitted: Admitted, job: JobRequest, reply: Reply): void {
+	private submitAdmitted(admitted: AdmittedCall, job: JobRequest, reply: Reply): void {
 		const { id, queue, caller } = admitted
 		const account = caller.kind === 'account' ? caller.account.name : undefined
 		const known = this.context.state.jobs.find(id)
 		if (known) {
-			reply({ kind: mayUse(caller, queue, known) ? 'accepted' : 'id-taken' })
+			reply({ kind: canAccessJob(caller, queue, known) ? 'accepted' : 'id-taken' })
 			return
 		}
 		const waiting = this.submitting.get(id)
@@ -192,46 +196,50 @@
 			else reply({ kind: 'id-taken' })
 			return
 		}
-		const refusal = this.whyNot(caller, job)
+		const refusal = this.refusalOf(caller, job)
 		if (refusal) this.refuse(id, account, refusal, reply)
 		else this.propose(admitted, job, { account, replies: [reply] })
 	}
 
-	private propose({ id, queue, caller }: Admitted, job: JobRequest, submitting: Submitting): void {
+	private propose(
+		{ id, queue, caller }: AdmittedCall,
+		job: JobRequest,
+		submitting: PendingSubmission
+	): void {
 		this.submitting.set(id, submitting)
-		const at = epochOf(this.context)
+		const at = epochTimeOf(this.context)
 		const account = caller.kind === 'account' ? termsOf(caller.account) : undefined
 		const within = !account || this.rate.take(account.name, account.weight, at)
 		const beyondRate = within ? undefined : true
 		const command = { kind: 'submit', id, queue, job, account, beyondRate, at } as const
-		this.context.proposals.propose(command, () => this.submitted(id))
+		this.context.proposals.propose(command, () => this.onSubmitted(id))
 	}
 
 	private refuse(id: string, account: string | undefined, refusal: CellReply, reply: Reply): void {
-		if (account !== undefined) this.refusals.set(account, this.refusedOf(account) + 1)
+		if (account !== undefined) this.refusals.set(account, this.refusalCountOf(account) + 1)
 		const reason = 'reason' in refusal ? refusal.reason : refusal.kind
 		const jobs = this.context.state.jobs.size
 		this.context.log.warn(LeaderEvent.JobRefused, { job: id, account, reason, jobs })
 		reply(refusal)
 	}
 
-	/** @returns why a job is not taken; undefined when it is. */
-	private whyNot(caller: Caller, job: JobRequest): CellReply | undefined {
+	/** @returns why a job cannot be accepted; undefined if it can. */
+	private refusalOf(caller: Caller, job: JobRequest): CellReply | undefined {
 		if (caller.kind === 'account') {
-			const reason = whyBeyondQuota(job, caller.account, this.context.timing.quotaTolerance)
+			const reason = explainQuotaExcess(job, caller.account, this.context.timing.quotaTolerance)
 			if (reason) return { kind: 'impossible', reason }
 		}
 		const { jobs } = this.context.state
 		const full = (reason: string): CellReply => ({
 			kind: 'not-run',
 			reason,
-			retryAfter: RETRY_AFTER,
+			retryAfter: RETRY_AFTER_MS,
 		})
-		if (jobs.size >= MOST_JOBS) return full('too many jobs')
-		return jobs.taskCount + countTasks(job) > MOST_TASKS ? full('too many tasks') : undefined
+		if (jobs.size >= MAX_JOBS) return full('too many jobs')
+		return jobs.taskCount + countTasks(job) > MAX_TASKS ? full('too many tasks') : undefined
 	}
 
-	private submitted(id: string): void {
+	private onSubmitted(id: string): void {
 		const { state, log } = this.context
 		const job = state.jobs.find(id)
 		log.info(LeaderEvent.JobAccepted, {
@@ -251,7 +259,7 @@
 
 const NO_SUCH_JOB: CellReply = { kind: 'no-such-job' }
 
-/** The id of the job that a call is about; the last part of its path. */
+/** @returns the id of the job that a call addresses; for a path its last segment. */
 function idOf(to: Destination): string {
 	return 'path' in to ? to.path.slice(to.path.lastIndexOf('/') + 1) : to.id
 }
--- a/packages/jobs/src/lib/leader/steps/StepPlacement.ts
+++ b/packages/jobs/src/lib/leader/steps/StepPlacement.ts
@@ -1,20 +1,23 @@
-/** Gives the tasks of one step workers that may run them and have room beside what is kept there for others. */
+/**
+ * Assigns the tasks of a step to workers that may run them and have capacity beside reservations of
+ * others.
+ */
 import type { AccountUsage } from '../../accounts/AccountUsage'
 import type { GangPlanner } from '../../gangs/GangPlanner'
-import { freeOf, roomIn } from '../../gangs/learnWorkers'
+import { freeResourcesOf, countMembersFitting } from '../../gangs/chooseGangWorkersToAsk'
 import type { Reservations } from '../../placement/Reservations'
-import type { UrgentRoom } from '../../placement/UrgentRoom'
-import { epochOf, type LeaderContext } from '../LeaderContext'
-import { chooseForStep, type Option, type RoomCheck } from './chooseForStep'
-import { placeGang, type Placed, type TaskChooser } from './placeGang'
+import type { UrgentCapacity } from '../../placement/UrgentCapacity'
+import { epochTimeOf, type LeaderContext } from '../LeaderContext'
+import { chooseWorkerForStep, type WorkerOption, type CapacityCheck } from './chooseWorkerForStep'
+import { placeGang, type PlacedTask, type TaskChooser } from './placeGang'
 import type { OpenWorkerList } from './OpenWorkerList'
 import type { Quarantine } from './Quarantine'
-import { claim } from './reservation'
+import { tryClaim } from './resourceClaim'
 import type { StepWork } from './StepWork'
 
-/** What decides whether room is free for a task. @internal */
-export interface PlacementParts {
-	readonly urgentRoom: UrgentRoom
+/** What decides whether capacity is free for a task. @internal */
+export interface PlacementDependencies {
+	readonly urgentCapacity: UrgentCapacity
 	readonly reservations: Reservations
 	readonly quarantine: Quarantine
 	readonly gangs: GangPlanner
@@ -28,84 +31,89 @@
  */
 export class StepPlacement {
 	/**
-	 * Whether a task may begin in a worker's room: the worker is open, and its room is kept neither for urgent work nor for a step that goes before, and
-	 * nothing of another job is isolated there.
+	 * Whether a task may start on a worker: the worker is open, its capacity is neither kept for
+	 * urgent work nor reserved for a more urgent step, and no task of another job is isolated
+	 * there.
 	 */
-	private readonly isFree: RoomCheck = (work, option) =>
-		this.parts.openWorkers.isOpen(option) &&
-		this.parts.urgentRoom.allows(work) &&
-		this.parts.quarantine.admits(work.job.id, option.view.id, this.context.clock.now()) &&
-		this.parts.reservations.allows(work, option)
+	private readonly isFree: CapacityCheck = (work, option) =>
+		this.dependencies.openWorkers.isOpen(option) &&
+		this.dependencies.urgentCapacity.allows(work) &&
+		this.dependencies.quarantine.admits(work.job.id, option.view.id, this.context.clock.now()) &&
+		this.dependencies.reservations.allows(work, option)
 
 	/**
-	 * @param context - what the parts of the leader share.
-	 * @param accounts - what accounts may have.
-	 * @param parts - what decides whether room is free for a task.
+	 * @param context - state and services that the parts of the leader share.
+	 * @param accounts - the quotas of accounts and their use.
+	 * @param dependencies - what decides whether capacity is free for a task.
 	 */
 	constructor(
 		private readonly context: LeaderContext,
 		private readonly accounts: AccountUsage,
-		private readonly parts: PlacementParts
+		private readonly dependencies: PlacementDependencies
 	) {}
 
 	/**
 	 * @param work - the step.
-	 * @param waiting - indexes of its tasks that may begin.
+	 * @param waiting - indexes of its tasks that may start.
 	 * @param options - workers that may run it.
-	 * @param now - the moment, on the leader's clock.
-	 * @returns where tasks go, with their room reserved; of a gang all or none.
+	 * @param now - the current time, on the leader's clock.
+	 * @returns the placed tasks, with their capacity claimed; all or none for a gang.
 	 */
 	place(
 		work: StepWork,
 		waiting: readonly number[],
-		options: readonly Option[],
+		options: readonly WorkerOption[],
 		now: number
-	): Placed[] {
+	): PlacedTask[] {
 		return work.step.gang
-			? this.placeWhole(work, waiting, options, now)
-			: this.placeEach(work, waiting, options, now)
+			? this.placeAsGang(work, waiting, options, now)
+			: this.placeSeparately(work, waiting, options, now)
 	}
 
 	private chooserFor(work: StepWork, now: number): TaskChooser {
 		return (index, options) =>
-			this.parts.quarantine.isDoubtful(work, index)
-				? this.parts.quarantine.choose(work, index, options, this.isFree, now)
-				: chooseForStep(work, options, this.isFree, epochOf(this.context))
+			this.dependencies.quarantine.isSuspected(work, index)
+				? this.dependencies.quarantine.chooseWorker(work, index, options, this.isFree, now)
+				: chooseWorkerForStep(work, options, this.isFree, epochTimeOf(this.context))
 	}
 
-	/** Places a gang, on workers that are unlikely to go where they have room for it. */
-	private placeWhole(
+	/**
+	 * Places a gang, preferably on workers that are unlikely to leave, if these have enough
+	 * capacity.
+	 */
+	private placeAsGang(
 		work: StepWork,
 		waiting: readonly number[],
-		options: readonly Option[],
+		options: readonly WorkerOption[],
 		now: number
-	): Placed[] {
-		if (roomIn(work, options, freeOf) < waiting.length) return []
+	): PlacedTask[] {
+		if (countMembersFitting(work, options, freeResourcesOf) < waiting.length) return []
 		const { ledger } = this.context
-		const place = (from: readonly Option[]): Placed[] =>
+		const place = (from: readonly WorkerOption[]): PlacedTask[] =>
 			placeGang(work, waiting, from, ledger, this.chooserFor(work, now), now)
-		const steady = this.parts.gangs.steady(work, options, now)
-		const first = place(steady)
-		const placed = first.length > 0 || steady.length === options.length ? first : place(options)
-		this.parts.urgentRoom.took(work, placed.length)
-		if (placed.length > 0) this.parts.gangs.begun(work, now)
+		const reliable = this.dependencies.gangs.withoutUnreliable(work, options, now)
+		const onReliable = place(reliable)
+		const placed =
+			onReliable.length > 0 || reliable.length === options.length ? onReliable : place(options)
+		this.dependencies.urgentCapacity.onPlaced(work, placed.length)
+		if (placed.length > 0) this.dependencies.gangs.onStarted(work, now)
 		return placed
 	}
 
-	private placeEach(
+	private placeSeparately(
 		work: StepWork,
 		waiting: readonly number[],
-		options: readonly Option[],
+		options: readonly WorkerOption[],
 		now: number
-	): Placed[] {
-		const placed: Placed[] = []
+	): PlacedTask[] {
+		const placed: PlacedTask[] = []
 		const choose = this.chooserFor(work, now)
 		for (const index of waiting) {
-			if (!this.accounts.mayBegin(work.account, work.step)) break
+			if (!this.accounts.canStart(work.account, work.step)) break
 			const option = choose(index, options)
-			if (!option || !claim(this.context.ledger, option.view.id, work)) break
-			work.count(option.view.id, 1)
-			this.parts.urgentRoom.took(work, 1)
+			if (!option || !tryClaim(this.context.ledger, option.view.id, work)) break
+			work.adjustTaskCount(option.view.id, 1)
+			this.dependencies.urgentCapacity.onPlaced(work, 1)
 			placed.push({ index, worker: option.view.id })
 		}
 		return placed
--- a/packages/jobs/src/lib/leader/workers/WorkerRegistry.ts
+++ b/packages/jobs/src/lib/leader/workers/WorkerRegistry.ts
@@ -1,60 +1,64 @@
-/** The workers of the cell as the leader sees them: heartbeats, leases, polls. */
+/** The leader's registry of workers: their heartbeats, leases and polls. */
 import { Measure } from '@rillrudder/telemetry'
 import type { Heartbeat, Worker } from '../../records/Cell'
-import { epochOf, type LeaderContext } from '../LeaderContext'
+import { epochTimeOf, type LeaderContext } from '../LeaderContext'
 import { LeaderEvent } from '../LeaderEvent'
 import { SuspectRuns } from '../runs/SuspectRuns'
 import { Lease } from './Lease'
 import { WorkerHeartbeats } from './WorkerHeartbeats'
 import { WorkerPolls } from './WorkerPolls'
-import { LostRuns } from '../runs/LostRuns'
-import { endsOf } from '../runs/endsOf'
+import { LostRunHandler } from '../runs/LostRunHandler'
+import { toCommandEnds } from '../runs/toCommandEnds'
 import { FenceTokens } from './FenceTokens'
 import { IncarnationChanges } from './IncarnationChanges'
-import { isOtherLife, parseIncarnation } from '../../records/Incarnation'
+import { isOtherIncarnation, parseIncarnation } from '../../records/Incarnation'
 import type { JobRecord } from '../../state/JobRecord'
 import { tasksOf } from '../../state/JobTable'
 import { StallDetector } from '../../placement/StallDetector'
 import type { AccountUsage } from '../../accounts/AccountUsage'
-import type { HeardWorker } from '../callers/calls'
+import type { RelayedHeartbeat } from '../callers/calls'
 import type { ListedEnd, PollResult } from '../ports'
 import { SilentWorkerRecorder } from './SilentWorkerRecorder'
 import { isCrash, WorkerEnd } from './WorkerEnd'
 import { WorkerLosses } from './WorkerLosses'
 import { WorkerView } from './WorkerView'
 
-/** Names of tasks that one line tells, so that it stays short. */
-const MOST_NAMES = 20
+/** Most task names in one log line. */
+const MAX_LOGGED_TASKS = 20
 
-/** Milliseconds by which the calendars of two leaders may differ; the platform bounds it by as much. */
-const CALENDAR_ERROR = 5000
-/** Milliseconds by which answers that overtake each other may make a worker's clock seem to go back. */
-const CLOCK_STEP = 1000
+/** How far the wall clocks of two leaders may differ; the platform guarantees this bound. */
+const MAX_WALL_CLOCK_SKEW_MS = 5000
+/** How far a worker's clock may seem to go back because answers arrive out of order. */
+const MAX_CLOCK_REORDERING_MS = 1000
 
-/** Told of what polls bring. @internal */
+/** Receives the results of polls. @internal */
 export interface PollListener {
-	/** @param sentAt - when the poll was sent, on the leader's clock. */
-	polled(view: WorkerView, result: PollResult & { kind: 'done' }, sentAt: number): void
+	/**
+	 * A poll was answered.
+	 *
+	 * @param sentAt - when the poll was sent, on the leader's clock.
+	 */
+	onPolled(view: WorkerView, result: PollResult & { kind: 'done' }, sentAt: number): void
 }
 
 /**
- * The workers of the cell as the leader sees them.
+ * The workers of the cell as the leader knows them.
  *
  * @internal
  */
 export class WorkerRegistry {
 	private readonly views = new Map<string, WorkerView>()
-	/** Tells on which workers runs stand still. */
+	/** Detects workers on which runs are stalled. */
 	readonly stalls = new StallDetector()
-	/** What workers that fall silent tell. */
+	/** Records and evaluates the losses of workers. */
 	readonly losses: WorkerLosses
 	private readonly suspects: SuspectRuns
 	private readonly polls: WorkerPolls
-	private readonly lostRuns: LostRuns
+	private readonly lostRuns: LostRunHandler
 	private readonly heartbeats: WorkerHeartbeats
 	private readonly fences: FenceTokens
-	private readonly lives: IncarnationChanges
-	private readonly silentWorkers: SilentWorkerRecorder
+	private readonly incarnations: IncarnationChanges
+	private readonly silentRecorder: SilentWorkerRecorder
 
 	constructor(
 		private readonly context: LeaderContext,
@@ -62,30 +66,30 @@
 		private readonly listener: PollListener
 	) {
 		this.suspects = new SuspectRuns(context, accounts, (view, message, sentAt) =>
-			this.unanswered(view, message, sentAt)
+			this.onUnanswered(view, message, sentAt)
 		)
 		this.polls = new WorkerPolls(context, {
-			isUnclear: (view, now) => this.isUnclear(view, now),
-			polled: (view, result, sentAt) => this.polled(view, result, sentAt),
+			needsProbe: (view, now) => this.needsProbe(view, now),
+			onPolled: (view, result, sentAt) => this.onPolled(view, result, sentAt),
 		})
 		this.losses = new WorkerLosses(context, this.views)
-		this.lostRuns = new LostRuns(context, this.suspects, this.losses)
-		this.silentWorkers = new SilentWorkerRecorder(context)
+		this.lostRuns = new LostRunHandler(context, this.suspects, this.losses)
+		this.silentRecorder = new SilentWorkerRecorder(context)
 		this.fences = new FenceTokens(context.term)
-		this.lives = new IncarnationChanges(context, this.fences, {
-			onIncarnationChanged: (view) => this.lifeChanged(view),
-			onUnanswered: (view, message, sentAt) => this.unanswered(view, message, sentAt),
+		this.incarnations = new IncarnationChanges(context, this.fences, {
+			onIncarnationChanged: (view) => this.onIncarnationChanged(view),
+			onUnanswered: (view, message, sentAt) => this.onUnanswered(view, message, sentAt),
 			onIncarnationEnded: (id, reason) => this.proposeGone(id, reason),
 		})
-		this.heartbeats = new WorkerHeartbeats(context, this.lives, {
+		this.heartbeats = new WorkerHeartbeats(context, this.incarnations, {
 			find: (id) => this.views.get(id),
-			over: (id, reason, done) => this.proposeGone(id, reason, done),
+			onIncarnationEnded: (id, reason, done) => this.proposeGone(id, reason, done),
 		})
 		for (const { worker, draining, silent, sequence = 0 } of context.state.workers.all()) {
 			const view = this.add(worker)
 			view.sequence = sequence
-			view.heartbeatAt -= silent ? context.timing.workerSilent : context.timing.workerQuiet
-			if (draining) this.draining(worker.id)
+			view.heartbeatAt -= silent ? context.timing.heartbeatTimeout : context.timing.heartbeatOverdue
+			if (draining) this.onWorkerDraining(worker.id)
 		}
 	}
 
@@ -94,7 +98,7 @@
 		return this.views.get(id)
 	}
 
-	/** How many workers there are. */
+	/** Number of workers. */
 	get size(): number {
 		return this.views.size
 	}
@@ -104,8 +108,8 @@
 		return this.views.values()
 	}
 
-	/** Sets the gauges of how many workers are in which state. */
-	measure(): void {
+	/** Sets the gauges of the number of workers by state. */
+	updateGauges(): void {
 		const counts = { open: 0, draining: 0, unreachable: 0, closed: 0 }
 		for (const view of this.views.values()) counts[this.stateOf(view)] += 1
 		for (const [state, count] of Object.entries(counts)) {
@@ -117,7 +121,7 @@
 		const { ledger, clock } = this.context
 		const known = this.views.get(worker.id)
 		const view =
-			known ?? new WorkerView(worker, this.firstLease(worker), this.fences.next(), clock.now())
+			known ?? new WorkerView(worker, this.createLease(worker), this.fences.next(), clock.now())
 		view.worker = worker
 		this.views.set(worker.id, view)
 		const { id, rack, capacity, slots } = worker
@@ -126,40 +130,41 @@
 	}
 
 	private stateOf(view: WorkerView): 'open' | 'draining' | 'unreachable' | 'closed' {
-		if (view.draining) return 'draining'
-		if (view.unreachable) return 'unreachable'
+		if (view.isDraining) return 'draining'
+		if (view.isUnreachable) return 'unreachable'
 		return this.isOpen(view) ? 'open' : 'closed'
 	}
 
-	/** Whether new work may go to a worker now. */
+	/** Whether new work may be placed on a worker now. */
 	isOpen(view: WorkerView): boolean {
 		const { clock, timing, health } = this.context
 		const now = clock.now()
-		if (view.draining || view.givenUp || view.unreachable || !view.listed) return false
+		if (view.isDraining || view.isEnding || view.isUnreachable || !view.isListed) return false
 		if (view.suspects.size > 0) return false
 		if (this.losses.isSuspect(view, now) || this.stalls.isStalled(view.id, now)) return false
-		return view.silence(now) < timing.workerSilent && health.isOpen(view.id, now)
+		return view.heartbeatAge(now) < timing.heartbeatTimeout && health.isOpen(view.id, now)
 	}
 
-	/** A worker has joined, or describes itself anew. */
-	joined(worker: Worker): void {
+	/** A worker has joined, or its description has changed. */
+	onWorkerJoined(worker: Worker): void {
 		const known = this.views.has(worker.id)
 		const view = this.add(worker)
-		// No earlier leader knew it, so none has ordered anything there; where its name may have been known, its list is read first.
-		if (!known && worker.born === undefined) view.listed = true
+		// No earlier leader knew a new worker, so none has ordered anything there. One with a start
+		// time may be a restart under a known name, so its list is read first.
+		if (!known && worker.born === undefined) view.isListed = true
 	}
 
-	/** A worker is leaving. */
-	draining(id: string): void {
+	/** A worker is draining. */
+	onWorkerDraining(id: string): void {
 		const view = this.views.get(id)
-		if (view) view.draining = true
+		if (view) view.isDraining = true
 	}
 
 	/** A worker has ended. */
-	gone(id: string): void {
+	onWorkerGone(id: string): void {
 		const view = this.views.get(id)
 		if (view) this.suspects.clear(view)
-		this.lives.onWorkerGone(id)
+		this.incarnations.onWorkerGone(id)
 		this.views.delete(id)
 		this.context.ledger.leave(id)
 		this.context.health.forget(id)
@@ -167,83 +172,90 @@
 	}
 
 	/**
-	 * Takes a heartbeat.
+	 * Handles a heartbeat.
 	 *
-	 * @param heartbeat - the heartbeat.
-	 * @param done - called once what it says is lasting, or with false when that can't be said.
+	 * @param done - called with true once what the heartbeat reports is committed or known already;
+	 * with false when it is ignored, or when it is unclear which incarnation is current.
 	 */
-	heartbeat(heartbeat: Heartbeat, done: (noted: boolean) => void): void {
-		this.heartbeats.take(heartbeat, done)
+	handleHeartbeat(heartbeat: Heartbeat, done: (isRecorded: boolean) => void): void {
+		this.heartbeats.handle(heartbeat, done)
 	}
 
-	/** Another instance has heard a worker. */
-	heard(heard: HeardWorker): void {
-		this.heartbeats.heard(heard)
+	/** Another instance has received a heartbeat of a worker. */
+	onHeartbeatRelayed(heard: RelayedHeartbeat): void {
+		this.heartbeats.onRelayed(heard)
 	}
 
 	/**
-	 * A worker says that it ends. It may live on until it hears that this was noted, so what it runs
-	 * counts as ended only once its lease is over.
+	 * A worker announces its end. It may go on until it receives the acknowledgement, so its runs
+	 * count as ended only once its lease is over.
 	 */
-	leave(id: string, done: () => void): void {
-		const view = this.leaving(id)
+	onWorkerLeaving(id: string, done: () => void): void {
+		const view = this.findLeaving(id)
 		if (view) {
-			view.left = true
-			view.draining = true
+			view.hasLeft = true
+			view.isDraining = true
 		}
 		done()
 	}
 
-	/** Which life a worker's word that it ends is of. Where it does not say, it is of one that had said that it leaves. */
-	private leaving(id: string): WorkerView | undefined {
+	/**
+	 * Finds the incarnation that announces its end. An announcement without a start time counts only
+	 * for an incarnation that is draining already.
+	 */
+	private findLeaving(id: string): WorkerView | undefined {
 		const { name, born } = parseIncarnation(id)
-		const view = this.views.get(this.context.state.workers.named(name)?.worker.id ?? '')
-		if (!view || isOtherLife(view.worker.born, born)) return undefined
-		const unclear = view.worker.born !== undefined && born === undefined
-		return unclear && !view.draining ? undefined : view
+		const view = this.views.get(this.context.state.workers.findByName(name)?.worker.id ?? '')
+		if (!view || isOtherIncarnation(view.worker.born, born)) return undefined
+		const isAmbiguous = view.worker.born !== undefined && born === undefined
+		return isAmbiguous && !view.isDraining ? undefined : view
 	}
 
-	/** Polls of workers that are due, and gives up what a silent one can no longer run. */
+	/**
+	 * Sends the polls that are due, and abandons the runs that an unreachable worker can no longer
+	 * have.
+	 */
 	tick(now: number): void {
-		this.silentWorkers.tick(this.views.values(), now)
-		this.lives.tick(now)
-		this.polls.begin(this.views.values(), now)
+		this.silentRecorder.tick(this.views.values(), now)
+		this.incarnations.tick(now)
+		this.polls.sendDue(this.views.values(), now)
 		for (const view of this.views.values()) {
-			if (view.unreachable) this.lostRuns.giveUpCopies(view, now)
-			if (!view.unreachable) this.suspects.settle(view)
-			if (view.left && (view.runs.size === 0 || view.lease.isOver(now))) {
+			if (view.isUnreachable) this.lostRuns.abandonRepeatable(view, now)
+			if (!view.isUnreachable) this.suspects.stopAll(view)
+			if (view.hasLeft && (view.runs.size === 0 || view.lease.isOver(now))) {
 				this.proposeGone(view.id, WorkerEnd.Left)
-				view.left = false
+				view.hasLeft = false
 			}
-			if (view.unreachable && view.lease.isOver(now)) this.lostRuns.giveUp(view)
-			const silence = now - view.heartbeatAt
-			if (silence > this.context.timing.workerForgotten && view.runs.size === 0) {
+			if (view.isUnreachable && view.lease.isOver(now)) this.lostRuns.abandonAll(view)
+			const heartbeatAge = now - view.heartbeatAt
+			if (heartbeatAge > this.context.timing.idleWorkerRetention && view.runs.size === 0) {
 				this.proposeGone(view.id, WorkerEnd.Forgotten)
 			}
 		}
 	}
 
-	/** A worker has answered a call; `clock` is its own clock, where it told it. */
-	answered(view: WorkerView, clock: number | undefined): void {
+	/** A worker has answered a call; `clock` is the reading of its own clock, if reported. */
+	onAnswered(view: WorkerView, clock: number | undefined): void {
 		const now = this.context.clock.now()
-		if (view.unreachable) this.context.log.info(LeaderEvent.WorkerRegained, { worker: view.id })
-		view.unreachable = false
+		if (view.isUnreachable) this.context.log.info(LeaderEvent.WorkerRegained, { worker: view.id })
+		view.isUnreachable = false
 		view.answeredAt = now
-		this.losses.answered(view)
+		this.losses.onAnswered(view)
 		if (clock === undefined) return
-		// A clock that went back is another life's; its list tells.
-		if (view.clockRead && clock < view.clockRead.value - CLOCK_STEP) view.pollDue = 0
-		view.lease.read(clock, now)
-		view.clockRead = { value: clock, at: now }
+		// A clock that went back is another incarnation's; polling at once shows that.
+		if (view.clockReading && clock < view.clockReading.value - MAX_CLOCK_REORDERING_MS)
+			view.pollDueAt = 0
+		view.lease.recordClock(clock, now)
+		view.clockReading = { value: clock, at: now }
 	}
 
-	/** A call that was sent at this moment got no answer. */
-	unanswered(view: WorkerView, message: string, sentAt: number): void {
+	/** A call sent at `sentAt` got no answer. */
+	onUnanswered(view: WorkerView, message: string, sentAt: number): void {
 		if (sentAt < view.answeredAt) return
 		const { id, address, dataCentre } = view.worker
-		if (view.unreachable) return
+		if (view.isUnreachable) return
 		const now = this.context.clock.now()
-		this.losses.missed(view)
+		this.losses.onMissedCall(view)
 		this.context.log.warn(LeaderEvent.WorkerLost, {
 			worker: id,
 			address,
@@ -251,127 +263,151 @@
 			reason: message,
 			runs: view.runs.size,
 			heartbeatAge: Math.round(now - view.heartbeatAt),
-			leaseLeft: Math.round(view.lease.endsBy - now),
+			leaseLeft: Math.round(view.lease.endsAt - now),
 		})
-		view.unreachable = true
-		this.losses.lost(view)
-		view.probeDue = 0
+		view.isUnreachable = true
+		this.losses.onLost(view)
+		view.probeDueAt = 0
 	}
 
 	/**
-	 * Takes up the runs that an earlier leader gave up on workers that were silent, and may be still: they take room and
-	 * quota until the worker has stopped them, or its lease is certainly over.
+	 * Restores the runs that an earlier leader abandoned on unreachable workers. They take capacity
+	 * and quota until the worker has stopped them or its lease is certainly over.
 	 */
-	restoreGivenUp(job: JobRecord): void {
+	restoreAbandonedRuns(job: JobRecord): void {
 		for (const { text, task } of tasksOf(job)) {
 			for (const { worker } of task.silent ?? []) {
 				const view = this.views.get(worker)
-				if (view) this.suspects.raise(view, text, Math.max(0, ...(task.lost ?? [])))
+				if (view) this.suspects.add(view, text, Math.max(0, ...(task.lost ?? [])))
 			}
 		}
 	}
 
-	/** A worker lists a run that it should not have: of a job that ended, or given up earlier. */
-	foundStray(view: WorkerView, task: string, attempt: number): void {
-		this.suspects.raise(view, task, attempt)
-		this.suspects.settle(view)
+	/**
+	 * A worker lists a run that it should not have: of a job that ended, or one abandoned earlier.
+	 */
+	onStrayRun(view: WorkerView, task: string, attempt: number): void {
+		this.suspects.add(view, task, attempt)
+		this.suspects.stopAll(view)
 	}
 
-	/** Another life answers in a worker's place: what it holds of this one's runs has to end before they may begin elsewhere. */
-	private lifeChanged(view: WorkerView): void {
-		view.givenUp = true
-		// Workers that have started again together were not ended by a task.
-		if (!view.unreachable) this.losses.lost(view)
+	/**
+	 * Another incarnation answers in a worker's place; the runs that it holds must end before they
+	 * may start elsewhere.
+	 */
+	private onIncarnationChanged(view: WorkerView): void {
+		view.isEnding = true
+		// Recorded as a loss too, since workers that restart together were not crashed by a task.
+		if (!view.isUnreachable) this.losses.onLost(view)
 		this.context.log.info(LeaderEvent.WorkerRestarted, { worker: view.id, runs: view.runs.size })
 	}
 
-	/** A worker has refused an order since it has seen a higher fence: of a later leader, unless another life has seen one of this leader. */
-	fenced(view: WorkerView): void {
-		if (this.views.get(view.id) === view && !view.givenUp) this.context.deposed()
+	/**
+	 * A worker has refused an order since it has seen a higher fencing token: a later leader's,
+	 * unless this leader sent it to another incarnation.
+	 */
+	onFenced(view: WorkerView): void {
+		if (this.views.get(view.id) === view && !view.isEnding) this.context.onDeposed()
 	}
 
-	/** An incarnation of a worker has ended. */
+	/** Proposes to remove an incarnation of a worker that has ended. */
 	proposeGone(id: string, reason: WorkerEnd, done?: () => void): void {
 		const { proposals, log, clock } = this.context
 		const view = this.views.get(id)
-		if (view) view.givenUp = true
+		if (view) view.isEnding = true
 		const silent = view && Math.round(clock.now() - view.answeredAt)
 		const tasks = view && namesOf(view.runs.keys())
 		log.info(LeaderEvent.WorkerGone, { worker: id, reason, runs: view?.runs.size, silent, tasks })
 		const crash = view && isCrash(reason) ? this.losses.findingsOf(view) : undefined
-		proposals.propose({ kind: 'gone', worker: id, at: epochOf(this.context), crash }, done)
+		proposals.propose({ kind: 'gone', worker: id, at: epochTimeOf(this.context), crash }, done)
 	}
 
 	/**
-	 * Runs were given up while it was silent; that it answers is kept, since it tells that they did it no harm. An answer to an earlier
-	 * call may have been made before it crashed.
+	 * Proposes that a worker answers on which runs were abandoned while it was unreachable: the
+	 * answer proves that they did not crash it. An answer to a call sent before they were abandoned
+	 * proves nothing, since the worker may have crashed after it.
 	 */
-	private noteAnswer(view: WorkerView, sentAt: number): void {
+	private proposeAnswered(view: WorkerView, sentAt: number): void {
 		const { state, proposals } = this.context
-		if (view.noting || sentAt < view.gaveUpAt || !state.jobs.isAwaited(view.id)) return
-		view.noting = true
-		proposals.propose({ kind: 'answered', worker: view.id }, () => (view.noting = false))
+		if (
+			view.isRecordingAnswer ||
+			sentAt < view.runsAbandonedAt ||
+			!state.jobs.hasUnresolvedRuns(view.id)
+		)
+			return
+		view.isRecordingAnswer = true
+		proposals.propose({ kind: 'answered', worker: view.id }, () => (view.isRecordingAnswer = false))
 	}
 
-	/** Whether something about it is not known that a short poll tells. */
-	private isUnclear(view: WorkerView, now: number): boolean {
-		const { unreachable, suspects, lease, listed } = view
-		const unknown = !lease.known || !listed || this.context.state.jobs.isAwaited(view.id)
-		return unreachable || suspects.size > 0 || unknown || this.losses.isSuspect(view, now)
+	/** Whether the state of a worker is unknown, so that it is polled without delay. */
+	private needsProbe(view: WorkerView, now: number): boolean {
+		const { isUnreachable, suspects, lease, isListed } = view
+		const hasUnknownState =
+			!lease.isClockKnown || !isListed || this.context.state.jobs.hasUnresolvedRuns(view.id)
+		return isUnreachable || suspects.size > 0 || hasUnknownState || this.losses.isSuspect(view, now)
 	}
 
-	private polled(view: WorkerView, result: PollResult, sentAt: number): void {
+	private onPolled(view: WorkerView, result: PollResult, sentAt: number): void {
 		if (this.views.get(view.id) !== view) return
 		switch (result.kind) {
 			case 'done':
-				if (isOtherLife(view.worker.born, result.born))
-					return this.lives.onOtherIncarnation(view, view.worker)
-				this.answered(view, result.clock)
-				view.listed = true
+				if (isOtherIncarnation(view.worker.born, result.born))
+					return this.incarnations.onOtherIncarnation(view, view.worker)
+				this.onAnswered(view, result.clock)
+				view.isListed = true
 				view.listedAt = this.context.clock.now()
 				view.liveness.onList(result.clock, sentAt, view.listedAt)
-				view.pollDue = 0
-				this.noteAnswer(view, sentAt)
+				view.pollDueAt = 0
+				this.proposeAnswered(view, sentAt)
 				this.takeEnds(view, result.ended)
-				this.suspects.drop(view, result.running, sentAt)
-				this.listener.polled(view, result, sentAt)
+				this.suspects.removeStopped(view, result.running, sentAt)
+				this.listener.onPolled(view, result, sentAt)
 				return
 			case 'refused':
-				this.answered(view, result.clock)
-				if (result.reason === 'fence') this.fenced(view)
+				this.onAnswered(view, result.clock)
+				if (result.reason === 'fence') this.onFenced(view)
 				return
 			case 'other-incarnation':
 				this.proposeGone(view.id, WorkerEnd.OtherIncarnation)
 				return
 			case 'not-carried':
-				return this.notCarried(view)
+				return this.onNotCarried(view)
 			case 'unknown':
-				this.unanswered(view, result.message, sentAt)
+				this.onUnanswered(view, result.message, sentAt)
 		}
 	}
 
-	/** Asks again at once. Its data centre may be out of reach with the instance that was to carry the poll. */
-	private notCarried(view: WorkerView): void {
-		this.losses.missed(view)
-		view.pollDue = 0
-		view.probeDue = 0
+	/**
+	 * Polls again at once. The data centre may be unreachable, with the instance that was to relay
+	 * the poll.
+	 */
+	private onNotCarried(view: WorkerView): void {
+		this.losses.onMissedCall(view)
+		view.pollDueAt = 0
+		view.probeDueAt = 0
 	}
 
-	/** Ends are committed before the worker is told that they were seen. */
+	/**
+	 * Proposes the ends that are new; they are acknowledged to the worker only once they are
+	 * committed.
+	 */
 	private takeEnds(view: WorkerView, ended: readonly ListedEnd[]): void {
-		const fresh = ended.filter((end) => end.number > view.endsProposed)
-		this.tellPassedOver(view, ended)
-		if (fresh.length === 0) return
-		const last = Math.max(...fresh.map((end) => end.number))
+		const newEnds = ended.filter((end) => end.number > view.endsProposed)
+		this.logEndsPassedOver(view, ended)
+		if (newEnds.length === 0) return
+		const last = Math.max(...newEnds.map((end) => end.number))
 		view.endsProposed = last
-		const runs = endsOf(fresh)
-		this.context.proposals.propose({ kind: 'end', runs, at: epochOf(this.context) }, () => {
+		const runs = toCommandEnds(newEnds)
+		this.context.proposals.propose({ kind: 'end', runs, at: epochTimeOf(this.context) }, () => {
 			view.endsCommitted = Math.max(view.endsCommitted, last)
 		})
 	}
 
-	/** Ends that were taken before, of runs that still count as going on, are of another worker than is believed. */
-	private tellPassedOver(view: WorkerView, ended: readonly ListedEnd[]): void {
+	/**
+	 * Logs ends with numbers that were committed before, of runs that still count as running: another
+	 * incarnation than the known one has listed them.
+	 */
+	private logEndsPassedOver(view: WorkerView, ended: readonly ListedEnd[]): void {
 		const numbers = ended
 			.filter(({ number, task, attempt }) => {
 				const isTaken = number <= view.endsCommitted
@@ -387,20 +423,22 @@
 	}
 
 	/**
-	 * Earlier leaders may have granted a whole lease just before they lost their place. And a worker that has just started again may have been
-	 * granted one by its earlier life's clock, which it keeps for as long as it keeps anything.
+	 * Creates the lease that earlier leaders may have granted, a whole one just before they were
+	 * deposed. A worker that has just restarted may hold one that was computed from its earlier
+	 * incarnation's clock, which it keeps for up to `longestLease`.
 	 */
-	private firstLease({ id, born }: Worker): Lease {
+	private createLease({ id, born }: Worker): Lease {
 		const { timing, clock, state } = this.context
 		const since = state.workers.find(id)?.joinedAt
 		const isNew =
-			since !== undefined && epochOf(this.context) - since < timing.longestLease + CALENDAR_ERROR
-		const granted = born !== undefined && isNew ? timing.longestLease : timing.lease
+			since !== undefined &&
+			epochTimeOf(this.context) - since < timing.maxLease + MAX_WALL_CLOCK_SKEW_MS
+		const granted = born !== undefined && isNew ? timing.maxLease : timing.lease
 		const longest = granted / (1 - timing.clockDrift) + timing.leaseMargin
 		return new Lease(timing, clock.now() + longest)
 	}
 }
 
 function namesOf(tasks: Iterable<string>): string {
-	return [...tasks].slice(0, MOST_NAMES).join(' ')
+	return [...tasks].slice(0, MAX_LOGGED_TASKS).join(' ')
 }
--- a/packages/jobs/src/lib/placement/Reservations.ts
+++ b/packages/jobs/src/lib/placement/Reservations.ts
@@ -1,147 +1,166 @@
 /**
- * Room that is kept for steps that wait for it. A gang, or a task that takes much of a worker, never finds
- * room by itself while smaller tasks take each piece as it comes free. So the workers on which its room is expected
- * soonest are set aside for it; other work may still begin there when it will be gone by then, or fits beside it.
+ * Reserves capacity for steps that wait for it. A gang, or a task that needs a large part of a
+ * worker, would starve while smaller tasks take each piece of capacity that is freed. The workers
+ * on which its capacity is expected soonest are therefore reserved for it. Other work may still
+ * start there (backfill) if it is expected to end before the reservation begins or fits beside it.
  */
 import { fits, minus, times, type Resources } from '@rillrudder/scheduler'
-import type { Option } from '../leader/steps/chooseForStep'
+import type { WorkerOption } from '../leader/steps/chooseWorkerForStep'
 import { byUrgency, type StepWork } from '../leader/steps/StepWork'
 import type { Place } from '../gangs/GangPlan'
-import { RoomForecast } from './RoomForecast'
+import { CapacityForecast } from './CapacityForecast'
 
-/** Share of a worker's largest resource from which a task counts as one that finds no room by itself. */
-const LARGE_SHARE = 0.25
-/** Steps of one service that may have room kept at a time, the most urgent ones; bounds the time of a pass. */
-const MOST_OF_SERVICE = 12
-/** What a task's time is multiplied by before it may begin on kept room: declared times are off by half. */
+/** Share of any of a worker's resources from which a task is large enough to need a reservation. */
+const LARGE_TASK_SHARE = 0.25
+/**
+ * Steps per service that may hold a reservation, the most urgent ones; bounds the duration of a
+ * pass.
+ */
+const MAX_STEPS_PER_SERVICE = 12
+/**
+ * Factor on a task's expected time before it may start on reserved capacity: declared times are off
+ * by half.
+ */
 const TIME_MARGIN = 1.3
 
-/** Room that is kept on one worker. */
-interface KeptRoom {
+/** Capacity that is reserved on one worker. */
+interface Reservation {
 	readonly work: StepWork
-	/** What is kept, for all tasks of the step that are to go there. */
-	readonly room: Resources
+	/** What is reserved, for all tasks of the step that are to run there. */
+	readonly resources: Resources
 	/** When it is expected to be free, on the leader's clock. */
 	readonly at: number
 }
 
-/** When kept room is expected, on the leader's clock. @internal */
-export interface RoomTimes {
-	/** For the next task that can begin; of a gang none begins before all can. */
+/** When reserved capacity is expected to be free, on the leader's clock. @internal */
+export interface ReservedTimes {
+	/** For the next task that can start; for a gang, when all of its tasks can. */
 	readonly next: number
-	/** For the last one that waits. */
+	/** For the last waiting task. */
 	readonly last: number
-	/** How much room is kept. */
-	readonly room: Resources
+	/** The total that is reserved. */
+	readonly resources: Resources
 }
 
 /**
- * The room that is kept for waiting steps.
+ * The reservations of waiting steps.
  *
  * @internal
  */
 export class Reservations {
-	private readonly byWorker = new Map<string, KeptRoom[]>()
-	private readonly expected = new Map<StepWork, RoomTimes>()
-	/** How many steps of each service have room kept. */
+	private readonly byWorker = new Map<string, Reservation[]>()
+	private readonly expectedTimes = new Map<StepWork, ReservedTimes>()
+	/** How many steps of each service hold a reservation. */
 	private readonly counts = new Map<string, number>()
-	/** Forecasts of this pass, by worker. */
-	private readonly forecasts = new Map<string, RoomForecast>()
+	/** Forecasts of this pass, by worker id. */
+	private readonly forecasts = new Map<string, CapacityForecast>()
 	private now = 0
 
 	/**
-	 * A new pass over the waiting steps begins.
+	 * Starts a new pass over the waiting steps.
 	 *
-	 * @param full - whether all waiting steps are tried, in their order: then what is kept is told anew.
+	 * @param now - the current time, on the leader's clock.
+	 * @param full - whether all waiting steps are tried, in their order; reservations are then
+	 * rebuilt.
 	 */
 	beginPass(now: number, full: boolean): void {
 		this.now = now
 		this.forecasts.clear()
 		if (!full) return
 		this.byWorker.clear()
-		this.expected.clear()
+		this.expectedTimes.clear()
 		this.counts.clear()
 	}
 
-	/** @returns when a step's room is expected, on the leader's clock; undefined when none is kept. */
-	expectedAt(work: StepWork): RoomTimes | undefined {
-		return this.expected.get(work)
+	/**
+	 * @returns when a step's reserved capacity is expected; undefined when it has no reservation.
+	 */
+	getExpectedTimes(work: StepWork): ReservedTimes | undefined {
+		return this.expectedTimes.get(work)
 	}
 
-	/** Keeps nothing for a step any more. */
+	/** Removes a step's reservation. */
 	drop(work: StepWork): void {
-		if (!this.expected.delete(work)) return
+		if (!this.expectedTimes.delete(work)) return
 		this.counts.set(work.queue.service, this.countOf(work) - 1)
-		for (const [worker, kept] of this.byWorker) {
-			const others = kept.filter((one) => one.work !== work)
+		for (const [worker, reserved] of this.byWorker) {
+			const others = reserved.filter((reservation) => reservation.work !== work)
 			if (others.length > 0) this.byWorker.set(worker, others)
 			else this.byWorker.delete(worker)
 		}
 	}
 
 	/**
-	 * @param work - a step that wants to begin a task on a worker that has room for it.
-	 * @returns whether that would delay no step that goes before it and for which room is kept there.
+	 * @param work - a step that could start a task on a worker with free capacity.
+	 * @param option - the worker.
+	 * @returns whether that would delay no step of higher urgency that holds a reservation there.
 	 */
-	allows(work: StepWork, option: Option): boolean {
-		const before = this.keptBefore(work, option.view.id)
-		if (before.length === 0) return true
-		const at = Math.max(...before.map((kept) => kept.at))
+	allows(work: StepWork, option: WorkerOption): boolean {
+		const preceding = this.getPrecedingReservations(work, option.view.id)
+		if (preceding.length === 0) return true
+		const at = Math.max(...preceding.map((reserved) => reserved.at))
 		const ends = this.now + (work.step.expectedTime * TIME_MARGIN) / option.view.speed
 		if (!work.step.lasting && ends <= at) return true
-		return fits(work.need, withoutKept(this.forecastOf(option).freeAt(at), before))
+		return fits(work.need, subtractReserved(this.forecastOf(option).getFreeAt(at), preceding))
 	}
 
 	/**
-	 * Keeps room for a step's tasks that found none.
+	 * Reserves capacity for waiting tasks of a step, if it needs a reservation.
 	 *
-	 * @param work - the step, for which nothing is kept yet.
+	 * @param work - the step, which has no reservation yet.
 	 * @param tasks - how many of its tasks wait.
 	 * @param options - workers that may run it.
 	 */
-	keep(work: StepWork, tasks: number, options: readonly Option[]): void {
-		if (!this.mayKeep(work) || !needsReservation(work, options)) return
-		const places = this.placesFor(work, tasks, options).slice(0, tasks)
+	reserveIfNeeded(work: StepWork, tasks: number, options: readonly WorkerOption[]): void {
+		if (!this.canReserve(work) || !needsReservation(work, options)) return
+		const places = this.findPlaces(work, tasks, options).slice(0, tasks)
 		if (places.length === 0 || (work.step.gang && places.length < tasks)) return
-		this.hold(work, places, places[places.length - 1].at)
+		this.reservePlaces(work, places, places[places.length - 1].at)
 	}
 
-	/** @returns whether room can be kept for one more step of a service. */
-	mayKeep(work: StepWork): boolean {
-		return this.countOf(work) < MOST_OF_SERVICE
+	/** @returns whether one more step of the service may hold a reservation. */
+	canReserve(work: StepWork): boolean {
+		return this.countOf(work) < MAX_STEPS_PER_SERVICE
 	}
 
 	/**
-	 * Keeps places for tasks of a step, for which nothing is kept yet.
+	 * Reserves given places for tasks of a step that has no reservation yet.
 	 *
 	 * @param work - the step.
-	 * @param places - one for each task, the soonest first.
-	 * @param last - when the last of them begins, on the leader's clock.
+	 * @param places - one for each task, the earliest first.
+	 * @param last - when the last of them is free, on the leader's clock.
 	 */
-	hold(work: StepWork, places: readonly Place[], last: number): void {
-		if (!this.mayKeep(work)) return
+	reservePlaces(work: StepWork, places: readonly Place[], last: number): void {
+		if (!this.canReserve(work)) return
 		const first = places[0].at
-		for (const [worker, { count, at }] of gather(places)) {
-			const kept = this.byWorker.get(worker) ?? []
-			// A gang begins at once everywhere; of other steps each task as soon as there is room for it.
+		for (const [worker, { count, at }] of groupByWorker(places)) {
+			const reserved = this.byWorker.get(worker) ?? []
+			// All tasks of a gang start together; tasks of other steps start as soon as each has
+			// capacity.
 			const until = work.step.gang ? last : at
-			this.byWorker.set(worker, [...kept, { work, room: times(work.need, count), at: until }])
+			this.byWorker.set(worker, [
+				...reserved,
+				{ work, resources: times(work.need, count), at: until },
+			])
 		}
-		const room = times(work.need, places.length)
-		this.expected.set(work, { next: work.step.gang ? last : first, last, room })
+		const resources = times(work.need, places.length)
+		this.expectedTimes.set(work, { next: work.step.gang ? last : first, last, resources })
 		this.counts.set(work.queue.service, this.countOf(work) + 1)
 	}
 
-	/** @returns the places of a step's tasks, the soonest first, beside what is kept for steps that go before. */
-	placesFor(work: StepWork, tasks: number, options: readonly Option[]): Place[] {
+	/**
+	 * @returns the places where tasks of a step would fit beside reservations of higher urgency,
+	 * the earliest first.
+	 */
+	findPlaces(work: StepWork, tasks: number, options: readonly WorkerOption[]): Place[] {
 		const places: Place[] = []
 		for (const option of options) {
 			const { id } = option.view
-			const before = this.keptBefore(work, id)
+			const preceding = this.getPrecedingReservations(work, id)
 			let copies = 0
-			for (const { at, free } of this.forecastOf(option).moments()) {
-				const room = withoutKept(free, before)
-				const more = work.copiesIn(id, room) - copies
+			for (const { at, free } of this.forecastOf(option).getPoints()) {
+				const available = subtractReserved(free, preceding)
+				const more = work.countFittingTasks(id, available) - copies
 				for (let copy = 0; copy < more && copy < tasks; copy++) places.push({ worker: id, at })
 				copies += Math.max(0, more)
 			}
@@ -153,38 +172,40 @@
 		return this.counts.get(queue.service) ?? 0
 	}
 
-	private forecastOf(option: Option): RoomForecast {
+	private forecastOf(option: WorkerOption): CapacityForecast {
 		const { id } = option.view
-		const forecast = this.forecasts.get(id) ?? new RoomForecast(option, this.now)
+		const forecast = this.forecasts.get(id) ?? new CapacityForecast(option, this.now)
 		this.forecasts.set(id, forecast)
 		return forecast
 	}
 
-	private keptBefore(work: StepWork, worker: string): KeptRoom[] {
-		const kept = this.byWorker.get(worker) ?? []
-		return kept.filter((one) => one.work !== work && byUrgency(one.work, work) < 0)
+	private getPrecedingReservations(work: StepWork, worker: string): Reservation[] {
+		const reserved = this.byWorker.get(worker) ?? []
+		return reserved.filter(
+			(reservation) => reservation.work !== work && byUrgency(reservation.work, work) < 0
+		)
 	}
 }
 
-/** How many of the places are on each worker, and when the last of them is free. */
-function gather(places: readonly Place[]): Map<string, { count: number; at: number }> {
-	const gathered = new Map<string, { count: number; at: number }>()
+/** Counts the places on each worker and finds when the last of them is free. */
+function groupByWorker(places: readonly Place[]): Map<string, { count: number; at: number }> {
+	const byWorker = new Map<string, { count: number; at: number }>()
 	for (const { worker, at } of places) {
-		const known = gathered.get(worker) ?? { count: 0, at: 0 }
-		gathered.set(worker, { count: known.count + 1, at: Math.max(known.at, at) })
+		const known = byWorker.get(worker) ?? { count: 0, at: 0 }
+		byWorker.set(worker, { count: known.count + 1, at: Math.max(known.at, at) })
 	}
-	return gathered
+	return byWorker
 }
 
-function withoutKept(room: Resources, kept: readonly KeptRoom[]): Resources {
-	return kept.reduce((left, one) => minus(left, one.room), room)
+function subtractReserved(free: Resources, reserved: readonly Reservation[]): Resources {
+	return reserved.reduce((left, reservation) => minus(left, reservation.resources), free)
 }
 
-/** Whether a step's tasks find no room by themselves. */
-function needsReservation(work: StepWork, options: readonly Option[]): boolean {
+/** Whether a step's tasks would starve without a reservation. */
+function needsReservation(work: StepWork, options: readonly WorkerOption[]): boolean {
 	if (work.step.gang) return true
 	return options.some(
-		({ account: { maxCapacity: most } }) => largestShare(work.need, most) >= LARGE_SHARE
+		({ account: { maxCapacity: most } }) => largestShare(work.need, most) >= LARGE_TASK_SHARE
 	)
 }
 
--- a/packages/jobs/src/lib/shares/StepShares.ts
+++ b/packages/jobs/src/lib/shares/StepShares.ts
@@ -1,4 +1,4 @@
-/** Tells waiting steps of how much use they still are, and whether their accounts have more than their shares. */
+/** Updates the usefulness of waiting steps, and whether their accounts are over their shares. */
 import {
 	NO_RESOURCES,
 	plus,
@@ -8,37 +8,37 @@
 	type Resources,
 } from '@rillrudder/scheduler'
 import type { AccountUsage } from '../accounts/AccountUsage'
-import { needsPlan } from '../gangs/needsPlan'
-import { epochOf, type LeaderContext } from '../leader/LeaderContext'
+import { shouldPlanGang } from '../gangs/shouldPlanGang'
+import { epochTimeOf, type LeaderContext } from '../leader/LeaderContext'
 import type { StepWork } from '../leader/steps/StepWork'
 import type { WorkerView } from '../leader/workers/WorkerView'
 import type { Reservations } from '../placement/Reservations'
 import { Usefulness, usefulnessOf } from '../placement/Usefulness'
-import type { AccountShares, Want } from './AccountShares'
-import { inShareOrder } from './inShareOrder'
+import type { AccountShares, CapacityDemand } from './AccountShares'
+import { orderByShare } from './orderByShare'
 import type { LeaderShares } from './LeaderShares'
-import { roomOf, type ServiceRoom } from './ServiceRoom'
+import { capacityOf, type ServiceCapacity } from './ServiceCapacity'
 
-/** What a pass over the waiting steps knows of them. @internal */
-export interface StepView {
-	/** All steps, in their order so far. */
+/** The input of a pass over the waiting steps. @internal */
+export interface WaitingSteps {
+	/** All steps, in their current order. */
 	readonly steps: readonly StepWork[]
-	/** All workers that are known. */
+	/** All known workers. */
 	readonly workers: Iterable<WorkerView>
-	/** Whether a step has tasks without a place that could begin. */
-	readonly waits: (work: StepWork) => boolean
-	/** The room that is kept. */
+	/** Returns whether a step has unplaced tasks that could start. */
+	readonly isWaiting: (work: StepWork) => boolean
+	/** The reserved capacity. */
 	readonly reservations: Reservations
 }
 
 /**
- * The claims of waiting steps.
+ * Orders waiting steps by usefulness and by the shares of their accounts.
  *
  * @internal
  */
 export class StepShares {
-	/** Whether anything but its times orders a step, as of the last look. */
-	private ordered = false
+	/** Whether the last update ordered steps by anything but their times. */
+	private hasOrder = false
 
 	constructor(
 		private readonly context: LeaderContext,
@@ -46,91 +46,105 @@
 		private readonly shares: LeaderShares
 	) {}
 
-	/** A step waits from now on. */
-	opened(work: StepWork): void {
-		if (needsPlan(work)) this.shares.use.hasPlannedGangs = true
+	/** Handles a new waiting step. */
+	onStepAdded(work: StepWork): void {
+		if (shouldPlanGang(work)) this.shares.usefulnessOrder.hasPlannedGangs = true
 	}
 
-	/** Notes anew what orders the steps besides their times. @returns whether that has changed for any. */
-	note(view: StepView, now: number): boolean {
-		const { isEnabled: byUse } = this.shares.use
-		const rooms = this.shares.inForce
-		// What was noted while either was in force is taken back once.
-		if (!byUse && !rooms && !this.ordered) return false
-		this.ordered = byUse || rooms
-		if (rooms) this.shares.look(now, this.roomsOf(view), this.wantsOf(view))
-		const epoch = epochOf(this.context)
-		const kept = new KeptRooms()
+	/**
+	 * Updates what orders the steps besides their times.
+	 *
+	 * @returns whether that has changed for any step.
+	 */
+	update(waiting: WaitingSteps, now: number): boolean {
+		const { isEnabled: byUsefulness } = this.shares.usefulnessOrder
+		const byShare = this.shares.isEnabled
+		// One more update after both are disabled resets what the steps have recorded.
+		if (!byUsefulness && !byShare && !this.hasOrder) return false
+		this.hasOrder = byUsefulness || byShare
+		if (byShare) this.shares.update(now, this.capacitiesOf(waiting), this.demandsOf(waiting))
+		const epoch = epochTimeOf(this.context)
+		const reserved = new ReservedCapacity()
 		let changed = false
-		for (const work of view.steps) {
+		for (const work of waiting.steps) {
 			if (work.step.lasting) continue
-			const over = rooms && this.isOver(work, kept)
-			const usefulness = byUse ? usefulnessOf(work.times, epoch) : Usefulness.InTime
-			if (work.note(usefulness, over)) changed = true
-			const room = rooms && view.reservations.expectedAt(work)?.room
-			if (room) this.keep(work, room, kept)
+			const isOver = byShare && this.isOverShare(work, reserved)
+			const usefulness = byUsefulness ? usefulnessOf(work.times, epoch) : Usefulness.InTime
+			if (work.updateUrgency(usefulness, isOver)) changed = true
+			const expected = byShare && waiting.reservations.getExpectedTimes(work)?.resources
+			if (expected) this.addReservation(work, expected, reserved)
 		}
 		return changed
 	}
 
-	/** @returns the steps of a pass as they are to be tried, with regard to what is begun meanwhile. */
-	inOrder(steps: readonly StepWork[]): Iterable<StepWork> {
-		if (!this.shares.inForce) return steps
-		return inShareOrder(steps, (work) => this.isOver(work))
+	/**
+	 * @returns the steps of a pass in the order to try them, which depends on what is started during
+	 * the pass.
+	 */
+	orderForPass(steps: readonly StepWork[]): Iterable<StepWork> {
+		if (!this.shares.isEnabled) return steps
+		return orderByShare(steps, (work) => this.isOverShare(work))
 	}
 
-	/** A step is judged beside the room that is kept for others of its account, not beside its own. */
-	private isOver(work: StepWork, kept?: KeptRooms): boolean {
+	/**
+	 * Counts the capacity that is reserved for other steps of the account, but not the step's own
+	 * reservation.
+	 */
+	private isOverShare(work: StepWork, reserved?: ReservedCapacity): boolean {
 		const { account, service } = work
 		if (!account) return false
-		return this.rooms.isOver(account, service, kept?.of(account, service))
+		return this.capacityShares.isOverShare(account, service, reserved?.of(account, service))
 	}
 
-	private keep({ account, service }: StepWork, room: Resources, kept: KeptRooms): void {
+	private addReservation(
+		{ account, service }: StepWork,
+		amount: Resources,
+		reserved: ReservedCapacity
+	): void {
 		if (!account) return
-		kept.add(account, service, room)
-		this.rooms.keep(account, service, room)
+		reserved.add(account, service, amount)
+		this.capacityShares.addReservation(account, service, amount)
 	}
 
-	private get rooms(): AccountShares {
-		return this.shares.rooms
+	private get capacityShares(): AccountShares {
+		return this.shares.capacityShares
 	}
 
-	/** The room of all workers, by service. */
-	private roomsOf({ workers }: StepView): Map<string, ServiceRoom> {
-		const accounts = new Map<string, LedgerWorker[]>()
+	/** The capacity of all workers, by service. */
+	private capacitiesOf({ workers }: WaitingSteps): Map<string, ServiceCapacity> {
+		const byService = new Map<string, LedgerWorker[]>()
 		for (const { id, worker } of workers) {
-			const account = this.context.ledger.find(id)
-			if (!account) continue
-			const others = accounts.get(worker.service)
-			if (others) others.push(account)
-			else accounts.set(worker.service, [account])
+			const entry = this.context.ledger.find(id)
+			if (!entry) continue
+			const others = byService.get(worker.service)
+			if (others) others.push(entry)
+			else byService.set(worker.service, [entry])
 		}
-		return new Map([...accounts].map(([service, each]) => [service, roomOf(each)]))
+		return new Map([...byService].map(([service, each]) => [service, capacityOf(each)]))
 	}
 
-	/** What waits for room alone: neither for a quota nor for steps before it. */
-	private *wantsOf({ steps, waits }: StepView): IterableIterator<Want> {
+	/** The demands of steps that wait only for capacity, not for a quota or for preceding steps. */
+	private *demandsOf({ steps, isWaiting }: WaitingSteps): IterableIterator<CapacityDemand> {
 		for (const work of steps) {
 			const { account, service, step } = work
-			if (!account || step.lasting || !waits(work)) continue
-			if (!this.accounts.mayBegin(account, step)) continue
-			const count = work.waiting().length
+			if (!account || step.lasting || !isWaiting(work)) continue
+			if (!this.accounts.canStart(account, step)) continue
+			const count = work.getWaitingTasks().length
 			yield { account, service, need: times(work.need, count) }
 		}
 	}
 }
 
-/** Room that is kept, by account and service. */
-class KeptRooms {
-	private readonly rooms = new Map<string, Resources>()
+/** Reserved capacity, by account and service. */
+class ReservedCapacity {
+	private readonly amounts = new Map<string, Resources>()
 
-	add(account: QuotaAccount, service: string, room: Resources): void {
-		this.rooms.set(keyOf(account, service), plus(this.of(account, service), room))
+	add(account: QuotaAccount, service: string, amount: Resources): void {
+		this.amounts.set(keyOf(account, service), plus(this.of(account, service), amount))
 	}
 
 	of(account: QuotaAccount, service: string): Resources {
-		return this.rooms.get(keyOf(account, service)) ?? NO_RESOURCES
+		return this.amounts.get(keyOf(account, service)) ?? NO_RESOURCES
 	}
 }
 
--- a/packages/jobs/src/lib/state/JobTable.test.ts
+++ b/packages/jobs/src/lib/state/JobTable.test.ts
@@ -1,4 +1,4 @@
-/** What the table makes of runs and their ends. */
+/** Starts and ends of runs in the job table, and what they change. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import { JobState, RunEnd, type JobRequest } from '../records/Job'
@@ -26,7 +26,7 @@
 	}
 
 	begin(task: string, attempt = 1, worker = 'w1'): void {
-		this.table.begin({ task: `${ID}.0.${task}`, attempt, worker })
+		this.table.start({ task: `${ID}.0.${task}`, attempt, worker })
 	}
 
 	end(task: string, how: RunEnd, attempt = 1, checkpoint = ''): void {
@@ -34,14 +34,14 @@
 	}
 }
 
-test('the last end of a step is counted before it is told', () => {
+test('the last end of a step is counted before it is reported', () => {
 	const subject = new Subject(jobOf({}, { dependsOn: [0] }))
 	let ready = false
 	const table = new JobTable((change) => {
 		if (change.kind === 'run-ended') ready = isStepReady(table.find(ID) as JobRecord, 0, 1)
 	})
 	table.submit({ id: ID, queue: QUEUE, request: subject.job.request, submitted: 0 })
-	table.begin({ task: `${ID}.0.0.0`, attempt: 1, worker: 'w1' })
+	table.start({ task: `${ID}.0.0.0`, attempt: 1, worker: 'w1' })
 	table.end({ task: `${ID}.0.0.0`, attempt: 1, how: RunEnd.Done, checkpoint: '' }, 1)
 	assert.equal(ready, true)
 })
@@ -76,7 +76,13 @@
 
 test('ends that are no failures do not count as attempts', () => {
 	const subject = new Subject(jobOf({}))
-	const harmless = [RunEnd.Stopped, RunEnd.Lapsed, RunEnd.Lost, RunEnd.Refused, RunEnd.Alone]
+	const harmless = [
+		RunEnd.Stopped,
+		RunEnd.LeaseExpired,
+		RunEnd.Lost,
+		RunEnd.Refused,
+		RunEnd.GangTimeout,
+	]
 	harmless.forEach((how, index) => {
 		subject.begin('0.0', index + 1)
 		subject.end('0.0', how, index + 1)
@@ -84,7 +90,7 @@
 	assert.equal(subject.job.state, JobState.Running)
 })
 
-test('a run that was given up and then turns out done is told, so that the next step opens', () => {
+test('an abandoned run that turns out to be done is reported, so that the next step becomes ready', () => {
 	const subject = new Subject(jobOf({}, { dependsOn: [0] }))
 	subject.begin('0.0')
 	subject.end('0.0', RunEnd.Lost)
@@ -95,7 +101,7 @@
 	assert.equal(subject.kinds.at(-1), 'run-void')
 })
 
-test('the late failure of a run that was given up counts as an attempt, once', () => {
+test('the late failure of an abandoned run counts as an attempt, once', () => {
 	const subject = new Subject(jobOf({}))
 	subject.begin('0.0')
 	subject.end('0.0', RunEnd.Lost)
@@ -107,7 +113,7 @@
 	assert.equal(subject.job.state, JobState.Failed)
 })
 
-test('a late end leaves a later run in place until that has ended too', () => {
+test('a late end leaves a later run in place until the later one has ended too', () => {
 	const subject = new Subject(jobOf({}))
 	subject.begin('0.0')
 	subject.end('0.0', RunEnd.Lost)
@@ -117,8 +123,8 @@
 	assert.deepEqual([...subject.table.placedOn('w2')], [`${ID}.0.0.0`])
 })
 
-test('a task whose earlier run turned out done begins no more, however its later run ends', () => {
-	for (const how of [RunEnd.Stopped, RunEnd.Failed, RunEnd.Lost, RunEnd.Lapsed]) {
+test('a task whose earlier run turned out to be done is not restarted, however its later run ends', () => {
+	for (const how of [RunEnd.Stopped, RunEnd.Failed, RunEnd.Lost, RunEnd.LeaseExpired]) {
 		const subject = new Subject(jobOf({}))
 		subject.begin('0.0')
 		subject.end('0.0', RunEnd.Lost)
@@ -130,7 +136,7 @@
 	}
 })
 
-test('a run does not begin for a job that was cancelled, nor under an attempt that was used', () => {
+test('a run does not start for a cancelled job or under a used attempt number', () => {
 	const subject = new Subject(jobOf({ count: 2 }))
 	subject.begin('0.0')
 	subject.end('0.0', RunEnd.Stopped)
@@ -141,7 +147,7 @@
 	assert.equal(subject.kinds.at(-1), 'run-void')
 })
 
-test('one member of a gang that is done stands for all, also for one whose worker is lost', () => {
+test('one done member of a gang counts for all, also for one whose worker is lost', () => {
 	const subject = new Subject(jobOf({ count: 2, gang: true }))
 	subject.begin('0.0', 1, 'w1')
 	subject.begin('0.1', 1, 'w2')
@@ -159,7 +165,7 @@
 	assert.equal(subject.job.state, JobState.Running)
 })
 
-test('lasting tasks begin again however they end, and never end their job', () => {
+test('lasting tasks are restarted however they end, and never end their job', () => {
 	const subject = new Subject(jobOf({ lasting: true }))
 	for (let attempt = 1; attempt < 6; attempt++) {
 		subject.begin('0.0', attempt)
@@ -168,7 +174,7 @@
 	assert.equal(subject.job.state, JobState.Running)
 })
 
-test('a checkpoint is kept for the next run, and gone once the task is done', () => {
+test('a checkpoint is kept for the next run and dropped once the task is done', () => {
 	const subject = new Subject(jobOf({ checkpoints: true }, {}))
 	subject.begin('0.0')
 	subject.end('0.0', RunEnd.Stopped, 1, 'half')
@@ -178,7 +184,7 @@
 	assert.equal(subject.table.locate(`${ID}.0.0.0`)?.task.checkpoint, '')
 })
 
-test('a snapshot brings back jobs and what is placed where', () => {
+test('a snapshot restores the jobs and the placement of their tasks', () => {
 	const subject = new Subject(jobOf({ count: 2 }))
 	subject.begin('0.1', 1, 'w7')
 	const copy = new JobTable()
--- a/packages/member/src/lib/HeartbeatBatcher.ts
+++ b/packages/member/src/lib/HeartbeatBatcher.ts
@@ -4,9 +4,9 @@
  * hundreds of times a second.
  */
 import {
-	sameWorker,
+	isSameWorker,
 	type CellReply,
-	type HeardWorker,
+	type RelayedHeartbeat,
 	type Heartbeat,
 	type KnownWorkers,
 } from '@rillrudder/jobs'
@@ -44,7 +44,7 @@
 	readonly workers: KnownWorkers
 	readonly clock: Clock
 	/** Reports a batch to the leader. */
-	readonly report: (heard: readonly HeardWorker[]) => Promise<CellReply>
+	readonly report: (heard: readonly RelayedHeartbeat[]) => Promise<CellReply>
 	/** Whether a leader is known. */
 	readonly canReport: () => boolean
 	/** Called when heartbeats start to be refused, and when they are accepted again. */
@@ -86,7 +86,7 @@
 		const { workers } = this.parts
 		const known = workers.find(worker.id)
 		if (!known || draining || known.draining) return false
-		return workers.at(worker.address) === known && sameWorker(known.worker, worker)
+		return workers.findByAddress(worker.address) === known && isSameWorker(known.worker, worker)
 	}
 
 	private setRefusing(active: boolean): void {
--- a/packages/member/src/lib/LeaderSession.ts
+++ b/packages/member/src/lib/LeaderSession.ts
@@ -78,10 +78,10 @@
 			proposals: this.commands,
 			log,
 			meter,
-			deposed: () => group.handOver(),
+			onDeposed: () => group.handOver(),
 		})
 		meter.count(Measure.Leaderships)
-		state.observer = (change) => this.controller.changed(change)
+		state.observer = (change) => this.controller.onChange(change)
 	}
 
 	/** Answers a call; one that is still pending when the leadership ends gets an `unknown` reply. */
--- a/packages/member/src/lib/PeerAdvisers.ts
+++ b/packages/member/src/lib/PeerAdvisers.ts
@@ -6,7 +6,7 @@
 	Advisers,
 	type AdviceQuestion,
 	type AdviceResult,
-	type AdviserStanding,
+	type AdviserStatus,
 	type CellReply,
 } from '@rillrudder/jobs'
 import type { Adviser } from './Adviser'
@@ -23,7 +23,7 @@
 	/** Peers that are linked at the moment. */
 	readonly peers: () => readonly string[]
 	/** How suited an instance is to ask for advice at the moment. */
-	readonly standing: (id: string) => AdviserStanding
+	readonly standing: (id: string) => AdviserStatus
 }
 
 /**
@@ -40,7 +40,7 @@
 		return [this.parts.self, ...this.parts.peers()]
 	}
 
-	override standing(via: string): AdviserStanding {
+	override standing(via: string): AdviserStatus {
 		return this.parts.standing(via)
 	}
 
--- a/packages/member/src/lib/carriers/CarriedOrders.ts
+++ b/packages/member/src/lib/carriers/CarriedOrders.ts
@@ -107,8 +107,8 @@
 		this.refresh(this.lastTickAt)
 	}
 
-	override get firstPolls(): number {
-		return super.firstPolls * (1 + this.selector.size)
+	override get maxProbesPerTick(): number {
+		return super.maxProbesPerTick * (1 + this.selector.size)
 	}
 
 	override start(
--- a/packages/member/src/lib/load/CellLoads.ts
+++ b/packages/member/src/lib/load/CellLoads.ts
@@ -2,7 +2,7 @@
  * The loads of this core instance and its peers, from which a leader selects the instances to ask
  * for advice.
  */
-import type { AdviserStanding } from '@rillrudder/jobs'
+import type { AdviserStatus } from '@rillrudder/jobs'
 import type { LoadReport } from '@rillrudder/protocol'
 import { adviserStanding } from './adviserStanding'
 import type { InstanceLoad } from './InstanceLoad'
@@ -40,7 +40,7 @@
 	}
 
 	/** @returns how suited an instance is to ask for advice. */
-	standingOf(id: string, now: number): AdviserStanding {
+	standingOf(id: string, now: number): AdviserStatus {
 		const own = id === this.self ? { ...this.report(), age: 0 } : undefined
 		const load = own ?? this.core.loadOf(id, now) ?? this.entry.loadOf(id, now)
 		return adviserStanding(load, {
--- a/packages/member/src/lib/load/adviserStanding.ts
+++ b/packages/member/src/lib/load/adviserStanding.ts
@@ -1,5 +1,5 @@
 /** Rates how suited an instance is to ask for advice; the leader selects among free instances by it. */
-import type { AdviserStanding } from '@rillrudder/jobs'
+import type { AdviserStatus } from '@rillrudder/jobs'
 import { FILL_SCALE } from './InstanceLoad'
 import { LATE_LOOP_MS } from './LoopDelay'
 import type { FreshLoad } from './PeerLoads'
@@ -21,11 +21,11 @@
 export function adviserStanding(
 	load: FreshLoad | undefined,
 	{ processor, largest }: KnownProcessor
-): AdviserStanding {
+): AdviserStatus {
 	const { loopDelay, fill } = load ?? { loopDelay: 0, fill: 0 }
 	return {
-		late: loopDelay >= LATE_LOOP_MS,
+		isLate: loopDelay >= LATE_LOOP_MS,
 		load: Math.floor((fill / FILL_SCALE) * FILL_STEPS),
-		small: processor !== undefined && processor < largest * SMALL_SHARE,
+		isSmall: processor !== undefined && processor < largest * SMALL_SHARE,
 	}
 }
--- a/packages/runs/src/lib/jobs/JobRun.ts
+++ b/packages/runs/src/lib/jobs/JobRun.ts
@@ -7,7 +7,7 @@
 	DEFAULT_LEADER_TIMING,
 	JobController,
 	JobState,
-	PLAIN_POLICY,
+	DEFAULT_LEADER_POLICY,
 	type AdviceTerms,
 	type CellConfiguration,
 	type CellReply,
@@ -297,18 +297,18 @@
 			clock,
 			random,
 			timing: DEFAULT_LEADER_TIMING,
-			policy: this.options.policy ?? PLAIN_POLICY,
+			policy: this.options.policy ?? DEFAULT_LEADER_POLICY,
 			term,
 			orders,
 			advisers,
 			proposals: log,
 			log: new Log('run', clock, 'silent', silent),
 			meter: new Meter(),
-			deposed: () => this.deposed(controller),
+			onDeposed: () => this.deposed(controller),
 		})
 		this.log = log
 		this.controller = controller
-		state.observer = (change) => controller.changed(change)
+		state.observer = (change) => controller.onChange(change)
 	}
 
 	/** An operator sends a configuration until it is confirmed. */
--- a/packages/runs/src/lib/jobs/jobRun.test.ts
+++ b/packages/runs/src/lib/jobs/jobRun.test.ts
@@ -293,13 +293,13 @@
 	{
 		rule: /a task that crashes its workers begins no more/,
 		without: 'waiting to hear of the workers that fell silent',
-		breaks: () => [[jobsClass('state', 'JobTable'), 'noteSilent', () => () => undefined]],
+		breaks: () => [[jobsClass('state', 'JobTable'), 'recordSilent', () => () => undefined]],
 	},
 	{
 		rule: /a failed job has failed for a cause/,
 		without: 'isolating a task before it is given up',
 		breaks: () => [
-			[jobsClass('leader/steps', 'Quarantine'), 'isSettled', () => () => true],
+			[jobsClass('leader/steps', 'Quarantine'), 'hasOnlySettledRuns', () => () => true],
 			[jobsClass('leader/steps', 'Quarantine'), 'admits', () => () => true],
 		],
 	},
@@ -319,7 +319,7 @@
 	{
 		rule: /no worker is given more than it has|a task runs once at a time/,
 		without: 'closing a worker while it has what it should not have',
-		breaks: () => [[jobsClass('leader/runs', 'SuspectRuns'), 'raise', () => () => undefined]],
+		breaks: () => [[jobsClass('leader/runs', 'SuspectRuns'), 'add', () => () => undefined]],
 	},
 	{
 		rule: /a task runs once at a time/,
@@ -362,7 +362,7 @@
 		rule: /a step's tasks are kept apart/,
 		without: 'an allowance for each worker',
 		breaks: () => [
-			[jobsClass('leader/steps', 'StepWork'), 'allowance', () => () => Number.MAX_VALUE],
+			[jobsClass('leader/steps', 'StepWork'), 'getAllowance', () => () => Number.MAX_VALUE],
 		],
 	},
 	{
@@ -371,7 +371,7 @@
 		breaks: () => [
 			[
 				jobsClass('leader/steps', 'PlacementPass'),
-				'eligible',
+				'getEligible',
 				() =>
 					function () {
 						return (this as { open: unknown }).open
--- a/packages/scheduler/src/lib/placement/chooseWorker.ts
+++ b/packages/scheduler/src/lib/placement/chooseWorker.ts
@@ -11,24 +11,25 @@
 const IMBALANCE_WEIGHT = 0.5
 const IDLE_ACCELERATOR_PENALTY = 2
 
-/** Where the tasks of one intent already are. @public */
+/** Counts of the running tasks of one intent. @public */
 export interface TaskCounts {
 	countOnWorker(worker: string): number
 	countInRack(rack: string): number
 }
 
-/** An intent that has no tasks yet. @public */
+/** The counts of an intent that has no running tasks. @public */
 export const NO_TASKS: TaskCounts = { countOnWorker: () => 0, countInRack: () => 0 }
 
 /**
- * Chooses the worker for one task: services away from their siblings, everything else where the least
- * is left over, and processors and memory run out together.
+ * Chooses the worker for one task. Tasks are packed where the least is left over, with a penalty if
+ * processors and memory are left in different proportions. The tasks of a service are also spread
+ * away from their siblings.
  *
- * @param ledger - what is free.
- * @param need - what the task takes.
+ * @param ledger - the free capacity.
+ * @param need - what the task needs.
  * @param kind - the kind of its intent.
- * @param siblings - where the intent's other tasks are.
- * @returns the worker, or undefined when none fits.
+ * @param siblings - the running tasks of the same intent.
+ * @returns the worker, or undefined if none fits.
  * @public
  */
 export function chooseWorker(
@@ -42,7 +43,7 @@
 	let best: LedgerWorker | undefined
 	let bestScore = Number.POSITIVE_INFINITY
 	for (const worker of candidates) {
-		const score = leftOver(worker, need) + (spread ? crowding(worker, siblings) : 0)
+		const score = packingScoreOf(worker, need) + (spread ? spreadPenaltyOf(worker, siblings) : 0)
 		if (score < bestScore) {
 			bestScore = score
 			best = worker
@@ -51,20 +52,23 @@
 	return best
 }
 
-/** What is left over after the task, as a share; lower is better packed. */
-function leftOver(worker: LedgerWorker, need: Resources): number {
+/**
+ * The shares of processors and memory that stay free after the placement, with penalties; lower is
+ * better.
+ */
+function packingScoreOf(worker: LedgerWorker, need: Resources): number {
 	const cpu = (worker.free.cpu - need.cpu) / Math.max(1, worker.capacity.cpu)
 	const memory = (worker.free.memory - need.memory) / Math.max(1, worker.capacity.memory)
-	const wasted = need.accelerators === 0 && worker.free.accelerators > 0
+	const leavesAcceleratorsIdle = need.accelerators === 0 && worker.free.accelerators > 0
 	return (
 		cpu +
 		memory +
 		Math.abs(cpu - memory) * IMBALANCE_WEIGHT +
-		(wasted ? IDLE_ACCELERATOR_PENALTY : 0)
+		(leavesAcceleratorsIdle ? IDLE_ACCELERATOR_PENALTY : 0)
 	)
 }
 
-function crowding(worker: LedgerWorker, siblings: TaskCounts): number {
+function spreadPenaltyOf(worker: LedgerWorker, siblings: TaskCounts): number {
 	return (
 		siblings.countOnWorker(worker.id) * SAME_WORKER_PENALTY +
 		siblings.countInRack(worker.rack) * SAME_RACK_PENALTY
