--- a/packages/jobs/src/lib/leader/JobController.ts
+++ b/packages/jobs/src/lib/leader/JobController.ts
@@ -1,4 +1,4 @@
-/** The controller of a cell's leader: answers calls, and decides what runs where. */
+/** The leader's controller of a cell: answers calls and decides which task runs on which worker. */
 import { Measure } from '@rillrudder/telemetry'
 import { exhaustive } from '@rillrudder/utils'
 import type { CellConfiguration, Heartbeat, Queue } from '../records/Cell'
@@ -14,7 +14,7 @@
 import { listAccounts } from '../accounts/listAccounts'
 import type { AccountSummary, CellCall, CellReply } from './callers/calls'
 import { ClientCalls } from './callers/ClientCalls'
-import { epochOf, type LeaderContext } from './LeaderContext'
+import { epochTimeOf, type LeaderContext } from './LeaderContext'
 import { LeaderEvent } from './LeaderEvent'
 import { explainJob, listJobs } from './explainJob'
 import { Reconciliation } from './Reconciliation'
@@ -23,22 +23,22 @@
 import { StartWindow } from './steps/StartWindow'
 import { StepScheduler } from './steps/StepScheduler'
 import { WorkerRegistry } from './workers/WorkerRegistry'
-import { SpeedWatch } from '../speeds/SpeedWatch'
+import { SpeedMonitor } from '../speeds/SpeedMonitor'
 
-/** Milliseconds after which a configuration that is not there yet may be read again. */
-const RETRY_AFTER = 1000
-/** Milliseconds between two passes over steps for which nothing has come free. */
-const FULL_PASS = 100
-/** Milliseconds that a start may take where no queue has a latency target. */
-const PLAIN_TARGET = 1000
-/** Milliseconds between two looks for jobs that may be forgotten. */
-const FORGET_PERIOD = 5000
+/** Milliseconds after which a client may retry reading a configuration that does not exist yet. */
+const RETRY_AFTER_MS = 1000
+/** Milliseconds between full passes, which also try steps for which no capacity has become free. */
+const FULL_PASS_PERIOD_MS = 100
+/** Bound on the delay of starts, in milliseconds, where no queue has a latency target. */
+const DEFAULT_LATENCY_TARGET_MS = 1000
+/** Milliseconds between two searches for ended jobs whose retention is over. */
+const FORGET_PERIOD_MS = 5000
 
 type CrashCounted = Extract<Change, { readonly kind: 'crash-counted' }>
 type Reply = (reply: CellReply) => void
 
 /**
- * The controller of a cell's leader. It lives as long as one leadership.
+ * The leader's controller of a cell. One instance serves one leadership.
  *
  * @example
  * ```ts
@@ -59,12 +59,15 @@
 	private readonly accounts: AccountUsage
 	private readonly shares: LeaderShares
 	private readonly reconciliation: Reconciliation
-	private readonly speeds: SpeedWatch
+	private readonly speeds: SpeedMonitor
 	private fullPassDue = 0
 	private forgetDue = 0
-	private placing = false
+	private isPlacing = false
 
-	/** @param context - the state as of the beginning of this leadership, and the world around it. */
+	/**
+	 * @param context - the state as of the start of this leadership, and the ports of the
+	 * controller.
+	 */
 	constructor(private readonly context: LeaderContext) {
 		const { state, log, term } = context
 		this.startDelays = new StartDelays(context.clock.now())
@@ -75,17 +78,17 @@
 		const use = new UsefulnessOrder(context.policy)
 		this.shares = new LeaderShares(context, this.accounts, use)
 		this.workers = new WorkerRegistry(context, this.accounts, {
-			polled: (view, result, sentAt) => {
-				this.runs.polled(view, result, sentAt)
-				this.speeds.polled(view, result)
+			onPolled: (view, result, sentAt) => {
+				this.runs.onPolled(view, result, sentAt)
+				this.speeds.onPoll(view, result)
 			},
 		})
-		this.speeds = new SpeedWatch(context, this.workers, use)
+		this.speeds = new SpeedMonitor(context, this.workers, use)
 		this.precedence.onQueuesConfigured(state.configuration?.queues ?? [], context.clock.now())
 		this.runs = new RunController(context, this.workers, this.precedence, this.accounts, {
-			ticketRefused: (task, worker) => this.steps.ticketRefused(task, worker),
-			moved: (task, worker) => this.steps.movedAway(task, worker),
-			started: (delay) => this.startDelays.confirmed(delay),
+			onTicketRefused: (task, worker) => this.steps.onTicketRefused(task, worker),
+			onMoved: (task, worker) => this.steps.onRunMoved(task, worker),
+			onStarted: (delay) => this.startDelays.record(delay),
 		})
 		const { workers, runs, precedence, accounts, shares } = this
 		this.steps = new StepScheduler(
@@ -97,9 +100,9 @@
 			shares,
 			this.startWindow
 		)
-		this.clients = new ClientCalls(context, (job) => this.runs.hasBegun(job))
+		this.clients = new ClientCalls(context, (job) => this.runs.hasStarted(job))
 		this.reconciliation = new Reconciliation(context, this.steps)
-		for (const job of state.jobs.all()) this.takeUp(job)
+		for (const job of state.jobs.all()) this.restoreJob(job)
 		log.info(LeaderEvent.LeadershipGained, {
 			term,
 			jobs: state.jobs.size,
@@ -108,18 +111,21 @@
 		})
 	}
 
-	/** Sets the gauges of what the controller has on it. */
+	/** Updates the gauges of runs, configuration, steps, shares, workers and speeds. */
 	measure(): void {
 		const { meter, state } = this.context
 		meter.gauge(Measure.Runs, this.runs.size)
 		meter.gauge(Measure.Configuration, state.configuration?.version ?? 0)
 		this.steps.measure()
-		this.shares.measure()
-		this.workers.measure()
-		this.speeds.measure()
+		this.shares.updateMetrics()
+		this.workers.updateGauges()
+		this.speeds.updateMetrics()
 	}
 
-	/** Answers a call, at once or once what it asks is committed. */
+	/**
+	 * Handles a call. `reply` is called at once, or after the command that the call requires is
+	 * committed.
+	 */
 	call(call: CellCall, reply: Reply): void {
 		switch (call.kind) {
 			case 'submit':
@@ -141,55 +147,55 @@
 			case 'heartbeat':
 				return this.heartbeat(call.heartbeat, reply)
 			case 'heartbeats':
-				for (const heard of call.heard) this.workers.heard(heard)
+				for (const heard of call.heard) this.workers.onHeartbeatRelayed(heard)
 				return reply({ kind: 'noted' })
 			case 'leave':
-				return this.workers.leave(call.worker, () => reply({ kind: 'noted' }))
+				return this.workers.onWorkerLeaving(call.worker, () => reply({ kind: 'noted' }))
 			case 'advise':
-				return reply({ kind: 'unknown', reason: 'a leader asks others for advice' })
+				return reply({ kind: 'unknown', reason: 'a leader does not answer requests for advice' })
 			default:
 				return exhaustive(call)
 		}
 	}
 
-	/** Takes in what a committed command has changed. */
-	changed(change: Change): void {
+	/** Applies a change of the replicated state, made by a committed command, to the controller. */
+	onChange(change: Change): void {
 		switch (change.kind) {
 			case 'configured':
-				return this.configured(change.configuration)
+				return this.onConfigured(change.configuration)
 			case 'job-accepted':
-				return this.steps.accept(change.job)
+				return this.steps.addJob(change.job)
 			case 'job-ended':
-				return this.jobEnded(change.job)
+				return this.onJobEnded(change.job)
 			case 'run-begun':
-				this.steps.begun(change.task, change.worker)
-				return this.runs.begun(change.task, change.attempt, change.worker)
+				this.steps.onRunStarted(change.task, change.worker)
+				return this.runs.onStartCommitted(change.task, change.attempt, change.worker)
 			case 'run-void':
-				this.steps.voided(change.task, change.worker)
-				return this.runs.voided(change.task, change.attempt, change.worker)
+				this.steps.onRunVoided(change.task, change.worker)
+				return this.runs.onStartVoided(change.task, change.attempt, change.worker)
 			case 'run-ended':
-				this.runs.ended(change.task, change.attempt, change.worker, change.how)
-				return this.steps.ended(change.task, change.worker, change.how)
+				this.runs.onEnded(change.task, change.attempt, change.worker, change.how)
+				return this.steps.onRunEnded(change.task, change.worker, change.how)
 			case 'crash-counted':
-				return this.crashCounted(change)
+				return this.onCrashCounted(change)
 			case 'task-cleared':
 				return this.steps.reconsider(change.task)
 			case 'task-done':
 				this.runs.stopTask(change.task)
-				return this.steps.settled(change.task)
+				return this.steps.onTaskSettled(change.task)
 			case 'worker-joined':
-				return this.workers.joined(change.worker)
+				return this.workers.onWorkerJoined(change.worker)
 			case 'worker-draining':
-				return this.workers.draining(change.worker)
+				return this.workers.onWorkerDraining(change.worker)
 			case 'worker-gone':
-				this.speeds.gone(change.worker)
-				return this.workers.gone(change.worker)
+				this.speeds.onIncarnationEnd(change.worker)
+				return this.workers.onWorkerGone(change.worker)
 			default:
 				return exhaustive(change)
 		}
 	}
 
-	/** Does what time has made due; to be called every few tens of milliseconds. */
+	/** Runs periodic work and timeouts; to be called every few tens of milliseconds. */
 	tick(): void {
 		const now = this.context.clock.now()
 		this.workers.tick(now)
@@ -198,33 +204,36 @@
 		this.reconciliation.tick(now)
 		this.speeds.tick(now)
 		this.shares.tick(now)
-		this.judgeStarts(now)
-		if (now >= this.forgetDue) this.forgetOld(now)
+		this.updateStartWindow(now)
+		if (now >= this.forgetDue) this.forgetEndedJobs(now)
 		this.place()
 	}
 
-	/** Begins what can begin; to be called after every batch of events. */
+	/** Starts the tasks that can start; to be called after every batch of events. */
 	place(): void {
-		if (this.placing) return
-		this.placing = true
+		if (this.isPlacing) return
+		this.isPlacing = true
 		const now = this.context.clock.now()
 		const full = now >= this.fullPassDue
-		if (full) this.fullPassDue = now + FULL_PASS
+		if (full) this.fullPassDue = now + FULL_PASS_PERIOD_MS
 		this.steps.place(now, full)
 		const { clock, meter } = this.context
 		meter.observe(Measure.PassTime, clock.now() - now, { full: String(full) })
-		this.placing = false
+		this.isPlacing = false
 	}
 
-	/** A cell is behind when half of its starts take longer than its most urgent queue allows a whole job. */
-	private judgeStarts(now: number): void {
+	/**
+	 * Adjusts the limit of concurrent starts. A cell is behind when half of its starts take longer
+	 * than the shortest latency target of its queues, which bounds a whole job.
+	 */
+	private updateStartWindow(now: number): void {
 		const { runs, startWindow: window, context } = this
-		const delay = this.startDelays.take(now, () => runs.awaitedStarts())
+		const delay = this.startDelays.takeMedian(now, () => runs.unconfirmedStartAges())
 		if (delay === undefined) return
 		const { size: before } = window
 		const bound = shortestTarget(context.state.configuration?.queues ?? [])
-		const { startsUnderWay: starts } = runs
-		window.judge(delay, bound, starts)
+		const { startsInProgress: starts } = runs
+		window.update(delay, bound, starts)
 		const { size } = window
 		if (size === before) return
 		const most = window.isBounded ? size : undefined
@@ -237,10 +246,10 @@
 		context.meter.gauge(Measure.StartWindow, most ?? 0)
 	}
 
-	private takeUp(job: JobRecord): void {
-		this.workers.restoreGivenUp(job)
-		this.runs.restore(job)
-		if (isActive(job)) this.steps.accept(job)
+	private restoreJob(job: JobRecord): void {
+		this.workers.restoreAbandonedRuns(job)
+		this.runs.restoreJob(job)
+		if (isActive(job)) this.steps.addJob(job)
 	}
 
 	private explain(id: string): CellReply {
@@ -252,9 +261,11 @@
 
 	private listAccounts(): AccountSummary[] {
 		const { state, ledger } = this.context
-		const work = { jobs: state.jobs.all(), waiting: this.steps.waitingByAccount() }
-		const refused = (name: string): number => this.clients.refusedOf(name)
-		return listAccounts(this.accounts, work, refused, ledger.total, [...this.shares.rooms.all()])
+		const work = { jobs: state.jobs.all(), waiting: this.steps.countWaitingByAccount() }
+		const refusalCountOf = (name: string): number => this.clients.refusalCountOf(name)
+		return listAccounts(this.accounts, work, refusalCountOf, ledger.total, [
+			...this.shares.capacityShares.standings(),
+		])
 	}
 
 	private configure(configuration: CellConfiguration, reply: Reply): void {
@@ -271,22 +282,27 @@
 	private readConfiguration(): CellReply {
 		const { configuration } = this.context.state
 		if (!configuration) {
-			return { kind: 'not-run', reason: 'no configuration yet', retryAfter: RETRY_AFTER }
+			return { kind: 'not-run', reason: 'no configuration yet', retryAfter: RETRY_AFTER_MS }
 		}
 		return { kind: 'configuration', configuration }
 	}
 
 	private heartbeat(heartbeat: Heartbeat, reply: Reply): void {
-		this.workers.heartbeat(heartbeat, (noted) =>
+		this.workers.handleHeartbeat(heartbeat, (noted) =>
 			reply(
-				noted ? { kind: 'noted' } : { kind: 'unknown', reason: 'another worker is known there' }
+				noted
+					? { kind: 'noted' }
+					: {
+							kind: 'unknown',
+							reason: 'another worker is known under this name or at this address',
+						}
 			)
 		)
 	}
 
-	private configured(configuration: CellConfiguration): void {
+	private onConfigured(configuration: CellConfiguration): void {
 		const { version, queues, accounts } = configuration
-		this.clients.configured(configuration)
+		this.clients.onConfigured(configuration)
 		this.accounts.configure(accounts ?? [])
 		this.precedence.onQueuesConfigured(queues, this.context.clock.now())
 		this.context.log.info(LeaderEvent.ConfigurationApplied, {
@@ -296,19 +312,22 @@
 		})
 	}
 
-	private jobEnded(job: JobRecord): void {
+	private onJobEnded(job: JobRecord): void {
 		const took = job.ended - job.submitted
 		const { log, meter } = this.context
 		const objective = Math.round(objectiveOf(job.request, job.queue))
 		log.info(LeaderEvent.JobEnded, { job: job.id, state: job.state, took, objective })
 		meter.count(Measure.JobsEnded, { state: job.state })
 		meter.observe(Measure.JobTime, took, { state: job.state })
-		this.steps.drop(job)
+		this.steps.removeJob(job)
 		this.runs.stopJob(job)
 	}
 
-	/** One line for each crash under a task, and one when the task is given up. */
-	private crashCounted({ task: name, worker, crashed }: CrashCounted): void {
+	/**
+	 * Logs the crash of a worker that ran the task, and the abandoned task once the suspicion is
+	 * proven.
+	 */
+	private onCrashCounted({ task: name, worker, crashed }: CrashCounted): void {
 		const { log, meter } = this.context
 		const task = formatTaskName(name)
 		const evidence = crashed.find((lost) => lost.worker === worker)?.evidence ?? 'none'
@@ -324,10 +343,10 @@
 		})
 	}
 
-	private forgetOld(now: number): void {
-		this.forgetDue = now + FORGET_PERIOD
+	private forgetEndedJobs(now: number): void {
+		this.forgetDue = now + FORGET_PERIOD_MS
 		const { state, proposals, timing } = this.context
-		const before = epochOf(this.context) - timing.keepEnded
+		const before = epochTimeOf(this.context) - timing.endedJobRetention
 		const jobs: string[] = []
 		for (const job of state.jobs.all()) {
 			if (!isActive(job) && job.ended < before) jobs.push(job.id)
@@ -336,8 +355,11 @@
 	}
 }
 
-/** @returns the shortest latency target of a queue, in milliseconds. */
+/**
+ * @returns the shortest latency target of the queues, in milliseconds; the default where none has
+ * one.
+ */
 function shortestTarget(queues: readonly Queue[]): number {
 	const targets = queues.map(({ latencyTarget }) => latencyTarget).filter((target) => target > 0)
-	return targets.length > 0 ? Math.min(...targets) : PLAIN_TARGET
+	return targets.length > 0 ? Math.min(...targets) : DEFAULT_LATENCY_TARGET_MS
 }
--- a/packages/jobs/src/lib/leader/steps/PlacementPass.ts
+++ b/packages/jobs/src/lib/leader/steps/PlacementPass.ts
@@ -1,16 +1,17 @@
 /**
- * One pass over the waiting steps. A full pass tries every step on every worker; between two of them a step that found no
- * place is tried only where something has come free since, so that a cell in which many steps wait costs no more than what changes in it.
+ * One pass over the waiting steps. A full pass tries every step on every worker. Between full
+ * passes, a step that could not be placed is tried only on workers where capacity was released
+ * since, so that the cost in a cell with many waiting steps depends on what changes.
  */
-import { hasRoom, type Option } from './chooseForStep'
+import { hasCapacity, type WorkerOption } from './chooseWorkerForStep'
 import type { StepWork } from './StepWork'
 
-/** The workers to which new work may go. @internal */
+/** The open workers: those that accept new work. @internal */
 export interface OpenWorkers {
 	/** @returns all of them. */
-	all(): readonly Option[]
-	/** @returns one by its id; undefined where no new work may go to it. */
-	find(id: string): Option | undefined
+	all(): readonly WorkerOption[]
+	/** @returns a worker by its id; undefined if it accepts no new work. */
+	find(id: string): WorkerOption | undefined
 }
 
 /**
@@ -19,41 +20,44 @@
  * @internal
  */
 export class PlacementPass {
-	private openWorkers: readonly Option[] | undefined
-	private freedWorkers: readonly Option[] | undefined
-	private readonly byDemand = new Map<string, readonly Option[]>()
+	private openWorkers: readonly WorkerOption[] | undefined
+	private freedWorkers: readonly WorkerOption[] | undefined
+	private readonly byDemand = new Map<string, readonly WorkerOption[]>()
 
 	/**
-	 * @param now - the moment, on the leader's clock.
-	 * @param full - whether all waiting steps are tried, and room is kept anew.
-	 * @param workers - to which new work may go.
-	 * @param released - ids of workers where something has come free since the pass before.
+	 * @param now - the current time, on the leader's clock.
+	 * @param isFull - whether all waiting steps are tried and reservations are rebuilt.
+	 * @param workers - the open workers.
+	 * @param released - ids of workers where capacity was released since the previous pass.
 	 */
 	constructor(
 		readonly now: number,
-		readonly full: boolean,
+		readonly isFull: boolean,
 		private readonly workers: OpenWorkers,
 		private readonly released: ReadonlySet<string>
 	) {}
 
-	/** All workers to which new work may go. */
-	get open(): readonly Option[] {
+	/** All open workers. */
+	get open(): readonly WorkerOption[] {
 		this.openWorkers ??= this.workers.all()
 		return this.openWorkers
 	}
 
 	/** @returns whether a step is tried in this pass. */
-	tries(work: StepWork): boolean {
-		return this.full || work.hasNews || this.freedFor(work).length > 0
+	shouldTry(work: StepWork): boolean {
+		return this.isFull || work.shouldTryAllWorkers || this.getFreedFor(work).length > 0
 	}
 
-	/** @returns whether a step is tried only where something has come free; a gang needs all its room at once. */
-	isNarrowFor(work: StepWork): boolean {
-		return !this.full && !work.hasNews && !work.step.gang
+	/**
+	 * @returns whether a step is tried only on workers where capacity was released. A gang is not:
+	 * it needs all its capacity at once.
+	 */
+	isLimitedToFreed(work: StepWork): boolean {
+		return !this.isFull && !work.shouldTryAllWorkers && !work.step.gang
 	}
 
-	/** @returns workers of the right service with the right label. */
-	eligible(work: StepWork): readonly Option[] {
+	/** @returns open workers of the right service with the required label. */
+	getEligible(work: StepWork): readonly WorkerOption[] {
 		const key = `${work.queue.service} ${work.step.requires}`
 		const known = this.byDemand.get(key)
 		if (known) return known
@@ -62,9 +66,12 @@
 		return found
 	}
 
-	/** @returns of the workers named those that are open and eligible; few are looked at, however many workers there are. */
-	named(work: StepWork, ids: Iterable<string>): Option[] {
-		const found: Option[] = []
+	/**
+	 * @returns those of the given workers that are open and eligible. Only these are looked up,
+	 * however many workers there are.
+	 */
+	findEligible(work: StepWork, ids: Iterable<string>): WorkerOption[] {
+		const found: WorkerOption[] = []
 		for (const id of ids) {
 			const option = this.workers.find(id)
 			if (option && isEligible(work, option)) found.push(option)
@@ -72,22 +79,27 @@
 		return found
 	}
 
-	/** @returns eligible workers where something has come free, and that may have a task of the step and have room for it. */
-	freedFor(work: StepWork): Option[] {
+	/**
+	 * @returns eligible workers where capacity was released, which have capacity for a task of the
+	 * step and are not ruled out by the queue's policy.
+	 */
+	getFreedFor(work: StepWork): WorkerOption[] {
 		return this.freed.filter(
 			(option) =>
-				hasRoom(work, option) && isEligible(work, option) && !work.advice.isUnfit(option.view.id)
+				hasCapacity(work, option) &&
+				isEligible(work, option) &&
+				!work.advice.isUnfit(option.view.id)
 		)
 	}
 
-	private get freed(): readonly Option[] {
+	private get freed(): readonly WorkerOption[] {
 		this.freedWorkers ??= [...this.released].flatMap((id) => this.workers.find(id) ?? [])
 		return this.freedWorkers
 	}
 }
 
-/** Whether a worker is of the right service and has the right label. */
-function isEligible({ queue, step }: StepWork, { view: { worker } }: Option): boolean {
+/** Whether a worker has the right service and the required label. */
+function isEligible({ queue, step }: StepWork, { view: { worker } }: WorkerOption): boolean {
 	if (worker.service !== queue.service) return false
 	return step.requires === '' || worker.labels.includes(step.requires)
 }
--- a/packages/jobs/src/lib/leader/workers/WorkerPolls.ts
+++ b/packages/jobs/src/lib/leader/workers/WorkerPolls.ts
@@ -1,4 +1,7 @@
-/** Polls of workers: long polls that renew a lease and wait for the next end, and short ones that only ask. */
+/**
+ * Polls of workers: long polls, which renew the lease and wait for the next end of a run, and
+ * probes, which return at once.
+ */
 import { hasUnconfirmedSurvival } from './crashEvidenceOf'
 import type { LeaderContext } from '../LeaderContext'
 import type { PollResult } from '../ports'
@@ -6,85 +9,91 @@
 import type { WorkerView } from './WorkerView'
 
 /**
- * Workers from which polls wait longer. A third of all polls end without news, and with hundreds of workers they are most
- * of what the cell's instances do.
+ * Number of workers from which polls wait longer. A third of all polls return nothing new, and with
+ * hundreds of workers polls are most of the load on the cell's instances.
  */
-const MANY_WORKERS = 100
+const LONG_POLL_MIN_WORKERS = 100
 
 /**
- * Milliseconds by which an urgent run is late before its worker is asked beside the poll that waits there: a lost
- * poll hides the run's end for over a second, more than urgent work has in hand, and declared times are off by about as much as this.
+ * How far an urgent run may exceed its expected time before its worker is probed beside the pending
+ * poll. A lost poll hides the run's end for over a second, more than the slack of urgent work;
+ * expected times are off by about this much.
  */
-const OVERDUE = 130
+const OVERDUE_MS = 130
 
-/** Milliseconds for which a worker's ends are waited for to be committed before it is polled again. */
-const MOST_COMMIT = 80
+/** Longest wait for the commit of a worker's ends before it is polled again. */
+const MAX_COMMIT_WAIT_MS = 80
 
-/** What polls need of the registry of workers. @internal */
-export interface PollHost {
-	/** @returns whether something about a worker is not known that a short poll tells. */
-	isUnclear(view: WorkerView, now: number): boolean
-	/** @param sentAt - when the poll was sent, on the leader's clock. */
-	polled(view: WorkerView, result: PollResult, sentAt: number): void
+/** What `WorkerPolls` needs of the worker registry. @internal */
+export interface PollDelegate {
+	/** @returns whether the state of a worker is unknown, so that it is polled without waiting. */
+	needsProbe(view: WorkerView, now: number): boolean
+	/**
+	 * A poll has ended.
+	 *
+	 * @param sentAt - when the poll was sent, on the leader's clock.
+	 */
+	onPolled(view: WorkerView, result: PollResult, sentAt: number): void
 }
 
 /**
- * The polls of workers.
+ * Sends the polls of workers.
  *
  * @internal
  */
 export class WorkerPolls {
 	constructor(
 		private readonly context: LeaderContext,
-		private readonly host: PollHost
+		private readonly delegate: PollDelegate
 	) {}
 
 	/**
-	 * Goes on polling workers that are known, and begins with a few of the others, those first that have waited
-	 * longest. All at once, as after a change of leader, they would keep the instance from its heartbeats for longer
-	 * than its lease.
+	 * Sends the polls and probes that are due. Of the workers whose state is unknown, only a few are
+	 * polled per call, those that have waited longest first: polling all of them at once after a
+	 * change of leader would keep the instance from sending its heartbeats for longer than its lease.
 	 */
-	begin(views: Iterable<WorkerView>, now: number): void {
-		const unclear: WorkerView[] = []
+	sendDue(views: Iterable<WorkerView>, now: number): void {
+		const unknown: WorkerView[] = []
 		for (const view of views) {
-			if (view.givenUp) continue
-			if (this.host.isUnclear(view, now)) unclear.push(view)
+			if (view.isEnding) continue
+			if (this.delegate.needsProbe(view, now)) unknown.push(view)
 			else if (isDueForPoll(view, now)) this.poll(view, now)
-			else if (isDueForProbe(view, now) && this.hidesNews(view, now)) this.probe(view, now)
+			else if (isDueForProbe(view, now) && this.needsProbeBesidePoll(view, now))
+				this.probe(view, now)
 		}
-		const due = unclear.filter((view) => isDueForPoll(view, now) || isDueForProbe(view, now))
-		const most = this.context.orders.firstPolls
-		if (due.length > most) due.sort((left, right) => left.askedAt - right.askedAt)
-		for (const view of due.slice(0, most)) {
-			view.askedAt = now
+		const due = unknown.filter((view) => isDueForPoll(view, now) || isDueForProbe(view, now))
+		const limit = this.context.orders.maxProbesPerTick
+		if (due.length > limit) due.sort((left, right) => left.lastAskedAt - right.lastAskedAt)
+		for (const view of due.slice(0, limit)) {
+			view.lastAskedAt = now
 			if (isDueForPoll(view, now)) this.poll(view, now)
 			else this.probe(view, now)
 		}
 	}
 
-	/** Whether the poll that is out would be a late word of something that matters. */
-	private hidesNews(view: WorkerView, now: number): boolean {
-		return hidesAnEnd(view, now) || hasUnconfirmedSurvival(view, now)
+	/** Whether the pending poll may report too late that a run has ended or the worker survived. */
+	private needsProbeBesidePoll(view: WorkerView, now: number): boolean {
+		return hasOverdueRun(view, now) || hasUnconfirmedSurvival(view, now)
 	}
 
-	/** Waits for the next end, and renews the lease. */
+	/** Sends a long poll, which renews the lease and waits for the next end of a run. */
 	private poll(view: WorkerView, now: number): void {
 		const { timing } = this.context
-		const leaseUntil = view.unreachable || view.left ? undefined : view.lease.renew(now)
-		view.polling = true
-		view.pollDue = now + timing.retryPause
-		const wait = leaseUntil === undefined || !view.listed ? 0 : this.waitAt(view)
+		const leaseUntil = view.isUnreachable || view.hasLeft ? undefined : view.lease.renew(now)
+		view.isPolling = true
+		view.pollDueAt = now + timing.retryPause
+		const wait = leaseUntil === undefined || !view.isListed ? 0 : this.waitOf(view)
 		this.send(view, leaseUntil, wait, now, () => {
-			view.polling = false
+			view.isPolling = false
 		})
 	}
 
-	/** Asks only whether the worker is there; a silent one's lease is not renewed. */
+	/** Sends a poll that returns at once and does not renew the lease. */
 	private probe(view: WorkerView, now: number): void {
-		view.probing = true
-		view.probeDue = now + this.context.timing.retryPause
+		view.isProbing = true
+		view.probeDueAt = now + this.context.timing.retryPause
 		this.send(view, undefined, 0, now, () => {
-			view.probing = false
+			view.isProbing = false
 		})
 	}
 
@@ -93,52 +102,58 @@
 		leaseUntil: number | undefined,
 		wait: number,
 		sentAt: number,
-		answered: () => void
+		onDone: () => void
 	): void {
 		const { orders } = this.context
 		const order = { fence: view.fence, endsSeen: view.endsSeen(sentAt), leaseUntil, wait }
 		orders.poll(view.worker, order, (result) => {
-			answered()
-			this.host.polled(view, result, sentAt)
+			onDone()
+			this.delegate.onPolled(view, result, sentAt)
 		})
 	}
 
-	private waitAt(view: WorkerView): number {
+	private waitOf(view: WorkerView): number {
 		const { timing } = this.context
-		let serves = false
-		let bestEffort = false
+		let hasLatencyTarget = false
+		let hasBestEffort = false
 		for (const { step } of view.runs.values()) {
-			if (step.bestEffort) bestEffort = true
-			if (step.latencyTarget > 0) serves = true
+			if (step.bestEffort) hasBestEffort = true
+			if (step.latencyTarget > 0) hasLatencyTarget = true
 		}
-		if (serves && bestEffort) return timing.tightPollWait
-		return this.context.state.workers.size >= MANY_WORKERS ? timing.longPollWait : timing.pollWait
+		if (hasLatencyTarget && hasBestEffort) return timing.tightPollWait
+		return this.context.state.workers.size >= LONG_POLL_MIN_WORKERS
+			? timing.longPollWait
+			: timing.pollWait
 	}
 }
 
 /**
- * Whether an urgent run should have ended by now and the poll that would tell is still out. Its answer may be lost, which
- * shows only when its wait is over: urgent work has no time for that.
+ * Whether an urgent run should have ended by now and the poll that would report it is still
+ * pending. The answer may be lost, which shows only when the poll times out: too late for urgent
+ * work.
  */
-function hidesAnEnd(view: WorkerView, now: number): boolean {
-	if (!view.polling) return false
+function hasOverdueRun(view: WorkerView, now: number): boolean {
+	if (!view.isPolling) return false
 	for (const run of view.runs.values()) {
-		const ends = run.urgent && run.phase === RunPhase.Running
-		if (ends && run.progress.getOverdueTime(now) > OVERDUE) return true
+		const isUrgentRunning = run.urgent && run.phase === RunPhase.Running
+		if (isUrgentRunning && run.progress.getOverdueTime(now) > OVERDUE_MS) return true
 	}
 	return false
 }
 
 function isDueForPoll(view: WorkerView, now: number): boolean {
-	if (view.runs.size === 0 || view.polling || now < view.pollDue) return false
-	return !isCommittingEnds(view) || now - view.listedAt >= MOST_COMMIT
+	if (view.runs.size === 0 || view.isPolling || now < view.pollDueAt) return false
+	return !isCommittingEnds(view) || now - view.listedAt >= MAX_COMMIT_WAIT_MS
 }
 
-/** Whether ends that it has listed are on their way to being committed: until they are named as seen, it lists them again at once. */
+/**
+ * Whether ends that the worker has listed are proposed and not committed yet: until they are
+ * acknowledged, the worker answers each poll with them at once.
+ */
 function isCommittingEnds({ endsCommitted, endsProposed }: WorkerView): boolean {
 	return endsCommitted < endsProposed
 }
 
 function isDueForProbe(view: WorkerView, now: number): boolean {
-	return !view.probing && now >= view.probeDue
+	return !view.isProbing && now >= view.probeDueAt
 }
--- a/packages/jobs/src/lib/shares/AdviceShares.test.ts
+++ b/packages/jobs/src/lib/shares/AdviceShares.test.ts
@@ -13,7 +13,7 @@
 	return { account, urgency: urgencyOf(TIMES, { priority }) }
 }
 
-test('the account that had least advice by its weight goes first, among questions of one priority', () => {
+test('among questions of one priority the account with the least recent time by weight goes first', () => {
 	const shares = new AdviceShares(0)
 	const pressing = claimOf('pressing')
 	const heavy = claimOf('heavy', 10)
@@ -27,13 +27,13 @@
 	assert.equal(shares.compare(pressing, pressing), 0)
 })
 
-test('what an account had fades, and the next leader goes on with the rest', () => {
+test('the recent time of an account decays, and the next leader continues with the rest', () => {
 	const shares = new AdviceShares(0)
 	shares.charge(claimOf('pressing'), 7 * QUESTION, 0)
-	const [noted] = shares.had(10_000)
+	const [noted] = shares.recentTimes(10_000)
 	assert.ok(noted.time < 3 * QUESTION && noted.time > QUESTION)
 	const next = new AdviceShares(10_000)
 	next.restore(noted)
-	assert.deepEqual(next.had(10_000), [noted])
-	assert.deepEqual(next.had(200_000), [])
+	assert.deepEqual(next.recentTimes(10_000), [noted])
+	assert.deepEqual(next.recentTimes(200_000), [])
 })
--- a/packages/jobs/src/lib/state/CellState.ts
+++ b/packages/jobs/src/lib/state/CellState.ts
@@ -1,24 +1,28 @@
-/** The replicated state of a cell: configuration, workers and jobs, changed by committed commands. */
+/**
+ * The replicated state of a cell: configuration, workers and jobs, changed only by committed
+ * commands.
+ */
 import { StateMachine } from '@rillrudder/group'
 import { exhaustive } from '@rillrudder/utils'
 import { VError } from 'verror'
-import { decodeCommands, type Begin, type CellCommand } from '../commands/CellCommand'
+import { decodeCommands, type RunStart, type CellCommand } from '../commands/CellCommand'
 import type { CellConfiguration, Worker } from '../records/Cell'
 import { workerNameOf } from '../records/Incarnation'
-import type { HadShares } from '../shares/HadShares'
+import type { RecentUsage } from '../shares/RecentUsage'
 import type { Change } from './Change'
 import { JobTable } from './JobTable'
 import type { JobRecord } from './JobRecord'
 import { KnownWorkers, type KnownWorkersSnapshot } from './KnownWorkers'
 
 /**
- * Newest version of the snapshot. Version 1 has no crashes of workers, version 2 does not say when workers started, version 3 not what
- * accounts had; these are absent then.
+ * Newest version of the snapshot format. All earlier versions are read: version 1 lacks crashes of
+ * workers, version 2 the start times of workers, version 3 the shares that accounts had; the
+ * missing fields are absent.
  *
  * @internal
  */
 export const SNAPSHOT_VERSION = 4
-/** Version that is written of a state that does not know what accounts had, so that earlier programs read it. */
+/** Version written for a state without shares of accounts, so that earlier releases can read it. */
 const VERSION_WITHOUT_SHARES = 3
 
 type GoneCommand = Extract<CellCommand, { readonly kind: 'gone' }>
@@ -29,26 +33,28 @@
 	readonly configuration?: CellConfiguration
 	readonly workers: KnownWorkersSnapshot
 	readonly jobs: readonly JobRecord[]
-	readonly shares?: HadShares
+	readonly shares?: RecentUsage
 }
 
 /**
- * The replicated state of a cell.
+ * The state machine of a cell.
  *
  * @public
  */
 export class CellState extends StateMachine {
-	readonly jobs = new JobTable((change) => this.changed(change))
+	readonly jobs = new JobTable((change) => this.notifyObserver(change))
 	readonly workers = new KnownWorkers()
-	/** The newest configuration; absent before the first. */
+	/** The newest configuration; undefined before the first. */
 	configuration: CellConfiguration | undefined
-	/** What accounts had of late, as a leader last noted it; absent where none did. */
-	shares: HadShares | undefined
-	/** Told of each change while set. */
+	/**
+	 * The shares that accounts recently had, as last recorded by a leader; undefined where none did.
+	 */
+	shares: RecentUsage | undefined
+	/** Called with each change, if set. */
 	observer: ((change: Change) => void) | undefined
 
 	override apply(bytes: Uint8Array): void {
-		for (const command of decodeCommands(bytes)) this.run(command)
+		for (const command of decodeCommands(bytes)) this.applyCommand(command)
 	}
 
 	override snapshot(): Uint8Array {
@@ -66,7 +72,11 @@
 		const kept = JSON.parse(Buffer.from(data).toString()) as CellSnapshot
 		if (!(kept.version >= 1 && kept.version <= SNAPSHOT_VERSION)) {
 			const info = { written: kept.version, known: SNAPSHOT_VERSION }
-			throw new VError({ name: 'RecordInvalid', info }, 'snapshot of version %d', kept.version)
+			throw new VError(
+				{ name: 'RecordInvalid', info },
+				'snapshot version %d is not supported',
+				kept.version
+			)
 		}
 		this.configuration = kept.configuration
 		this.workers.restore(kept.workers)
@@ -74,7 +84,7 @@
 		this.shares = kept.shares
 	}
 
-	private run(command: CellCommand): void {
+	private applyCommand(command: CellCommand): void {
 		switch (command.kind) {
 			case 'configure':
 				return this.configure(command.configuration)
@@ -83,24 +93,26 @@
 			case 'cancel':
 				return this.jobs.cancel(command.id, command.at)
 			case 'begin':
-				return command.whole ? this.beginWhole(command.runs) : command.runs.forEach(this.begin)
+				return command.whole
+					? this.startAllOrNone(command.runs)
+					: command.runs.forEach(this.startRun)
 			case 'end':
 				return command.runs.forEach((run) => this.jobs.end(run, command.at))
 			case 'worker':
-				return this.join(command.worker, command.sequence ?? 0, command.at)
+				return this.addWorker(command.worker, command.sequence ?? 0, command.at)
 			case 'drain':
-				this.workers.drain(command.worker)
-				return this.changed({ kind: 'worker-draining', worker: command.worker })
+				this.workers.setDraining(command.worker)
+				return this.notifyObserver({ kind: 'worker-draining', worker: command.worker })
 			case 'silent':
-				return command.workers.forEach((id) => this.workers.silent(id, command.silent))
+				return command.workers.forEach((id) => this.workers.setSilent(id, command.silent))
 			case 'gone':
-				return this.gone(command)
+				return this.removeWorker(command)
 			case 'answered':
-				return this.jobs.workerAnswered(command.worker)
+				return this.jobs.onWorkerAnswered(command.worker)
 			case 'cleared':
-				return this.jobs.cleared(command.tasks)
+				return this.jobs.clearCrashes(command.tasks)
 			case 'at-work':
-				return command.runs.forEach((run) => this.jobs.seenAtWork(run))
+				return command.runs.forEach((run) => this.jobs.recordAtWork(run))
 			case 'forget':
 				return this.jobs.forget(command.jobs)
 			case 'shares':
@@ -115,46 +127,52 @@
 		this.jobs.submit({ id, queue, request: job, account, beyondRate, submitted: at })
 	}
 
-	/** The highest version holds; a lower or equal one changes nothing. */
+	/**
+	 * Applies a configuration; one with a version that is not above the current one changes nothing.
+	 */
 	private configure(configuration: CellConfiguration): void {
 		if (configuration.version <= (this.configuration?.version ?? 0)) return
 		this.configuration = configuration
-		this.changed({ kind: 'configured', configuration })
+		this.notifyObserver({ kind: 'configured', configuration })
 	}
 
-	private join(worker: Worker, sequence: number, at?: number): void {
+	private addWorker(worker: Worker, sequence: number, at?: number): void {
 		if (this.workers.isGone(worker.id)) return
-		// Two lives may have been decided on at the same time; which one is over is asked when the other one reports again.
-		const named = this.workers.named(workerNameOf(worker.id))
+		// Two incarnations may have been proposed at the same time. Which one has ended is determined
+		// when the other one reports again.
+		const named = this.workers.findByName(workerNameOf(worker.id))
 		if (named && named.worker.id !== worker.id) return
 		this.workers.join(worker, sequence, at)
-		this.changed({ kind: 'worker-joined', worker })
+		this.notifyObserver({ kind: 'worker-joined', worker })
 	}
 
-	/** A worker may have ended between the decision and its place in the log. */
-	private readonly begin = (run: Begin): void => {
-		if (this.workers.find(run.worker)) this.jobs.begin(run)
-		else this.jobs.voided(run)
+	/**
+	 * Starts a run. Its worker may have been removed since the command was proposed; the run is void
+	 * then.
+	 */
+	private readonly startRun = (run: RunStart): void => {
+		if (this.workers.find(run.worker)) this.jobs.start(run)
+		else this.jobs.reportVoid(run)
 	}
 
-	/** Begins all of a gang or none. */
-	private beginWhole(runs: readonly Begin[]): void {
-		const mayBegin = runs.every(
-			(run) => this.workers.find(run.worker) !== undefined && this.jobs.mayBegin(run)
+	/** Starts all runs of a gang or none. */
+	private startAllOrNone(runs: readonly RunStart[]): void {
+		const canStartAll = runs.every(
+			(run) => this.workers.find(run.worker) !== undefined && this.jobs.canStart(run)
 		)
 		for (const run of runs) {
-			if (mayBegin) this.jobs.begin(run)
-			else this.jobs.voided(run)
+			if (canStartAll) this.jobs.start(run)
+			else this.jobs.reportVoid(run)
 		}
 	}
 
-	private gone({ worker, at, crash }: GoneCommand): void {
-		this.workers.leave(worker)
+	private removeWorker({ worker, at, crash }: GoneCommand): void {
+		this.workers.remove(worker)
 		this.jobs.endAllOn(worker, at, crash)
-		this.changed({ kind: 'worker-gone', worker })
+		this.notifyObserver({ kind: 'worker-gone', worker })
 	}
 
-	private changed(change: Change): void {
+	private notifyObserver(change: Change): void {
 		this.observer?.(change)
 	}
 }
--- a/packages/member/src/lib/Leading.ts
+++ b/packages/member/src/lib/Leading.ts
@@ -74,10 +74,10 @@
 			proposals: this.batching,
 			log,
 			meter,
-			deposed: () => group.transferLeadership(),
+			onDeposed: () => group.transferLeadership(),
 		})
 		meter.count(Measure.Leaderships)
-		state.observer = (change) => this.controller.changed(change)
+		state.observer = (change) => this.controller.onChange(change)
 	}
 
 	/** Answers a call; callers that still wait when the leadership ends are told so. */
--- a/packages/runs/src/lib/jobs/CompetingAccounts.ts
+++ b/packages/runs/src/lib/jobs/CompetingAccounts.ts
@@ -4,7 +4,7 @@
  */
 import {
 	digestOf,
-	PLAIN_STEP,
+	DEFAULT_STEP,
 	type ClientAccount,
 	type JobRecord,
 	type JobRequest,
@@ -61,7 +61,7 @@
 	request(random: Random): JobRequest {
 		const gang = random.chance(0.2)
 		const step = {
-			...PLAIN_STEP,
+			...DEFAULT_STEP,
 			count: gang ? random.integer(3, 6) : random.integer(1, 4),
 			need: { cpu: random.integer(500, 1500), memory: random.integer(128, 1500), accelerators: 0 },
 			expectedTime: random.integer(500, 2000),
@@ -133,7 +133,7 @@
 export function fairnessOf(served: readonly Served[]): number {
 	const room = served.reduce((sum, { got }) => sum + got, 0)
 	const level = maxMinLevel(
-		served.map(({ asked }) => ({ weight: 1, most: asked })),
+		served.map(({ asked }) => ({ weight: 1, maxUse: asked })),
 		room
 	)
 	const parts = served.map(({ asked, got }) => got / Math.min(asked, level))
--- a/packages/runs/src/lib/jobs/FleetWorker.ts
+++ b/packages/runs/src/lib/jobs/FleetWorker.ts
@@ -193,9 +193,9 @@
 		const { task, attempt, spec, ticket } = order
 		const past = order.leaseUntil <= this.ownClock
 		if (!past) this.extend(order.leaseUntil)
-		if (attempt <= (this.closed.get(task) ?? 0)) return this.refuse(Refusal.Old)
+		if (attempt <= (this.closed.get(task) ?? 0)) return this.refuse(Refusal.Superseded)
 		if (this.runs.get(task)?.attempt === attempt) return this.done()
-		if (past) return this.refuse(Refusal.Late)
+		if (past) return this.refuse(Refusal.LeaseExpired)
 		if (!this.parts.mayRun(task, this.worker.id, ticket)) return this.refuse(Refusal.Ticket)
 		const refusal = this.parts.refusal()
 		if (refusal) return this.refuse(refusal)
@@ -305,7 +305,7 @@
 		this.leased = false
 		const tasks = this.ended.map((end) => end.task)
 		this.parts.witness.lapsed(this.worker.id, tasks)
-		for (const run of [...this.runs.values()]) this.finish(run, RunEnd.Lapsed)
+		for (const run of [...this.runs.values()]) this.finish(run, RunEnd.LeaseExpired)
 	}
 
 	private extend(until: number): void {
@@ -336,7 +336,7 @@
 	/** How far a run has got; nothing while a gang is not complete. */
 	private percentOf({ step, works, endsAt, endsAs }: FleetRun): number {
 		if (step.lasting) return 100
-		if (!Number.isFinite(endsAt) || endsAs === RunEnd.Alone) return 0
+		if (!Number.isFinite(endsAt) || endsAs === RunEnd.GangTimeout) return 0
 		const left = (endsAt - this.parts.clock.now()) / Math.max(1, works)
 		return Math.floor(Math.min(1, Math.max(0, 1 - left)) * 100)
 	}
--- a/packages/runs/src/lib/jobs/missedWork.test.ts
+++ b/packages/runs/src/lib/jobs/missedWork.test.ts
@@ -19,10 +19,10 @@
 }
 
 const WAKE_UPS: readonly WakeUp[] = [
-	{ of: 'jobs that are accepted', method: 'accept' },
+	{ of: 'jobs that are accepted', method: 'addJob' },
 	{
 		of: 'steps whose predecessors are done, and tasks that have to begin again',
-		method: 'settled',
+		method: 'onTaskSettled',
 	},
 	{ of: 'tasks that have to begin again', method: 'reopen' },
 	{ of: 'tasks under suspicion that may go on', method: 'reconsider' },
@@ -30,7 +30,7 @@
 ]
 
 const SCHEDULER = jobsClass('leader/steps', 'StepScheduler')
-const BLIND: Breakage = [SCHEDULER, 'lookAgain', () => () => []]
+const BLIND: Breakage = [SCHEDULER, 'reconcile', () => () => []]
 
 function silenced({ method }: WakeUp): Breakage {
 	return [SCHEDULER, method, () => () => undefined]
@@ -64,7 +64,7 @@
 test('a run that nobody is told has begun is not found by looking again: the runs fail', () => {
 	const untold: Breakage = [
 		jobsClass('leader/runs', 'RunController'),
-		'begun',
+		'onStartCommitted',
 		() => () => undefined,
 	]
 	assert.match(failureWithout(untold), /an accepted job ends|a lasting task is at work/)
--- a/packages/scheduler/src/lib/placement/TeamAccount.ts
+++ b/packages/scheduler/src/lib/placement/TeamAccount.ts
@@ -1,30 +1,33 @@
-/** What a team uses and may use, and its tasks that wait. */
+/** What a team uses and may use, and its waiting tasks. */
 import Heap from 'heap-js'
 import { QuotaAccount } from './QuotaAccount'
 import { WaitingReason, type Task } from './Task'
 
-const DEFAULT_RUN_TIME = 600_000
-/** Batch without a deadline counts as due this long after it was submitted, so that it can not starve. */
-const PATIENCE = 3_600_000
-/** What has missed its deadline counts as due this long after that was seen. */
-const LATE_PATIENCE = 120_000
+const DEFAULT_RUN_TIME_MS = 600_000
+/**
+ * Batch work without a deadline counts as due this long after it was submitted, so that it can't
+ * starve.
+ */
+const BATCH_DUE_AFTER_MS = 3_600_000
+/** Work that has missed its deadline counts as due this long after that was detected. */
+const LATE_DUE_AFTER_MS = 120_000
 
-/** A task that waits, or a whole gang of them. @internal */
-export interface Pending {
+/** A waiting task, or all waiting tasks of a gang. @internal */
+export interface PendingItem {
 	readonly tasks: readonly Task[]
-	/** Latest moment to start and still meet the deadline; the order within a team. */
+	/** The latest moment to start and still meet the deadline; orders the tasks of a team. */
 	latestStart: number
-	/** Whether it has missed its deadline. */
-	late: boolean
-	/** Tasks of the same need have the same number. */
+	/** Whether it was demoted because it has missed its deadline. */
+	isLate: boolean
+	/** Number of the need: tasks with equal needs and gang sizes have the same one. */
 	readonly shape: number
-	waiting: WaitingReason
-	/** Tasks of it that were cancelled while it waited. */
-	cancelled: number
+	waitingReason: WaitingReason
+	/** The number of its tasks that were cancelled while it waited. */
+	cancelledCount: number
 }
 
-/** Orders what waits in one team: urgent first, then the least time left. @internal */
-export function before(left: Pending, right: Pending): number {
+/** Orders the waiting tasks of one team: urgent ones first, then by latest start. @internal */
+export function comparePending(left: PendingItem, right: PendingItem): number {
 	const urgent = Number(right.tasks[0].urgent) - Number(left.tasks[0].urgent)
 	if (urgent !== 0) return urgent
 	if (left.latestStart !== right.latestStart) return left.latestStart - right.latestStart
@@ -32,41 +35,41 @@
 }
 
 /**
- * One team's account, with its tasks that wait.
+ * One team's account, with its waiting tasks.
  *
  * @internal
  */
 export class TeamAccount extends QuotaAccount {
-	readonly waiting = new Heap<Pending>(before)
+	readonly waiting = new Heap<PendingItem>(comparePending)
 }
 
 /**
  * @param task - a task.
- * @param runTime - how long it is expected to run, in milliseconds.
- * @returns the latest moment to start it; work without a deadline is due when it was submitted, batch
- * without one an hour later.
+ * @param runTime - its expected run time, in milliseconds.
+ * @returns the latest moment to start it. Without a deadline batch work is due an hour after it was
+ * submitted, and other work at once.
  * @internal
  */
-export function latestStart(task: Task, runTime = task.runTime || DEFAULT_RUN_TIME): number {
+export function latestStartOf(task: Task, runTime = task.runTime || DEFAULT_RUN_TIME_MS): number {
 	if (task.deadline !== undefined) return task.deadline - runTime
-	return task.kind === 'batch' ? task.submitted + PATIENCE : task.submitted
+	return task.kind === 'batch' ? task.submitted + BATCH_DUE_AFTER_MS : task.submitted
 }
 
 /**
- * Lets what has missed its deadline give way to what has not: helping the late first would make the
- * next ones late as well. What is only expected to miss it keeps its place, since the expectation is
- * often wrong.
+ * Demotes work that has missed its deadline behind work that has not: serving late work first would
+ * make the next work late as well. Work that is only expected to miss its deadline keeps its place,
+ * since the estimate is often wrong.
  *
- * @param item - what waits, taken from the queue.
+ * @param item - the waiting work, already removed from the queue.
  * @param now - milliseconds since the epoch.
- * @returns whether its place has changed, so that it goes back into the queue.
+ * @returns whether it was demoted, so that it has to be queued again.
  * @internal
  */
-export function giveWay(item: Pending, now: number): boolean {
+export function demoteIfLate(item: PendingItem, now: number): boolean {
 	const [first] = item.tasks
-	if (item.late || first.urgent || first.deadline === undefined) return false
+	if (item.isLate || first.urgent || first.deadline === undefined) return false
 	if (first.deadline >= now) return false
-	item.late = true
-	item.latestStart = now + LATE_PATIENCE
+	item.isLate = true
+	item.latestStart = now + LATE_DUE_AFTER_MS
 	return true
 }
