--- a/packages/runs/src/lib/jobs/JobRun.ts
+++ b/packages/runs/src/lib/jobs/JobRun.ts
@@ -81,7 +81,7 @@
 	readonly speedOf?: (worker: number) => number
 	/** Whether some jobs are wide gangs, with advice tickets that expire soon after they arrive. */
 	readonly wideGangs?: boolean
-	/** The policy of the leaders; {@link PLAIN_POLICY} if absent. */
+	/** The policy of the leaders; {@link DEFAULT_LEADER_POLICY} if absent. */
 	readonly policy?: LeaderPolicy
 }
 
