--- a/packages/cell/src/lib/commands/DataCentreCommand.ts
+++ b/packages/cell/src/lib/commands/DataCentreCommand.ts
@@ -3,7 +3,7 @@
  * date when it is read, so that a log outlives the program that wrote it.
  */
 import { Buffer } from 'node:buffer'
-import { readIntentSchema } from '@rillrudder/settings'
+import { parsedIntentSchema } from '@rillrudder/settings'
 import { z } from 'zod'
 import { keptAnswerSchema } from '../records/Answer'
 import { Outcome, Problem } from '../records/Outcome'
@@ -92,7 +92,7 @@
 	kind: z.literal('plan'),
 	...operatorPart,
 	id: z.string(),
-	intent: readIntentSchema,
+	intent: parsedIntentSchema,
 	/** The ground that the plan was made from. */
 	ground: count,
 	steps: z.array(
--- a/packages/cell/src/lib/leader/HomeController.ts
+++ b/packages/cell/src/lib/leader/HomeController.ts
@@ -7,7 +7,7 @@
  * down, does the claimant open it. Who has closed a home for a revision can't open it for an earlier
  * one, so two never have it, however late an answer comes.
  */
-import { fencedAt, homeOf, isDown, type InForce } from '@rillrudder/settings'
+import { fenceRevisionOf, homeOf, isDown, type InForce } from '@rillrudder/settings'
 import type { DataCentreState } from '../state/DataCentreState'
 import type { RequestRecord } from '../state/RequestTable'
 import type { Effects, Moment } from './Effects'
@@ -68,7 +68,7 @@
 	owns(customer: string): boolean {
 		const record = this.state.homes.find(customer)
 		const open = record ? record.open : this.firstHome(customer) === this.name
-		return open && fencedAt(this.inForce().fences, this.name) <= (record?.revision ?? 0)
+		return open && fenceRevisionOf(this.inForce().fences, this.name) <= (record?.revision ?? 0)
 	}
 
 	/** Where a customer's requests should go. */
--- a/packages/settings/src/index.ts
+++ b/packages/settings/src/index.ts
@@ -5,10 +5,16 @@
 	parseConfiguration,
 	type Configuration,
 } from './lib/configuration'
-export { IntentKind, intentSchema, parseIntent, readIntentSchema, type Intent } from './lib/intent'
+export {
+	IntentKind,
+	intentSchema,
+	parseIntent,
+	parsedIntentSchema,
+	type Intent,
+} from './lib/intent'
 export { parseDocument } from './lib/parseDocument'
 export { duration, memory, name, processors } from './lib/quantities'
-export { homeOf } from './lib/homes'
+export { homeOf } from './lib/homeOf'
 export {
 	dataCentresOf,
 	groupsOf,
@@ -20,7 +26,7 @@
 } from './lib/instances'
 export { SettingsReader, type Endpoint } from './lib/processSettings'
 export {
-	fencedAt,
+	fenceRevisionOf,
 	isDown,
 	NO_REVISION,
 	NOTHING_IN_FORCE,
--- a/packages/settings/src/lib/inForce.ts
+++ b/packages/settings/src/lib/inForce.ts
@@ -51,6 +51,6 @@
  * @returns the revision that last declared it down; 0 when none did.
  * @public
  */
-export function fencedAt(fences: readonly Fence[], dataCentre: string): number {
+export function fenceRevisionOf(fences: readonly Fence[], dataCentre: string): number {
 	return fences.find((fence) => fence.dataCentre === dataCentre)?.revision ?? 0
 }
--- a/packages/settings/src/lib/intent.ts
+++ b/packages/settings/src/lib/intent.ts
@@ -53,7 +53,7 @@
 	})
 
 /** The schema of an intent that has been read: amounts are numbers. @public */
-export const readIntentSchema = z.object({
+export const parsedIntentSchema = z.object({
 	kind: z.enum([IntentKind.Service, IntentKind.Batch, IntentKind.Gang]),
 	name: z.string(),
 	team: z.string(),
