--- a/apps/entry/src/lib/EntrySettings.ts
+++ b/apps/entry/src/lib/EntrySettings.ts
@@ -48,7 +48,7 @@
 	if (!Number.isInteger(stopDelay) || stopDelay < 0) {
 		reader.report(
 			'--stop-delay (RR_STOP_DELAY)',
-			`"${written.stopDelay}" is no count of milliseconds`
+			`"${written.stopDelay}" is not a number of milliseconds`
 		)
 	}
 	return reader.finish({
--- a/packages/settings/src/index.ts
+++ b/packages/settings/src/index.ts
@@ -1,4 +1,4 @@
-/** Documents and settings, checked with every finding in one report. */
+/** Documents and process settings, validated with all findings in one report. */
 export {
 	configurationSchema,
 	DEFAULT_CONFIGURATION,
--- a/packages/settings/src/lib/configuration.ts
+++ b/packages/settings/src/lib/configuration.ts
@@ -1,4 +1,4 @@
-/** The configuration of the whole system: one document, accepted as a whole under one revision. */
+/** The configuration of the whole system: one document, accepted as a whole as one revision. */
 import type { Finding, Result } from '@rillrudder/utils'
 import { z } from 'zod'
 import { parseDocument } from './parseDocument'
@@ -6,7 +6,7 @@
 
 const team = z.strictObject({
 	name,
-	/** Share of the cell against other teams when all want more. */
+	/** Weight of the team's share of the cell when teams compete for capacity. */
 	weight: z.number().positive().default(1),
 	quota: z.strictObject({
 		cpu: processors,
@@ -17,34 +17,34 @@
 
 const customer = z.strictObject({
 	name,
-	/** The data centre that keeps the order of this customer's requests. */
+	/** The data centre that orders this customer's requests. */
 	home: name,
-	/** Whether its repeatable requests may overlap its others. */
+	/** Whether its repeatable requests may overlap its other requests. */
 	readsOverlap: z.boolean().default(true),
-	/** Whether its repeatable requests may run elsewhere while its home cannot be reached. */
+	/** Whether its repeatable requests may run in another data centre while its home is unreachable. */
 	repeatableElsewhere: z.boolean().default(true),
-	/** Requests of this customer that may wait; the default is `limits.customerQueue`. */
+	/** Maximum number of waiting requests of this customer; defaults to `limits.customerQueue`. */
 	queue: z.number().int().positive().optional(),
 })
 
 const limits = z.strictObject({
-	/** Requests that may wait in one data centre. */
+	/** Maximum number of waiting requests in one data centre. */
 	queue: z.number().int().positive().default(20_000),
 	customerQueue: z.number().int().positive().default(500),
-	/** Retries as a share of first attempts. */
+	/** Retry budget as a share of first attempts. */
 	retryShare: z.number().min(0).max(1).default(0.1),
-	/** How long an answer is kept for a resend. */
+	/** How long an answer is stored to be returned for a repeated key. */
 	keepAnswers: duration.default(600_000),
 	/** How long a key is remembered. */
 	keepKeys: duration.default(86_400_000),
-	/** Answers kept in one data centre, in MiB; the oldest go first. */
+	/** Memory for stored answers in one data centre, in MiB; the oldest are evicted first. */
 	answerMemory: memory.default(64),
 })
 
 const slots = z.strictObject({
 	perWorker: z.number().int().min(1).max(64).default(8),
 	connections: z.number().int().min(1).default(60),
-	/** Set aside for each slot, so that requests and tasks never overcommit a worker together. */
+	/** Reserved for each slot, so that requests and tasks together never overcommit a worker. */
 	cpu: processors.default(250),
 	memory: memory.default(256),
 })
@@ -58,18 +58,18 @@
 		slots: slots.default(slots.parse({})),
 	})
 	.superRefine((document, context) => {
-		reportTwins(document.teams, 'teams', context)
-		reportTwins(document.customers, 'customers', context)
+		reportDuplicateNames(document.teams, 'teams', context)
+		reportDuplicateNames(document.customers, 'customers', context)
 	})
 
-/** A configuration. Processors in thousandths, memory in MiB, spans in milliseconds. @public */
+/** A configuration. Processors in thousandths, memory in MiB, durations in milliseconds. @public */
 export type Configuration = z.infer<typeof configurationSchema>
 
-/** What is in force before any revision was accepted. @public */
+/** The configuration in force before any revision is accepted. @public */
 export const DEFAULT_CONFIGURATION: Configuration = configurationSchema.parse({})
 
 /**
- * @param source - where the text is from, for findings.
+ * @param source - name of the source, used in findings.
  * @param text - YAML.
  * @returns the configuration, or all findings.
  * @public
@@ -78,11 +78,15 @@
 	return parseDocument(source, text === '' ? '{}' : text, configurationSchema)
 }
 
-function reportTwins(named: { name: string }[], path: string, context: z.RefinementCtx): void {
+function reportDuplicateNames(
+	items: { name: string }[],
+	path: string,
+	context: z.RefinementCtx
+): void {
 	const seen = new Set<string>()
-	named.forEach((one, index) => {
+	items.forEach((one, index) => {
 		if (seen.has(one.name)) {
-			const message = `${one.name} stands here a second time`
+			const message = `${one.name} is listed more than once`
 			context.addIssue({ code: 'custom', path: [path, index, 'name'], message })
 		}
 		seen.add(one.name)
--- a/packages/settings/src/lib/homeOf.ts
+++ b/packages/settings/src/lib/homeOf.ts
@@ -1,4 +1,4 @@
-/** Which data centre keeps a customer's order. */
+/** Assigns each customer its home data centre. */
 import { createHash } from 'node:crypto'
 import type { Configuration } from './configuration'
 
@@ -6,8 +6,8 @@
  * @param configuration - the configuration in force.
  * @param dataCentres - all data centres.
  * @param customer - a customer.
- * @returns its home: the configured one, or else one that follows from its name and stays the same
- * while the data centres are the same (highest random weight).
+ * @returns its home: the configured one, or else one chosen by rendezvous hashing (highest random
+ * weight) of its name, which is stable while the set of data centres does not change.
  * @public
  */
 export function homeOf(
--- a/packages/settings/src/lib/inForce.ts
+++ b/packages/settings/src/lib/inForce.ts
@@ -1,34 +1,34 @@
-/** What is in force: the configuration, its revision, and which data centres are fenced off. */
+/** The configuration in force, its revision, and the data centres that are fenced. */
 import { DEFAULT_CONFIGURATION, type Configuration } from './configuration'
 
 /** A data centre that was declared down. @public */
 export interface Fence {
 	readonly dataCentre: string
-	/** The revision that declared it; what it owned before then it has to claim anew. */
+	/** The revision that declared it down; it must reclaim whatever it owned before that revision. */
 	readonly revision: number
-	/** Whether it still counts as down. */
+	/** Whether it is still declared down. */
 	readonly down: boolean
 }
 
-/** A revision as it is kept and handed on. @public */
+/** A revision in the form in which it is stored and sent. @public */
 export interface KeptRevision {
 	readonly revision: number
-	/** YAML. */
+	/** The configuration document in YAML. */
 	readonly document: string
 	readonly fences: readonly Fence[]
 }
 
-/** A revision as decisions see it. @public */
+/** A revision with its parsed configuration. @public */
 export interface InForce {
 	readonly revision: number
 	readonly configuration: Configuration
 	readonly fences: readonly Fence[]
 }
 
-/** Before any revision was accepted. @public */
+/** The revision before any is accepted. @public */
 export const NO_REVISION: KeptRevision = { revision: 0, document: '', fences: [] }
 
-/** What is in force before any revision was accepted. @public */
+/** The state in force before any revision is accepted. @public */
 export const NOTHING_IN_FORCE: InForce = {
 	revision: 0,
 	configuration: DEFAULT_CONFIGURATION,
@@ -38,7 +38,7 @@
 /**
  * @param fences - all fences.
  * @param dataCentre - a data centre.
- * @returns whether it counts as down.
+ * @returns whether it is declared down.
  * @public
  */
 export function isDown(fences: readonly Fence[], dataCentre: string): boolean {
@@ -48,7 +48,7 @@
 /**
  * @param fences - all fences.
  * @param dataCentre - a data centre.
- * @returns the revision that last declared it down; 0 when none did.
+ * @returns the revision that last declared it down; 0 if none did.
  * @public
  */
 export function fenceRevisionOf(fences: readonly Fence[], dataCentre: string): number {
--- a/packages/settings/src/lib/instances.ts
+++ b/packages/settings/src/lib/instances.ts
@@ -1,13 +1,13 @@
-/** The system's own instances, and the groups that follow from where they are. */
+/** The instances of the system, and the group layout derived from their locations. */
 import { failure, success, type Finding, type Result } from '@rillrudder/utils'
 
 /** One instance of the system. @public */
 export interface Instance {
 	readonly id: string
 	readonly dataCentre: string
-	/** Host and port at which `rr-control` takes links. */
+	/** Host and port on which `rr-control` accepts links. */
 	readonly address: string
-	/** Whether it has a disk for the system's state. */
+	/** Whether it has a disk to store the system's state. */
 	readonly disk: boolean
 }
 
@@ -24,17 +24,17 @@
 	readonly voters: readonly GroupVoter[]
 }
 
-/** Name of the group that the whole system has. @public */
+/** Name of the group that spans the whole system. @public */
 export const SYSTEM_GROUP = 'system'
 
-const INSTANCE = /^([a-z0-9][a-z0-9._-]*)@([a-z0-9][a-z0-9._-]*)=([^,\s]+:\d+)(,disk)?$/
+const INSTANCE_PATTERN = /^([a-z0-9][a-z0-9._-]*)@([a-z0-9][a-z0-9._-]*)=([^,\s]+:\d+)(,disk)?$/
 const LOCAL_VOTERS = 2
 
 /**
- * Reads instances as they are written in settings: `vake-1@vake=10.0.0.1:7100,disk`.
+ * Parses instances from settings, for example `vake-1@vake=10.0.0.1:7100,disk`.
  *
- * @param source - the flag or variable, for findings.
- * @param written - one text an instance.
+ * @param source - the flag or variable, used in findings.
+ * @param written - one string per instance.
  * @returns the instances, or all findings.
  * @public
  */
@@ -47,13 +47,13 @@
 	const seen = new Set<string>()
 	written.forEach((text, position) => {
 		const place = { source, path: `[${position}]` }
-		const match = INSTANCE.exec(text)
+		const match = INSTANCE_PATTERN.exec(text)
 		if (!match) {
 			findings.push({ place, message: `"${text}" is not id@data-centre=host:port[,disk]` })
 			return
 		}
 		const [, id, dataCentre, address, disk] = match
-		if (seen.has(id)) findings.push({ place, message: `${id} stands here a second time` })
+		if (seen.has(id)) findings.push({ place, message: `${id} is listed more than once` })
 		if (dataCentre === SYSTEM_GROUP) findings.push({ place, message: `${dataCentre} is reserved` })
 		seen.add(id)
 		instances.push({ id, dataCentre, address, disk: disk !== undefined })
@@ -62,17 +62,17 @@
 }
 
 /**
- * Works out the groups: for each data centre two of its instances, those with disks first, and one
- * with a disk in the next data centre; for the whole system one with a disk in each data centre.
+ * Derives the groups. Each data centre's group has two of its instances, preferably with disks, and
+ * one with a disk in the next data centre. The system group has one with a disk per data centre.
  *
  * @param instances - all instances.
- * @returns the groups, the system's last.
+ * @returns the groups, with the system group last.
  * @public
  */
 export function groupsOf(instances: readonly Instance[]): GroupLayout[] {
 	const dataCentres = dataCentresOf(instances)
 	const groups = dataCentres.map((name) => {
-		const local = inOrder(instances, name).slice(0, LOCAL_VOTERS)
+		const local = disksFirst(instances, name).slice(0, LOCAL_VOTERS)
 		const distant = distantVoter(instances, dataCentres, name)
 		const voters = local.map((one) => voter(one, true))
 		if (distant) voters.push(voter(distant, false))
@@ -83,7 +83,7 @@
 
 /**
  * @param instances - all instances.
- * @returns the names of their data centres, in order.
+ * @returns the names of their data centres, sorted.
  * @public
  */
 export function dataCentresOf(instances: readonly Instance[]): string[] {
@@ -92,14 +92,14 @@
 
 function systemGroup(instances: readonly Instance[], dataCentres: string[]): GroupLayout {
 	const disks = dataCentres.flatMap(
-		(name) => inOrder(instances, name).find((one) => one.disk) ?? []
+		(name) => disksFirst(instances, name).find((one) => one.disk) ?? []
 	)
 	const chosen = disks.length > 0 ? disks : instances.slice(0, 1)
 	return { name: SYSTEM_GROUP, voters: chosen.map((one) => voter(one, true)) }
 }
 
-/** Those with disks first, then by name. */
-function inOrder(instances: readonly Instance[], dataCentre: string): Instance[] {
+/** @returns a data centre's instances, those with disks first, then sorted by id. */
+function disksFirst(instances: readonly Instance[], dataCentre: string): Instance[] {
 	return instances
 		.filter((one) => one.dataCentre === dataCentre)
 		.sort((a, b) => Number(b.disk) - Number(a.disk) || a.id.localeCompare(b.id))
@@ -113,7 +113,7 @@
 	const start = dataCentres.indexOf(name)
 	for (let step = 1; step < dataCentres.length; step++) {
 		const other = dataCentres[(start + step) % dataCentres.length]
-		const found = inOrder(instances, other).find((one) => one.disk)
+		const found = disksFirst(instances, other).find((one) => one.disk)
 		if (found) return found
 	}
 	return undefined
--- a/packages/settings/src/lib/intent.ts
+++ b/packages/settings/src/lib/intent.ts
@@ -1,22 +1,22 @@
-/** What an operator wants to run. */
+/** Intents: what an operator wants to run. */
 import type { Finding, Result } from '@rillrudder/utils'
 import { z } from 'zod'
 import { parseDocument } from './parseDocument'
 import { duration, memory, name, processors } from './quantities'
 
-/** The kinds of intent, each with a policy of its own. @public */
+/** The kinds of intent; each has its own scheduling policy. @public */
 export const IntentKind = {
-	/** Stays up; spread over racks. */
+	/** Runs continuously; its tasks are spread over racks. */
 	Service: 'service',
-	/** Runs to its end, before its deadline if it has one. */
+	/** Runs to completion, before its deadline if it has one. */
 	Batch: 'batch',
-	/** Starts only when all its tasks can start. */
+	/** Starts only when all its tasks can start together. */
 	Gang: 'gang',
 } as const
-/** One of the kinds. @public */
+/** One of the values of `IntentKind`. @public */
 export type IntentKind = (typeof IntentKind)[keyof typeof IntentKind]
 
-const MOST_TASKS = 20_000
+const MAX_TASKS = 20_000
 
 /** The schema of an intent. @public */
 export const intentSchema = z
@@ -24,25 +24,25 @@
 		kind: z.enum([IntentKind.Service, IntentKind.Batch, IntentKind.Gang]),
 		name,
 		team: name,
-		/** Where its tasks run; the data centre of the instance that is asked by default. */
+		/** Where its tasks run; defaults to the data centre of the instance that receives the intent. */
 		dataCentre: name.optional(),
-		tasks: z.number().int().min(1).max(MOST_TASKS).default(1),
-		/** What each task is given. */
+		tasks: z.number().int().min(1).max(MAX_TASKS).default(1),
+		/** Resources of each task. */
 		each: z.strictObject({
 			cpu: processors,
 			memory,
 			accelerators: z.number().int().min(0).default(0),
 		}),
 		urgent: z.boolean().default(false),
-		/** Moment by which the batch must have ended, ISO 8601. */
+		/** Time by which the batch must be complete, in ISO 8601. */
 		deadline: z.iso.datetime({ offset: true }).optional(),
-		/** How long a task is expected to run; a hint. */
+		/** Expected run time of a task; a hint. */
 		runTime: duration.optional(),
-		/** Whether a task can be stopped and go on later from where it was. */
+		/** Whether a task can be stopped and resumed later from a checkpoint. */
 		checkpoints: z.boolean().default(false),
-		/** Least processors a task goes on with when it is throttled. */
+		/** Minimum processors with which a task continues when it is throttled. */
 		throttleTo: processors.optional(),
-		/** Passed to the worker as it is. */
+		/** Passed to the worker unchanged. */
 		command: z.array(z.string()).default([]),
 	})
 	.superRefine((intent, context) => {
@@ -52,7 +52,7 @@
 		}
 	})
 
-/** The schema of an intent that has been read: amounts are numbers. @public */
+/** The schema of a parsed intent, in which quantities are numbers. @public */
 export const parsedIntentSchema = z.object({
 	kind: z.enum([IntentKind.Service, IntentKind.Batch, IntentKind.Gang]),
 	name: z.string(),
@@ -68,11 +68,11 @@
 	command: z.array(z.string()),
 })
 
-/** An intent. Processors in thousandths, memory in MiB, spans in milliseconds. @public */
+/** An intent. Processors in thousandths, memory in MiB, durations in milliseconds. @public */
 export type Intent = z.infer<typeof intentSchema>
 
 /**
- * @param source - where the text is from, for findings.
+ * @param source - name of the source, used in findings.
  * @param text - YAML.
  * @returns the intent, or all findings.
  * @public
--- a/packages/settings/src/lib/parseDocument.test.ts
+++ b/packages/settings/src/lib/parseDocument.test.ts
@@ -1,11 +1,11 @@
-/** Findings come all together, each with its place. */
+/** All findings are reported together, each with its line and column. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import { formatFinding } from '@rillrudder/utils'
 import { parseConfiguration } from './configuration'
 import { parseIntent } from './intent'
 
-test('an intent is read with its amounts in standard units', () => {
+test('the quantities of an intent are converted to standard units', () => {
 	const text = `
 kind: batch
 name: reconcile
@@ -21,7 +21,7 @@
 	assert.equal(read.value.runTime, 1_200_000)
 })
 
-test('all findings come in one report with line and column', () => {
+test('all findings are in one report, with line and column', () => {
 	const text = `kind: service
 name: Tally Monitor
 team: petitions
@@ -41,13 +41,13 @@
 	assert.match(lines.join('\n'), /monitor.yaml:7:11: each.memory: not an amount of memory/)
 })
 
-test('a document that is no YAML says where', () => {
+test('invalid YAML is reported with its line', () => {
 	const read = parseConfiguration('cell.yaml', 'teams: [\n')
 	assert.ok(!read.ok)
 	assert.equal(read.error[0].place.line, 2)
 })
 
-test('a name that stands twice is found', () => {
+test('a duplicate name is reported', () => {
 	const text = `customers:
   - { name: batumi, home: vake }
   - { name: batumi, home: isani }
--- a/packages/settings/src/lib/parseDocument.ts
+++ b/packages/settings/src/lib/parseDocument.ts
@@ -1,4 +1,4 @@
-/** Reads a YAML document against a schema; every finding comes with its line and column. */
+/** Parses and validates a YAML document; every finding has its line and column. */
 import { failure, success, type Finding, type Result } from '@rillrudder/utils'
 import {
 	isMap,
@@ -11,11 +11,11 @@
 import type { z } from 'zod'
 
 /**
- * Reads a document.
+ * Parses a document and validates it against a schema.
  *
- * @param source - where the text is from, for findings.
+ * @param source - name of the source, used in findings.
  * @param text - YAML.
- * @param schema - what it must look like.
+ * @param schema - the schema to validate against.
  * @returns the value, or all findings.
  * @public
  */
@@ -51,7 +51,7 @@
 	return { place, message: issue.message }
 }
 
-/** A key that should not be there is pointed at itself, not at its value. */
+/** @returns the offset of an unrecognized key; it is reported at the key, not at its value. */
 function keyOffset(document: Document, issue: z.core.$ZodIssue): number | undefined {
 	if (issue.code !== 'unrecognized_keys') return undefined
 	const parent = issue.path.length === 0 ? document.contents : document.getIn(issue.path, true)
@@ -60,7 +60,7 @@
 	return isNode(pair?.key) ? pair.key.range?.[0] : undefined
 }
 
-/** The start of the node at a path, or of the nearest node that exists. */
+/** @returns the offset of the node at a path, or of its nearest existing ancestor. */
 function offsetOf(document: Document, path: readonly PropertyKey[]): number {
 	for (let depth = path.length; depth > 0; depth--) {
 		const node = document.getIn(path.slice(0, depth), true)
--- a/packages/settings/src/lib/processSettings.ts
+++ b/packages/settings/src/lib/processSettings.ts
@@ -1,4 +1,4 @@
-/** What every process of the system is told by flags and environment variables. */
+/** Reads the flags and environment variables that all processes of the system share. */
 import { failure, success, type Finding, type Result } from '@rillrudder/utils'
 import { parseInstances, type Instance } from './instances'
 
@@ -15,22 +15,22 @@
 	readonly key: string
 }
 
-/** The part of the settings that tells a process who it is. @public */
+/** Unvalidated settings that identify a process and its peers. @public */
 export interface WrittenIdentity {
 	readonly id?: string
 	readonly peers: readonly string[]
 }
 
-/** The part of the settings that names TLS files. @public */
+/** Unvalidated settings that name the TLS files. @public */
 export interface WrittenTls {
 	readonly tlsAuthority?: string
 	readonly tlsCertificate?: string
 	readonly tlsKey?: string
 }
 
-/** Who a process is among its peers. @public */
+/** The instance that a process belongs to, and all instances. @public */
 export interface Identity {
-	/** Absent when that was reported as wrong. */
+	/** Absent if it could not be determined; a finding was reported then. */
 	readonly self?: Instance
 	readonly instances: readonly Instance[]
 }
@@ -38,22 +38,22 @@
 const LOG_LEVELS = ['debug', 'info', 'warn', 'error', 'silent']
 const DEFAULT_LOG_LEVEL = 'info'
 
-/** Collects findings while settings are read. @public */
+/** Validates settings and collects findings. @public */
 export class SettingsReader {
 	readonly findings: Finding[] = []
 
-	/** Notes that something is wrong with a setting. */
+	/** Adds a finding for a setting. */
 	report(setting: string, message: string): void {
 		this.findings.push({ place: { source: setting, path: '' }, message })
 	}
 
-	/** @returns the text, reporting when it is missing. */
+	/** @returns the value; reports a finding if it is missing. */
 	required(setting: string, value: string | undefined): string {
 		if (value === undefined || value === '') this.report(setting, 'is missing')
 		return value ?? ''
 	}
 
-	/** @returns host and port, reporting when they are not. */
+	/** @returns host and port, or undefined if absent or invalid; reports a finding if invalid. */
 	endpoint(setting: string, value: string | undefined): Endpoint | undefined {
 		if (value === undefined || value === '') return undefined
 		const match = /^(.+):(\d{1,5})$/.exec(value)
@@ -65,7 +65,7 @@
 		return { host: match[1], port }
 	}
 
-	/** @returns the instances, reporting what is wrong with them. */
+	/** @returns the instances; reports a finding for each invalid one. */
 	instances(setting: string, written: readonly string[]): Instance[] {
 		const texts = written.flatMap((text) => text.split(/[;\s]+/)).filter((text) => text !== '')
 		if (texts.length === 0) this.report(setting, 'is missing')
@@ -75,7 +75,7 @@
 		return []
 	}
 
-	/** @returns who the process is, reporting when that can't be told. */
+	/** @returns the identity of the process; reports a finding if it can't be determined. */
 	identity(written: WrittenIdentity): Identity {
 		const id = this.required('--id (RR_ID)', written.id)
 		const instances = this.instances('--peer (RR_PEERS)', written.peers)
@@ -86,7 +86,7 @@
 		return { self, instances }
 	}
 
-	/** @returns the level below which log lines are left out, reporting one that there is not. */
+	/** @returns the minimum level of log lines; reports a finding if the level is unknown. */
 	logLevel(written: string | undefined): string {
 		const level = written ?? DEFAULT_LOG_LEVEL
 		if (!LOG_LEVELS.includes(level)) {
@@ -95,7 +95,7 @@
 		return level
 	}
 
-	/** @returns all three files or none, reporting anything between. */
+	/** @returns the TLS files, or undefined if none is set; reports a finding if only some are. */
 	tlsFiles(written: WrittenTls): TlsFileNames | undefined {
 		const { tlsAuthority, tlsCertificate, tlsKey } = written
 		if (!tlsAuthority && !tlsCertificate && !tlsKey) return undefined
@@ -106,7 +106,7 @@
 		return { authority: tlsAuthority, certificate: tlsCertificate, key: tlsKey }
 	}
 
-	/** @returns the settings if nothing was wrong, or all findings. */
+	/** @returns the settings if there are no findings, otherwise all findings. */
 	finish<Settings>(settings: Settings): Result<Settings, Finding[]> {
 		return this.findings.length === 0 ? success(settings) : failure(this.findings)
 	}
--- a/packages/settings/src/lib/quantities.ts
+++ b/packages/settings/src/lib/quantities.ts
@@ -1,4 +1,4 @@
-/** Amounts as people write them: `500m` processors, `512Mi` memory, `10m` minutes. */
+/** Schemas of quantities in text form: processors (`500m`), memory (`512Mi`), durations (`10m`). */
 import { z } from 'zod'
 
 const MILLI = 1000
@@ -11,7 +11,7 @@
 	d: 86_400_000,
 }
 
-/** Processors: `2`, `0.5` or `500m`; the value is in thousandths of a processor. @public */
+/** Processors such as `2`, `0.5` or `500m`; parsed to thousandths of a processor. @public */
 export const processors = z
 	.union([z.number(), z.string()])
 	.transform((written, context) => {
@@ -27,7 +27,7 @@
 	})
 	.pipe(z.number().min(0))
 
-/** Memory: `512Mi`, `4Gi`; the value is in MiB. @public */
+/** Memory such as `512Mi` or `4Gi`; parsed to MiB. @public */
 export const memory = z.string().transform((written, context) => {
 	const match = /^(\d+(?:\.\d+)?)(Mi|Gi|Ti)$/.exec(written)
 	if (!match) {
@@ -37,17 +37,17 @@
 	return Math.round(Number(match[1]) * MEMORY_UNITS[match[2]])
 })
 
-/** A span: `250ms`, `30s`, `10m`, `6h`, `1d`; the value is in milliseconds. @public */
+/** A duration such as `250ms`, `30s`, `10m`, `6h` or `1d`; parsed to milliseconds. @public */
 export const duration = z.string().transform((written, context) => {
 	const match = /^(\d+(?:\.\d+)?)(ms|s|m|h|d)$/.exec(written)
 	if (!match) {
-		context.addIssue({ code: 'custom', message: 'not a span, such as 250ms, 30s or 10m' })
+		context.addIssue({ code: 'custom', message: 'not a duration, such as 250ms, 30s or 10m' })
 		return z.NEVER
 	}
 	return Math.round(Number(match[1]) * DURATION_UNITS[match[2]])
 })
 
-/** A name of a team, customer, data centre or intent. @public */
+/** The name of a team, customer, data centre or intent. @public */
 export const name = z
 	.string()
 	.regex(/^[a-z0-9][a-z0-9._-]{0,62}$/, 'not a name: up to 63 of a-z, 0-9, dot, dash, underscore')
