--- a/packages/cell/src/lib/commands/DataCentreCommand.ts
+++ b/packages/cell/src/lib/commands/DataCentreCommand.ts
@@ -3,7 +3,7 @@
  * are read, so that newer programs can read existing logs.
  */
 import { Buffer } from 'node:buffer'
-import { readIntentSchema } from '@rillrudder/settings'
+import { parsedIntentSchema } from '@rillrudder/settings'
 import { z } from 'zod'
 import { storedAnswerSchema } from '../records/StoredAnswer'
 import { Outcome, Problem } from '../records/Outcome'
@@ -92,7 +92,7 @@
 	kind: z.literal('plan'),
 	...operatorPart,
 	id: z.string(),
-	intent: readIntentSchema,
+	intent: parsedIntentSchema,
 	/** Version of the state (`DataCentreState.ground`) from which the plan was made. */
 	ground: count,
 	steps: z.array(
