--- a/apps/control/src/lib/operators/OperatorServer.ts
+++ b/apps/control/src/lib/operators/OperatorServer.ts
@@ -105,7 +105,7 @@
 		if (operator === undefined)
 			return sendReply(response, {
 				code: 401,
-				message: 'unauthorized: a valid operator token or certificate is required',
+				message: 'who are you?',
 			})
 		const url = new URL(request.url ?? '/', 'http://operators')
 		if (request.method === 'GET' && url.pathname === '/v1/status') {
@@ -127,14 +127,14 @@
 			const match = route.path.exec(url.pathname)
 			if (!match || route.method !== request.method) continue
 			const fields = fieldsOf(body, url)
-			if (!fields) return { code: 400, message: 'the body is not a JSON object' }
+			if (!fields) return { code: 400, message: 'the body is no JSON object' }
 			const subject = route.subject ? { [route.subject]: decodeURIComponent(match[1]) } : {}
 			const input = { request: randomUUID(), ...fields, ...subject, kind: route.kind, operator }
 			const call = operatorCallSchema.safeParse(input)
 			if (!call.success) return { code: 400, message: call.error.issues[0].message }
 			return this.parts.call(this.groupOf(route, url, fields), call.data)
 		}
-		return { code: 404, message: `no such route: ${request.method} ${url.pathname}` }
+		return { code: 404, message: `there is no ${request.method} ${url.pathname}` }
 	}
 
 	private groupOf(route: Route, url: URL, fields: { [name: string]: unknown }): string {
--- a/packages/settings/src/lib/configuration.ts
+++ b/packages/settings/src/lib/configuration.ts
@@ -86,7 +86,7 @@
 	const seen = new Set<string>()
 	items.forEach((one, index) => {
 		if (seen.has(one.name)) {
-			const message = `${one.name} is listed more than once`
+			const message = `${one.name} stands here a second time`
 			context.addIssue({ code: 'custom', path: [path, index, 'name'], message })
 		}
 		seen.add(one.name)
--- a/packages/settings/src/lib/instances.ts
+++ b/packages/settings/src/lib/instances.ts
@@ -53,7 +53,7 @@
 			return
 		}
 		const [, id, dataCentre, address, disk] = match
-		if (seen.has(id)) findings.push({ place, message: `${id} is listed more than once` })
+		if (seen.has(id)) findings.push({ place, message: `${id} stands here a second time` })
 		if (dataCentre === SYSTEM_GROUP) findings.push({ place, message: `${dataCentre} is reserved` })
 		seen.add(id)
 		instances.push({ id, dataCentre, address, disk: disk !== undefined })
--- a/packages/settings/src/lib/quantities.ts
+++ b/packages/settings/src/lib/quantities.ts
@@ -41,7 +41,7 @@
 export const duration = z.string().transform((written, context) => {
 	const match = /^(\d+(?:\.\d+)?)(ms|s|m|h|d)$/.exec(written)
 	if (!match) {
-		context.addIssue({ code: 'custom', message: 'not a duration, such as 250ms, 30s or 10m' })
+		context.addIssue({ code: 'custom', message: 'not a span, such as 250ms, 30s or 10m' })
 		return z.NEVER
 	}
 	return Math.round(Number(match[1]) * DURATION_UNITS[match[2]])
