--- a/packages/group/src/lib/Group.ts
+++ b/packages/group/src/lib/Group.ts
@@ -5,7 +5,7 @@
 import type { Output, Replica } from '@rillrudder/consensus'
 import { EntryKind, type Entry, type GroupMessage } from '@rillrudder/protocol'
 import type { Batch, GroupStore } from '@rillrudder/store'
-import { Mailbox, SkippedTime, type Clock } from '@rillrudder/utils'
+import { Mailbox, ClockSkipDetector, type Clock } from '@rillrudder/utils'
 import type { StateMachine } from './StateMachine'
 
 /** Entries after which a snapshot is always taken; bounds the log in memory. */
@@ -58,12 +58,12 @@
 	/** Bytes of the commands applied since the last snapshot. */
 	private logBytes = 0
 	private isStopped = false
-	private readonly skippedTime: SkippedTime
+	private readonly skippedTime: ClockSkipDetector
 
 	/** @param options - the replica and its dependencies. */
 	constructor(private readonly options: GroupOptions) {
 		const { replica } = options
-		this.skippedTime = new SkippedTime(options.clock)
+		this.skippedTime = new ClockSkipDetector(options.clock)
 		this.appliedIndex = replica.snapshot?.index ?? 0
 		this.snapshotIndex = this.appliedIndex
 		if (replica.snapshot) options.machine.restore(replica.snapshot.data)
@@ -139,7 +139,8 @@
 	 * show.
 	 */
 	private checkSkippedTime(): void {
-		if (this.skippedTime.noticed()) this.options.replica.revalidateLease(this.options.clock.now())
+		if (this.skippedTime.detectSkip())
+			this.options.replica.revalidateLease(this.options.clock.now())
 	}
 
 	private post(event: GroupEvent): void {
--- a/packages/runs/src/lib/RunReplica.ts
+++ b/packages/runs/src/lib/RunReplica.ts
@@ -7,7 +7,7 @@
 	type Snapshot,
 } from '@rillrudder/consensus'
 import type { Entry, GroupMessage } from '@rillrudder/protocol'
-import { invariant, SkippedTime } from '@rillrudder/utils'
+import { invariant, ClockSkipDetector } from '@rillrudder/utils'
 
 /** What a simulated disk holds of one replica. @public */
 export interface ReplicaDisk {
@@ -49,14 +49,14 @@
 	readonly replica: Replica
 	/** Index of the last entry that was applied. */
 	applied = 0
-	private readonly skipped: SkippedTime
+	private readonly skipped: ClockSkipDetector
 	private waiting: Save[] = []
 	private saving = false
 
 	/** @param parts - options and surroundings. */
 	constructor(private readonly parts: RunReplicaParts) {
 		const { options, disk, now } = parts
-		this.skipped = new SkippedTime(parts)
+		this.skipped = new ClockSkipDetector(parts)
 		const kept = disk !== undefined && disk.incarnation === options.incarnation
 		if (disk && !kept) Object.assign(disk, emptyDisk(), { incarnation: options.incarnation })
 		const restored = kept ? { ...disk, entries: [...disk.entries] } : undefined
@@ -106,7 +106,7 @@
 	}
 
 	private noteSkips(): void {
-		if (this.skipped.noticed()) this.replica.revalidateLease(this.parts.now())
+		if (this.skipped.detectSkip()) this.replica.revalidateLease(this.parts.now())
 	}
 
 	private flush(): void {
--- a/packages/utils/src/lib/time/SkippedTime.ts
+++ b/packages/utils/src/lib/time/ClockSkipDetector.ts
@@ -13,7 +13,7 @@
  *
  * @public
  */
-export class SkippedTime {
+export class ClockSkipDetector {
 	private ahead: number
 
 	/** @param clock - the clock to watch. */
@@ -22,7 +22,7 @@
 	}
 
 	/** @returns whether the calendar has run ahead of the steady clock since this was last asked. */
-	noticed(): boolean {
+	detectSkip(): boolean {
 		const before = this.ahead
 		this.ahead = this.clock.ahead()
 		return this.ahead - before >= LEAST_SKIP
