--- a/packages/member/src/lib/ApiServer.ts
+++ b/packages/member/src/lib/ApiServer.ts
@@ -10,7 +10,12 @@
 } from '@rillrudder/jobs'
 import type { Meter } from '@rillrudder/telemetry'
 import { formatFinding } from '@rillrudder/utils'
-import { HttpServer, type Address, type HttpAnswer, type HttpCall } from '@rillrudder/web'
+import {
+	HttpServer,
+	type Address,
+	type HttpServerResponse,
+	type HttpServerRequest,
+} from '@rillrudder/web'
 import type { RetryLimits } from './LeaderCalls'
 
 /** Operators wait longer than other callers. */
@@ -53,7 +58,7 @@
 		this.server.close()
 	}
 
-	private async answer(call: HttpCall): Promise<HttpAnswer> {
+	private async answer(call: HttpServerRequest): Promise<HttpServerResponse> {
 		const { method, path } = call
 		if (method === 'GET' && path === '/metrics') {
 			this.parts.refresh()
@@ -71,7 +76,13 @@
 
 const TEXT = { 'content-type': 'text/plain; version=0.0.4' }
 
-function toCall({ method, path, query, headers, body }: HttpCall): CellCall | HttpAnswer {
+function toCall({
+	method,
+	path,
+	query,
+	headers,
+	body,
+}: HttpServerRequest): CellCall | HttpServerResponse {
 	const submitted = QUEUE_JOB_PATH.exec(path)
 	if (method === 'POST' && submitted) {
 		const to = { queue: submitted[1], id: submitted[2], keyDigest: bearerDigest(headers) }
@@ -94,12 +105,12 @@
 }
 
 /** @returns the digest of the bearer token of a call; undefined if it has none. */
-function bearerDigest({ authorization }: HttpCall['headers']): string | undefined {
+function bearerDigest({ authorization }: HttpServerRequest['headers']): string | undefined {
 	const key = BEARER_TOKEN.exec(authorization ?? '')?.[1]
 	return key === undefined ? undefined : digestOf(key)
 }
 
-function toSubmission(to: Destination, body: Buffer): CellCall | HttpAnswer {
+function toSubmission(to: Destination, body: Buffer): CellCall | HttpServerResponse {
 	const job = parseJob(body)
 	if (!job) return { status: 400, body: { message: 'the body is not a job' } }
 	const findings = checkJob(job)
@@ -134,7 +145,7 @@
 	return { ...DEFAULT_STEP, ...given, need: { ...DEFAULT_STEP.need, ...(given.need as object) } }
 }
 
-function toAnswer(reply: CellReply): HttpAnswer {
+function toAnswer(reply: CellReply): HttpServerResponse {
 	switch (reply.kind) {
 		case 'accepted':
 		case 'noted':
--- a/packages/web/src/lib/HttpServer.ts
+++ b/packages/web/src/lib/HttpServer.ts
@@ -11,14 +11,14 @@
 const JSON_TYPE = 'application/json'
 
 /** An answer; a text is sent as it is, anything else as JSON. @public */
-export interface HttpAnswer {
+export interface HttpServerResponse {
 	readonly status: number
 	readonly body?: unknown
 	readonly headers?: { readonly [name: string]: string }
 }
 
 /** A call that was read whole. @public */
-export interface HttpCall {
+export interface HttpServerRequest {
 	readonly method: string
 	readonly host: string
 	/** Path without a query. */
@@ -41,7 +41,7 @@
 	private closing = false
 
 	/** @param handle - answers a call; a rejection is a fault and answered 500. */
-	constructor(private readonly handle: (call: HttpCall) => Promise<HttpAnswer>) {
+	constructor(private readonly handle: (call: HttpServerRequest) => Promise<HttpServerResponse>) {
 		this.server = createServer((request, response) => void this.serve(request, response))
 		this.server.keepAliveTimeout = IDLE
 	}
@@ -93,7 +93,7 @@
 		}
 	}
 
-	private answer(response: ServerResponse, { status, body, headers }: HttpAnswer): void {
+	private answer(response: ServerResponse, { status, body, headers }: HttpServerResponse): void {
 		if (response.destroyed || response.headersSent) return
 		const text = body === undefined ? '' : typeof body === 'string' ? body : JSON.stringify(body)
 		response.writeHead(status, {
