--- a/packages/utils/src/index.ts
+++ b/packages/utils/src/index.ts
@@ -1,4 +1,4 @@
-/** Clock, seeded randomness, results, findings and typed goroutines. */
+/** Clocks, seeded random numbers, results, validation findings and mailboxes for goroutines. */
 export { Mailbox } from './lib/csp/Mailbox'
 export { Random } from './lib/random/Random'
 export { textHash } from './lib/random/textHash'
--- a/packages/utils/src/lib/csp/Mailbox.ts
+++ b/packages/utils/src/lib/csp/Mailbox.ts
@@ -1,8 +1,9 @@
 /**
- * A bounded queue of events that a goroutine takes in batches.
+ * A bounded queue of events that a goroutine consumes in batches.
  *
- * A js-csp hand-off costs microseconds, and a channel throws at its 1,025th pending put. So events
- * gather in an array and the channel carries only the wake-up, one for as many events as came.
+ * Passing a value through a js-csp channel costs microseconds, and a channel throws at its 1,025th
+ * pending put. So events are collected in an array, and the channel carries only one wake-up signal
+ * for each batch.
  */
 import * as csp from 'js-csp'
 import { VError } from 'verror'
@@ -11,7 +12,7 @@
 const DEFAULT_CAPACITY = 65_536
 
 /**
- * A bounded queue that one goroutine empties.
+ * A bounded queue with a single consumer goroutine.
  *
  * @public
  */
@@ -20,10 +21,10 @@
 	private closed = false
 	private readonly wake = csp.chan(csp.buffers.dropping(1))
 
-	/** @param capacity - how many events may wait; a post beyond that is refused. */
+	/** @param capacity - maximum number of pending events; `post` rejects further ones. */
 	constructor(private readonly capacity = DEFAULT_CAPACITY) {}
 
-	/** How many events wait. */
+	/** Number of pending events. */
 	get size(): number {
 		return this.pending.length
 	}
@@ -32,7 +33,7 @@
 	 * Adds an event.
 	 *
 	 * @param event - the event.
-	 * @returns false when the mailbox is full or closed, and the event was not taken.
+	 * @returns false if the event was rejected because the mailbox is full or closed.
 	 */
 	post(event: Event): boolean {
 		if (this.closed || this.pending.length >= this.capacity) return false
@@ -41,37 +42,37 @@
 		return true
 	}
 
-	/** Ends the goroutine that takes from this mailbox once it has taken what waits. */
+	/** Closes the mailbox; its goroutine ends after it has handled the pending events. */
 	close(): void {
 		this.closed = true
 		this.wake.close()
 	}
 
 	/**
-	 * Starts the goroutine that takes batches until the mailbox is closed.
+	 * Starts the goroutine that handles batches of events until the mailbox is closed.
 	 *
-	 * @param name - names the goroutine in failures.
+	 * @param name - name of the goroutine in error messages.
 	 * @param handle - handles one batch, in order of arrival.
-	 * @param fail - told of a throw in `handle`; js-csp itself would end the process or throw into the
-	 * unrelated caller of a put.
+	 * @param onError - receives an error thrown by `handle`; js-csp itself would end the process or
+	 * throw into the unrelated caller of a put.
 	 */
-	serve(name: string, handle: (batch: Event[]) => void, fail: (fault: Error) => void): void {
+	serve(name: string, handle: (batch: Event[]) => void, onError: (fault: Error) => void): void {
 		const wake = this.wake
-		const drain = (): void => this.drain(name, handle, fail)
+		const drain = (): void => this.drain(name, handle, onError)
 		csp.go(function* () {
 			while ((yield csp.take(wake)) !== csp.CLOSED) drain()
 			drain()
 		})
 	}
 
-	private drain(name: string, handle: (batch: Event[]) => void, fail: (fault: Error) => void) {
+	private drain(name: string, handle: (batch: Event[]) => void, onError: (fault: Error) => void) {
 		const batch = this.pending
 		if (batch.length === 0) return
 		this.pending = []
 		try {
 			handle(batch)
 		} catch (cause) {
-			fail(new VError({ name: 'GoroutineFault', cause: cause as Error }, 'goroutine %s', name))
+			onError(new VError({ name: 'GoroutineFault', cause: cause as Error }, 'goroutine %s', name))
 		}
 	}
 }
--- a/packages/utils/src/lib/random/Random.ts
+++ b/packages/utils/src/lib/random/Random.ts
@@ -1,4 +1,4 @@
-/** Seeded randomness, so that every run can be made again from its seed. */
+/** Seeded random numbers, so that every simulation can be reproduced from its seed. */
 import { uniformInt } from 'pure-rand/distribution/uniformInt'
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus'
 import type { RandomGenerator } from 'pure-rand/types/RandomGenerator'
@@ -13,7 +13,7 @@
 export class Random {
 	private readonly generator: RandomGenerator
 
-	/** @param seed - any integer; the same seed gives the same numbers. */
+	/** @param seed - any integer; the same seed gives the same sequence. */
 	constructor(readonly seed: number) {
 		this.generator = xoroshiro128plus(seed)
 	}
@@ -21,28 +21,28 @@
 	/**
 	 * @param low - smallest value, inclusive.
 	 * @param high - largest value, inclusive.
-	 * @returns an integer between the two.
+	 * @returns a uniformly distributed integer in this range.
 	 */
 	integer(low: number, high: number): number {
 		return uniformInt(this.generator, low, high)
 	}
 
-	/** @returns a number from 0 up to, not including, 1. */
+	/** @returns a uniformly distributed number in [0, 1). */
 	fraction(): number {
 		return uniformInt(this.generator, 0, FRACTION_STEPS - 1) / FRACTION_STEPS
 	}
 
 	/**
 	 * @param probability - from 0 to 1.
-	 * @returns true that often.
+	 * @returns true with this probability.
 	 */
 	chance(probability: number): boolean {
 		return this.fraction() < probability
 	}
 
 	/**
-	 * @param items - at least one.
-	 * @returns one of them.
+	 * @param items - at least one item.
+	 * @returns one of the items, each with equal probability.
 	 */
 	pick<T>(items: readonly T[]): T {
 		return items[this.integer(0, items.length - 1)]
--- a/packages/utils/src/lib/random/textHash.ts
+++ b/packages/utils/src/lib/random/textHash.ts
@@ -1,13 +1,16 @@
-/** A hash of a text that spreads things evenly and always alike; of no use against people who mean harm. */
+/**
+ * A deterministic, evenly distributed hash of a text. It is not cryptographic: collisions are easy to
+ * construct.
+ */
 
 const FACTOR = 31
 const MODULUS = 1_000_003
 
-/** @returns a number from 0 to a million that is always the same for a text. @public */
+/** @returns the hash, an integer from 0 to 1,000,002; equal texts have equal hashes. @public */
 export function textHash(text: string): number {
-	let sum = 0
+	let hash = 0
 	for (let index = 0; index < text.length; index++) {
-		sum = (sum * FACTOR + text.charCodeAt(index)) % MODULUS
+		hash = (hash * FACTOR + text.charCodeAt(index)) % MODULUS
 	}
-	return sum
+	return hash
 }
--- a/packages/utils/src/lib/result/Finding.ts
+++ b/packages/utils/src/lib/result/Finding.ts
@@ -1,10 +1,13 @@
-/** Findings about settings and documents: collected with their place and reported together. */
+/**
+ * Validation findings about settings and documents, collected with their location and reported
+ * together.
+ */
 
-/** Where a finding was made. @public */
+/** Location of a finding. @public */
 export interface Place {
 	/** File, flag or document name. */
 	readonly source: string
-	/** Path inside the document, such as `customers[2].home`; empty for the whole. */
+	/** Path inside the document, such as `customers[2].home`; empty for the whole document. */
 	readonly path: string
 	/** Line from 1; absent where the source has no lines. */
 	readonly line?: number
@@ -12,15 +15,17 @@
 	readonly column?: number
 }
 
-/** One thing that is wrong. @public */
+/** A validation error and its location. @public */
 export interface Finding {
 	readonly place: Place
 	readonly message: string
 }
 
 /**
+ * Formats a finding for display.
+ *
  * @param finding - a finding.
- * @returns one line for people: `file:line:column: path: message`.
+ * @returns one line: `file:line:column: path: message`.
  * @public
  */
 export function formatFinding(finding: Finding): string {
--- a/packages/utils/src/lib/result/Result.ts
+++ b/packages/utils/src/lib/result/Result.ts
@@ -1,18 +1,18 @@
-/** A value or a typed failure, for outcomes that a caller has to deal with. */
+/** A value or a typed error, for outcomes that a caller has to handle. */
 
-/** What went well. @public */
+/** A successful outcome and its value. @public */
 export interface Success<T> {
 	readonly ok: true
 	readonly value: T
 }
 
-/** What did not. @public */
+/** A failed outcome and its error. @public */
 export interface Failure<E> {
 	readonly ok: false
 	readonly error: E
 }
 
-/** Either of the two. @public */
+/** A success or a failure. @public */
 export type Result<T, E> = Success<T> | Failure<E>
 
 /**
@@ -25,7 +25,7 @@
 }
 
 /**
- * @param error - the typed failure.
+ * @param error - the typed error.
  * @returns a failure.
  * @public
  */
--- a/packages/utils/src/lib/result/exhaustive.ts
+++ b/packages/utils/src/lib/result/exhaustive.ts
@@ -1,8 +1,10 @@
-/** Makes the compiler prove that a switch names every case. */
+/** Exhaustiveness check for switch statements. */
 
 /**
- * @param value - what no case took; its type is `never` when every case is named.
- * @throws Error always, for values that came from outside the type system.
+ * Makes the compiler check that a switch handles every case.
+ *
+ * @param value - the unhandled value; its type is `never` if every case is handled.
+ * @throws Error always, since only a value that bypassed the type system gets here.
  * @public
  */
 export function exhaustive(value: never): never {
--- a/packages/utils/src/lib/result/invariant.ts
+++ b/packages/utils/src/lib/result/invariant.ts
@@ -1,16 +1,16 @@
-/** Invariants that the program holds itself to, in production as in tests. */
+/** Invariant checks, which are active in production as well as in tests. */
 import { VError } from 'verror'
 
-/** The name of the error that a broken invariant raises. @public */
+/** Name of the error that is thrown when an invariant is violated. @public */
 export const INVARIANT_BROKEN = 'InvariantBroken'
 
 /**
- * Ends the caller's step when something that must always hold does not.
+ * Throws if a condition that must always hold does not.
  *
- * @param holds - whether it holds.
- * @param rule - what must hold, for people.
- * @param details - what was seen instead, kept as `info` of the error.
- * @throws VError named `InvariantBroken`; the process that sees it must stop rather than go on.
+ * @param holds - whether the condition holds.
+ * @param rule - the condition, in words.
+ * @param details - the observed values, kept as `info` of the error.
+ * @throws VError named `InvariantBroken`; the process must stop when it catches it.
  * @public
  */
 export function invariant(
--- a/packages/utils/src/lib/time/Clock.ts
+++ b/packages/utils/src/lib/time/Clock.ts
@@ -1,52 +1,56 @@
 /**
- * Time as the rest of the system sees it. Decisions never read the machine's clock: they are handed
- * a moment, and the process that drives them is handed a `Clock`.
+ * The clock that the rest of the system uses. Decision logic never reads the system clock: it
+ * receives the current time as an argument, and the process that drives it receives a `Clock`.
  */
 
-/** A pending call that can be withdrawn. @public */
+/** A scheduled call that can be cancelled. @public */
 export abstract class Timer {
-	/** Withdraws the call. Does nothing once the call was made. */
+	/** Cancels the call. Has no effect after the call was made. */
 	abstract cancel(): void
 }
 
 /**
- * The source of time and of timed calls.
+ * A source of time and timers.
  *
  * @public
  */
 export abstract class Clock {
-	/** @returns milliseconds on a monotonic clock; only differences mean something. */
+	/** @returns milliseconds on a monotonic clock; only differences are meaningful. */
 	abstract now(): number
 
-	/** @returns the calendar time, for records that people read; never for leases. */
+	/** @returns the wall-clock time, for records that people read; never use it for leases. */
 	abstract date(): Date
 
-	/** @returns by how many milliseconds the calendar is ahead of the steady clock; only differences mean something. */
+	/**
+	 * @returns milliseconds by which the wall clock is ahead of the monotonic clock; only differences
+	 * are meaningful.
+	 */
 	ahead(): number {
 		return this.date().getTime() - this.now()
 	}
 
 	/**
-	 * Calls back once.
+	 * Calls a function once.
 	 *
 	 * @param delay - milliseconds from now.
-	 * @param call - what to call.
-	 * @returns the timer, so that it can be cancelled.
+	 * @param call - the function to call.
+	 * @returns the timer, which can be cancelled.
 	 */
 	abstract after(delay: number, call: () => void): Timer
 
 	/**
-	 * Calls back again and again until cancelled.
+	 * Calls a function periodically until cancelled.
 	 *
 	 * @param period - milliseconds between calls.
-	 * @param call - what to call.
+	 * @param call - the function to call.
+	 * @returns the timer, which can be cancelled.
 	 */
 	every(period: number, call: () => void): Timer {
 		return new RepeatingTimer(this, period, call)
 	}
 }
 
-/** A timer that sets itself again after every call. @internal */
+/** A timer that is rescheduled before every call. @internal */
 class RepeatingTimer extends Timer {
 	private current: Timer
 
--- a/packages/utils/src/lib/time/ClockSkipDetector.test.ts
+++ b/packages/utils/src/lib/time/ClockSkipDetector.test.ts
@@ -3,16 +3,16 @@
 import { ManualClock } from './ManualClock'
 import { ClockSkipDetector } from './ClockSkipDetector'
 
-test('time that only the calendar counts is noticed once, and a calendar set back is not taken for it', () => {
+test('a forward skip of the wall clock is detected once, and a clock set back is ignored', () => {
 	const clock = new ManualClock()
-	const skipped = new ClockSkipDetector(clock)
+	const detector = new ClockSkipDetector(clock)
 	clock.advance(5000)
-	assert.equal(skipped.detectSkip(), false)
+	assert.equal(detector.detectSkip(), false)
 	clock.skip(2000)
-	assert.equal(skipped.detectSkip(), true)
-	assert.equal(skipped.detectSkip(), false)
+	assert.equal(detector.detectSkip(), true)
+	assert.equal(detector.detectSkip(), false)
 	clock.skip(-2000)
-	assert.equal(skipped.detectSkip(), false)
+	assert.equal(detector.detectSkip(), false)
 	clock.skip(2000)
-	assert.equal(skipped.detectSkip(), true)
+	assert.equal(detector.detectSkip(), true)
 })
--- a/packages/utils/src/lib/time/ClockSkipDetector.ts
+++ b/packages/utils/src/lib/time/ClockSkipDetector.ts
@@ -1,15 +1,19 @@
 /**
- * Notices that time may have passed which the steady clock did not count: a machine that is suspended stands still, and so does
- * that clock, while the calendar goes on. The calendar can also be set, so a skip is no proof that time has passed; but whoever
- * relies on a span not being over yet, such as the holder of a lease, must ask again before it acts.
+ * Detects time that the monotonic clock may not have counted: it stops while the machine is
+ * suspended, whereas the wall clock goes on. The wall clock can also be set, so a skip does not prove
+ * that time has passed. Code that relies on a span not having elapsed, such as the holder of a lease,
+ * must revalidate it before it acts.
  */
 import type { Clock } from './Clock'
 
-/** Milliseconds by which the calendar must run ahead between two looks; it is read in whole milliseconds, and slewed by less. */
-const LEAST_SKIP = 10
+/**
+ * Smallest advance of the wall clock over the monotonic clock, between two checks, that counts as a
+ * skip. The wall clock is read in whole milliseconds, and slewing changes it by less than this.
+ */
+const MIN_SKIP_MS = 10
 
 /**
- * Compares a clock's steady time with its calendar.
+ * Compares a clock's monotonic time with its wall-clock time.
  *
  * @public
  */
@@ -21,10 +25,10 @@
 		this.ahead = clock.ahead()
 	}
 
-	/** @returns whether the calendar has run ahead of the steady clock since this was last asked. */
+	/** @returns whether the wall clock has skipped ahead of the monotonic clock since the last call. */
 	detectSkip(): boolean {
 		const before = this.ahead
 		this.ahead = this.clock.ahead()
-		return this.ahead - before >= LEAST_SKIP
+		return this.ahead - before >= MIN_SKIP_MS
 	}
 }
--- a/packages/utils/src/lib/time/ManualClock.ts
+++ b/packages/utils/src/lib/time/ManualClock.ts
@@ -1,14 +1,14 @@
-/** A clock that moves only when it is told to, for tests and for randomised runs. */
+/** A clock that advances only on request, for tests and simulations. */
 import Heap from 'heap-js'
 import { Clock, Timer } from './Clock'
 
-/** A call that waits for its moment. @internal */
+/** A scheduled call. @internal */
 class ManualTimer extends Timer {
 	cancelled = false
 
 	constructor(
 		readonly due: number,
-		/** Timers that are due at the same moment are called in the order in which they were made. */
+		/** Timers that are due at the same time fire in the order in which they were created. */
 		readonly order: number,
 		readonly call: () => void
 	) {
@@ -21,7 +21,7 @@
 }
 
 /**
- * A clock moved by hand.
+ * A clock that is advanced explicitly.
  *
  * @example
  * ```ts
@@ -34,10 +34,10 @@
 export class ManualClock extends Clock {
 	private elapsed = 0
 	private skipped = 0
-	private made = 0
+	private timerCount = 0
 	private readonly pending = new Heap<ManualTimer>((a, b) => a.due - b.due || a.order - b.order)
 
-	/** @param start - calendar time at the first moment. */
+	/** @param start - the wall-clock time at creation. */
 	constructor(private readonly start = new Date('2026-01-01T00:00:00Z')) {
 		super()
 	}
@@ -51,18 +51,22 @@
 	}
 
 	override after(delay: number, call: () => void): Timer {
-		const timer = new ManualTimer(this.elapsed + Math.max(0, delay), ++this.made, call)
+		const timer = new ManualTimer(this.elapsed + Math.max(0, delay), ++this.timerCount, call)
 		this.pending.push(timer)
 		return timer
 	}
 
-	/** Moves only the calendar, as when the machine was suspended or its time was set. */
+	/**
+	 * Advances only the wall clock, as when the machine was suspended or its time was set.
+	 *
+	 * @param span - milliseconds; negative to set the wall clock back.
+	 */
 	skip(span: number): void {
 		this.skipped += span
 	}
 
 	/**
-	 * Moves time forward and makes every call that falls due, in order.
+	 * Advances the time and fires every timer that falls due, in order.
 	 *
 	 * @param span - milliseconds.
 	 */
--- a/packages/utils/src/lib/time/SystemClock.ts
+++ b/packages/utils/src/lib/time/SystemClock.ts
@@ -1,4 +1,4 @@
-/** The machine's own clock: the only module that reads it. */
+/** The system clock. This is the only module that reads it. */
 import { Clock, Timer } from './Clock'
 
 /** A timer of the Node event loop. @internal */
@@ -13,7 +13,7 @@
 }
 
 /**
- * The machine's clock.
+ * The system clock, with timers of the Node event loop.
  *
  * @public
  */
