--- a/apps/ctl/src/lib/OperatorClient.ts
+++ b/apps/ctl/src/lib/OperatorClient.ts
@@ -1,7 +1,7 @@
 /** Calls the operators' API of one instance. */
 import { readFileSync } from 'node:fs'
 import type { Result } from '@rillrudder/utils'
-import { requestJson, type JsonReply, type NoReply } from '@rillrudder/web'
+import { requestJson, type JsonResponse, type RequestError } from '@rillrudder/web'
 
 const TIMEOUT = 15_000
 
@@ -26,16 +26,20 @@
 	constructor(private readonly settings: ClientSettings) {}
 
 	/** Asks for something. */
-	get(path: string): Promise<Result<JsonReply, NoReply>> {
+	get(path: string): Promise<Result<JsonResponse, RequestError>> {
 		return this.call('GET', path)
 	}
 
 	/** Asks for something to be done. */
-	post(path: string, body: object): Promise<Result<JsonReply, NoReply>> {
+	post(path: string, body: object): Promise<Result<JsonResponse, RequestError>> {
 		return this.call('POST', path, body)
 	}
 
-	private call(method: string, path: string, body?: object): Promise<Result<JsonReply, NoReply>> {
+	private call(
+		method: string,
+		path: string,
+		body?: object
+	): Promise<Result<JsonResponse, RequestError>> {
 		const { host, port, operator, token } = this.settings
 		const headers = {
 			'rillrudder-operator': operator,
--- a/apps/ctl/src/lib/output.ts
+++ b/apps/ctl/src/lib/output.ts
@@ -2,7 +2,7 @@
 import Table from 'cli-table3'
 import { ExitCode } from '@rillrudder/program'
 import type { Result } from '@rillrudder/utils'
-import type { JsonReply, NoReply } from '@rillrudder/web'
+import type { JsonResponse, RequestError } from '@rillrudder/web'
 
 /** A reply of the operators' API. @internal */
 export interface ApiReply {
@@ -40,7 +40,11 @@
  * @returns the exit code.
  * @internal
  */
-export function show(reply: Result<JsonReply, NoReply>, json: boolean, print: Printer): ExitCode {
+export function show(
+	reply: Result<JsonResponse, RequestError>,
+	json: boolean,
+	print: Printer
+): ExitCode {
 	if (!reply.ok) {
 		process.stderr.write(`no answer: ${reply.error.message}\n`)
 		return ExitCode.Unreachable
--- a/apps/entry/src/lib/callers/CallerServer.ts
+++ b/apps/entry/src/lib/callers/CallerServer.ts
@@ -5,7 +5,7 @@
 import type { Endpoint } from '@rillrudder/settings'
 import { Metric, type Metrics } from '@rillrudder/telemetry'
 import type { Clock } from '@rillrudder/utils'
-import { BodyFault, readBody } from '@rillrudder/web'
+import { BodyError, readBody } from '@rillrudder/web'
 import { HttpRequest } from './HttpRequest'
 import { parseRequestOptions } from './parseRequestOptions'
 
@@ -106,8 +106,8 @@
 		response.end(isHealthy ? 'ok\n' : 'stopping\n')
 	}
 
-	private refuseBody(fault: BodyFault, response: ServerResponse): void {
-		if (fault === BodyFault.CutOff) {
+	private refuseBody(fault: BodyError, response: ServerResponse): void {
+		if (fault === BodyError.CutOff) {
 			response.destroy()
 			return
 		}
--- a/apps/entry/src/lib/callers/HttpRequest.ts
+++ b/apps/entry/src/lib/callers/HttpRequest.ts
@@ -4,7 +4,7 @@
 import { Outcome, type Problem } from '@rillrudder/cell'
 import { CallerRequest, type AttemptOptions } from '@rillrudder/intake'
 import type { Answer } from '@rillrudder/protocol'
-import { endToEndHeaders, type PassedHeader } from '@rillrudder/web'
+import { endToEndHeaders, type EndToEndHeader } from '@rillrudder/web'
 import { statusOf, titleOf } from './problems'
 
 const PROBLEM_TYPE = 'urn:rillrudder:problem:'
@@ -50,7 +50,7 @@
 	readonly digest: string
 	readonly deadline: number
 	private answered = false
-	private readonly headers: readonly PassedHeader[]
+	private readonly headers: readonly EndToEndHeader[]
 
 	/**
 	 * @param request - the HTTP request.
@@ -91,7 +91,7 @@
 		})
 	}
 
-	override headersFor(options: AttemptOptions): PassedHeader[] {
+	override headersFor(options: AttemptOptions): EndToEndHeader[] {
 		return [
 			...this.headers,
 			{ name: 'rillrudder-customer', value: this.customer },
--- a/packages/intake/src/lib/CallerRequest.ts
+++ b/packages/intake/src/lib/CallerRequest.ts
@@ -1,7 +1,7 @@
 /** The abstract form of a caller's request, independent of the transport. */
 import type { Outcome, Problem } from '@rillrudder/cell'
 import type { Answer } from '@rillrudder/protocol'
-import type { PassedHeader } from '@rillrudder/web'
+import type { EndToEndHeader } from '@rillrudder/web'
 
 /** Details of one attempt that are sent to the worker in headers. @public */
 export interface AttemptOptions {
@@ -41,7 +41,7 @@
 	abstract onDisconnect(listener: () => void): void
 
 	/** @returns the headers to send to the worker. */
-	abstract headersFor(terms: AttemptOptions): PassedHeader[]
+	abstract headersFor(terms: AttemptOptions): EndToEndHeader[]
 
 	/** Answers with a worker's complete response. */
 	abstract answer(answer: Answer): void
--- a/packages/intake/src/lib/WorkerCalls.ts
+++ b/packages/intake/src/lib/WorkerCalls.ts
@@ -1,6 +1,6 @@
 /** The interface through which the forwarders send requests to workers. */
 import type { Answer } from '@rillrudder/protocol'
-import type { PassedHeader } from '@rillrudder/web'
+import type { EndToEndHeader } from '@rillrudder/web'
 
 /** A request to send to a worker. @public */
 export interface WorkerCall {
@@ -9,7 +9,7 @@
 	readonly method: string
 	/** Path and query. */
 	readonly path: string
-	readonly headers: readonly PassedHeader[]
+	readonly headers: readonly EndToEndHeader[]
 	readonly body: Buffer
 	/** Milliseconds after which the attempt is abandoned. */
 	readonly timeout: number
--- a/packages/runs/src/lib/cell/RunEntry.ts
+++ b/packages/runs/src/lib/cell/RunEntry.ts
@@ -6,7 +6,7 @@
 import type { Instance } from '@rillrudder/settings'
 import { Log, Metrics } from '@rillrudder/telemetry'
 import { Random } from '@rillrudder/utils'
-import type { PassedHeader } from '@rillrudder/web'
+import type { EndToEndHeader } from '@rillrudder/web'
 import { RunClock, type RunProcess } from './RunProcess'
 import type { Receiver, RunNetwork } from './RunNetwork'
 import type { RunWorkers } from './RunWorkers'
@@ -66,7 +66,7 @@
 		// Callers of a run wait for their answer.
 	}
 
-	override headersFor(terms: AttemptOptions): PassedHeader[] {
+	override headersFor(terms: AttemptOptions): EndToEndHeader[] {
 		return [
 			{ name: 'rillrudder-customer', value: this.customer },
 			{ name: 'idempotency-key', value: this.key },
--- a/packages/web/src/lib/headers.ts
+++ b/packages/web/src/lib/headers.ts
@@ -14,7 +14,7 @@
 ])
 
 /** A header that is passed on. @public */
-export interface PassedHeader {
+export interface EndToEndHeader {
 	readonly name: string
 	readonly value: string
 }
@@ -28,13 +28,13 @@
 export function endToEndHeaders(
 	headers: IncomingHttpHeaders,
 	dropped: ReadonlySet<string> = new Set()
-): PassedHeader[] {
+): EndToEndHeader[] {
 	const named = new Set(
 		String(headers.connection ?? '')
 			.split(',')
 			.map((name) => name.trim().toLowerCase())
 	)
-	const passed: PassedHeader[] = []
+	const passed: EndToEndHeader[] = []
 	for (const [name, value] of Object.entries(headers)) {
 		if (value === undefined || HOP_BY_HOP.has(name) || named.has(name) || dropped.has(name))
 			continue
--- a/packages/web/src/lib/requestJson.ts
+++ b/packages/web/src/lib/requestJson.ts
@@ -7,7 +7,7 @@
 const NO_ANSWER = 'no answer in time'
 
 /** A call. @public */
-export interface JsonCall {
+export interface JsonRequest {
 	readonly host: string
 	readonly port: number
 	readonly method: string
@@ -22,14 +22,14 @@
 }
 
 /** A reply that came whole. @public */
-export interface JsonReply {
+export interface JsonResponse {
 	readonly status: number
 	/** The parsed body; undefined when it was empty or no JSON. */
 	readonly body: unknown
 }
 
 /** Why there is no reply. @public */
-export interface NoReply {
+export interface RequestError {
 	readonly message: string
 }
 
@@ -44,9 +44,9 @@
  * ```
  * @public
  */
-export function requestJson(call: JsonCall): Promise<Result<JsonReply, NoReply>> {
+export function requestJson(call: JsonRequest): Promise<Result<JsonResponse, RequestError>> {
 	return new Promise((resolve) => {
-		const settle = (result: Result<JsonReply, NoReply>): void => {
+		const settle = (result: Result<JsonResponse, RequestError>): void => {
 			clearTimeout(limit)
 			resolve(result)
 		}
