--- a/packages/web/src/lib/HttpServer.ts
+++ b/packages/web/src/lib/HttpServer.ts
@@ -37,7 +37,7 @@
  */
 export class HttpServer {
 	private readonly server: Server
-	private inFlight = 0
+	private inFlightCount = 0
 	private closing = false
 
 	/** @param handle - answers a call; a rejection is a fault and answered 500. */
@@ -47,8 +47,8 @@
 	}
 
 	/** How many calls are being answered. */
-	get busy(): number {
-		return this.inFlight
+	get inFlight(): number {
+		return this.inFlightCount
 	}
 
 	/** Listens. */
@@ -60,7 +60,7 @@
 	}
 
 	/** Asks clients to go elsewhere: each further answer closes its connection. */
-	beginClose(): void {
+	startDraining(): void {
 		this.closing = true
 	}
 
@@ -72,7 +72,7 @@
 	}
 
 	private async serve(request: IncomingMessage, response: ServerResponse): Promise<void> {
-		this.inFlight += 1
+		this.inFlightCount += 1
 		try {
 			const body = await readBody(request, MOST_BODY_BYTES)
 			if (!body.ok) {
@@ -89,7 +89,7 @@
 		} catch (fault) {
 			this.answer(response, { status: 500, body: { error: (fault as Error).message } })
 		} finally {
-			this.inFlight -= 1
+			this.inFlightCount -= 1
 		}
 	}
 
