--- a/packages/web/src/index.ts
+++ b/packages/web/src/index.ts
@@ -1,4 +1,4 @@
-/** HTTP helpers on both sides: JSON calls, bodies and header rules. */
+/** HTTP helpers for clients and servers: JSON requests, bodies and header rules. */
 export { endToEndHeaders, type EndToEndHeader } from './lib/headers'
 export { BodyError, readBody } from './lib/readBody'
 export {
--- a/packages/web/src/lib/HttpServer.ts
+++ b/packages/web/src/lib/HttpServer.ts
@@ -1,37 +1,37 @@
-/** An HTTP server with JSON answers, and a planned stop that cuts nothing off. */
+/** An HTTP server with JSON responses and a graceful shutdown. */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http'
 import type { Address } from './address'
 import { readBody } from './readBody'
 
-/** Bytes that a body may have; the largest are configurations with hundreds of queues. */
-const MOST_BODY_BYTES = 4 * 1024 * 1024
-/** Milliseconds for which an idle connection is kept; clients are expected to close theirs earlier. */
-const IDLE = 20_000
+/** Maximum size of a request body; the largest are configurations with hundreds of queues. */
+const MAX_BODY_BYTES = 4 * 1024 * 1024
+/** How long an idle connection is kept open; clients are expected to close theirs earlier. */
+const IDLE_TIMEOUT_MS = 20_000
 
 const JSON_TYPE = 'application/json'
 
-/** An answer; a text is sent as it is, anything else as JSON. @public */
+/** A response; a string body is sent unchanged, any other as JSON. @public */
 export interface HttpServerResponse {
 	readonly status: number
 	readonly body?: unknown
 	readonly headers?: { readonly [name: string]: string }
 }
 
-/** A call that was read whole. @public */
+/** A request whose body was read completely. @public */
 export interface HttpServerRequest {
 	readonly method: string
 	readonly host: string
-	/** Path without a query. */
+	/** Path without the query string. */
 	readonly path: string
 	readonly headers: IncomingMessage['headers']
 	readonly query: URLSearchParams
 	readonly body: Buffer
-	/** Whether its caller has closed the connection, and so gets no answer any more. */
+	/** Whether the client has closed the connection and can no longer receive a response. */
 	readonly isAbandoned: () => boolean
 }
 
 /**
- * A server.
+ * An HTTP server that can be drained before it closes.
  *
  * @public
  */
@@ -40,18 +40,18 @@
 	private inFlightCount = 0
 	private closing = false
 
-	/** @param handle - answers a call; a rejection is a fault and answered 500. */
+	/** @param handle - returns the response to a request; a rejection is answered with status 500. */
 	constructor(private readonly handle: (call: HttpServerRequest) => Promise<HttpServerResponse>) {
 		this.server = createServer((request, response) => void this.serve(request, response))
-		this.server.keepAliveTimeout = IDLE
+		this.server.keepAliveTimeout = IDLE_TIMEOUT_MS
 	}
 
-	/** How many calls are being answered. */
+	/** Number of requests in flight. */
 	get inFlight(): number {
 		return this.inFlightCount
 	}
 
-	/** Listens. */
+	/** Starts listening; rejects if the address cannot be bound. */
 	listen({ host, port }: Address): Promise<void> {
 		return new Promise((resolve, reject) => {
 			this.server.once('error', reject)
@@ -59,12 +59,12 @@
 		})
 	}
 
-	/** Asks clients to go elsewhere: each further answer closes its connection. */
+	/** Moves clients to other instances: every further response closes its connection. */
 	startDraining(): void {
 		this.closing = true
 	}
 
-	/** Takes no more connections, and closes the idle ones. */
+	/** Stops accepting connections and closes the idle ones. */
 	close(): void {
 		this.closing = true
 		this.server.close()
@@ -74,7 +74,7 @@
 	private async serve(request: IncomingMessage, response: ServerResponse): Promise<void> {
 		this.inFlightCount += 1
 		try {
-			const body = await readBody(request, MOST_BODY_BYTES)
+			const body = await readBody(request, MAX_BODY_BYTES)
 			if (!body.ok) {
 				this.answer(response, { status: 413, body: { error: body.error } })
 				return
--- a/packages/web/src/lib/address.ts
+++ b/packages/web/src/lib/address.ts
@@ -1,12 +1,12 @@
-/** Host and port, as settings write them. */
+/** Host and port as written in settings. */
 
-/** Host and port. @public */
+/** A network address. @public */
 export interface Address {
 	readonly host: string
 	readonly port: number
 }
 
-/** @returns the parts of `host:port`. @public */
+/** @returns the host and port of a `host:port` string. @public */
 export function toAddress(text: string): Address {
 	const colon = text.lastIndexOf(':')
 	return { host: text.slice(0, colon), port: Number(text.slice(colon + 1)) }
--- a/packages/web/src/lib/headers.ts
+++ b/packages/web/src/lib/headers.ts
@@ -1,4 +1,4 @@
-/** Which headers belong to one hop and are never passed on (RFC 9110, section 7.6.1). */
+/** Removes hop-by-hop headers, which are never forwarded (RFC 9110, section 7.6.1). */
 import type { IncomingHttpHeaders } from 'node:http'
 
 const HOP_BY_HOP = new Set([
@@ -13,16 +13,16 @@
 	'upgrade',
 ])
 
-/** A header that is passed on. @public */
+/** A header that is forwarded to the next hop. @public */
 export interface EndToEndHeader {
 	readonly name: string
 	readonly value: string
 }
 
 /**
- * @param headers - headers as they came.
- * @param dropped - further names, in lower case, that are not passed on.
- * @returns the headers for the next hop: without those of this hop and those that `Connection` names.
+ * @param headers - the headers as received.
+ * @param dropped - further header names, in lower case, to remove.
+ * @returns the headers to forward, without hop-by-hop headers and those named in `Connection`.
  * @public
  */
 export function endToEndHeaders(
--- a/packages/web/src/lib/readBody.ts
+++ b/packages/web/src/lib/readBody.ts
@@ -1,33 +1,33 @@
-/** Reads a whole body, up to a bound. */
+/** Reads a complete message body, up to a size limit. */
 import type { IncomingMessage } from 'node:http'
 import { failure, success, type Result } from '@rillrudder/utils'
 
-/** Why a body could not be read whole. @public */
+/** Why a body could not be read completely. @public */
 export const BodyError = {
-	/** It is longer than may be. */
+	/** The body exceeds the size limit. */
 	TooLong: 'too-long',
-	/** The connection ended before it did. */
+	/** The connection closed before the end of the body. */
 	CutOff: 'cut-off',
 } as const
-/** One of the faults. @public */
+/** One of the reasons. @public */
 export type BodyError = (typeof BodyError)[keyof typeof BodyError]
 
 /**
  * @param message - a request or response.
- * @param most - bytes that it may have.
- * @returns the whole body, or why there is none.
+ * @param maxBytes - the size limit in bytes.
+ * @returns the complete body, or why it could not be read.
  * @public
  */
 export function readBody(
 	message: IncomingMessage,
-	most: number
+	maxBytes: number
 ): Promise<Result<Buffer, BodyError>> {
 	return new Promise((resolve) => {
 		const pieces: Buffer[] = []
 		let length = 0
 		message.on('data', (piece: Buffer) => {
 			length += piece.length
-			if (length <= most) pieces.push(piece)
+			if (length <= maxBytes) pieces.push(piece)
 			else resolve(failure(BodyError.TooLong))
 		})
 		message.on('end', () => resolve(success(Buffer.concat(pieces))))
--- a/packages/web/src/lib/requestJson.ts
+++ b/packages/web/src/lib/requestJson.ts
@@ -1,43 +1,43 @@
-/** Calls that carry JSON both ways, by Node's own client. */
+/** HTTP requests with JSON bodies in both directions, using Node's HTTP client. */
 import { request as plainRequest, type Agent, type RequestOptions } from 'node:http'
 import { request as secureRequest } from 'node:https'
 import { failure, success, type Result } from '@rillrudder/utils'
 
-const MOST_REPLY_BYTES = 64 * 1024 * 1024
-const NO_ANSWER = 'no answer in time'
+const MAX_RESPONSE_BYTES = 64 * 1024 * 1024
+const TIMEOUT_MESSAGE = 'no answer in time'
 
-/** A call. @public */
+/** A request and its connection options. @public */
 export interface JsonRequest {
 	readonly host: string
 	readonly port: number
 	readonly method: string
 	readonly path: string
 	readonly body?: unknown
-	/** Milliseconds until the call is given up. */
+	/** Milliseconds until the request is aborted. */
 	readonly timeout: number
 	readonly headers?: { readonly [name: string]: string }
 	readonly agent?: Agent
-	/** Certificates for a call by TLS. */
+	/** Certificates for TLS; plain HTTP is used if absent. */
 	readonly tls?: { readonly ca: Buffer; readonly cert?: Buffer; readonly key?: Buffer }
 }
 
-/** A reply that came whole. @public */
+/** A response that was received completely. @public */
 export interface JsonResponse {
 	readonly status: number
-	/** The parsed body; undefined when it was empty or no JSON. */
+	/** The parsed body; undefined if it is empty or not valid JSON. */
 	readonly body: unknown
 }
 
-/** Why there is no reply. @public */
+/** Why a request got no response. @public */
 export interface RequestError {
 	readonly message: string
 }
 
 /**
- * Makes a call.
+ * Sends a request.
  *
- * @param call - the call.
- * @returns the reply, or why there is none. It never throws.
+ * @param call - the request.
+ * @returns the response, or why there is none. The promise never rejects for a network error.
  * @example
  * ```ts
  * const reply = await requestJson({ host, port, method: 'GET', path: '/v1/status', timeout: 2000 })
@@ -63,7 +63,7 @@
 			let length = 0
 			response.on('data', (piece: Buffer) => {
 				length += piece.length
-				if (length > MOST_REPLY_BYTES) request.destroy(new Error('the reply is too long'))
+				if (length > MAX_RESPONSE_BYTES) request.destroy(new Error('the reply is too long'))
 				else pieces.push(piece)
 			})
 			response.on('error', (fault) => settle(failure({ message: fault.message })))
@@ -73,8 +73,8 @@
 			})
 		})
 		request.on('error', (fault) => settle(failure({ message: fault.message })))
-		// A timer of its own costs a fraction of an abort signal, which leaves garbage and a finalizer behind.
-		const limit = setTimeout(() => request.destroy(new Error(NO_ANSWER)), timeout)
+		// A timer costs a fraction of an abort signal, which leaves garbage and a finalizer behind.
+		const limit = setTimeout(() => request.destroy(new Error(TIMEOUT_MESSAGE)), timeout)
 		request.end(text)
 	})
 }
