--- a/apps/control/src/main.ts
+++ b/apps/control/src/main.ts
@@ -1,6 +1,12 @@
 #!/usr/bin/env node
 /** `rr-control`, the program. */
-import { peersFrom, PROCESS_FLAGS, runCommand, runUntilStopped, setting } from '@rillrudder/program'
+import {
+	resolvePeers,
+	PROCESS_FLAGS,
+	runCommand,
+	runUntilStopped,
+	settingFlag,
+} from '@rillrudder/program'
 import { command } from 'cmd-ts'
 import { ControlProcess } from './lib/ControlProcess'
 import { checkControlSettings } from './lib/ControlSettings'
@@ -11,13 +17,17 @@
 	description: 'Groups, decisions and the operator API of one instance',
 	args: {
 		...PROCESS_FLAGS,
-		operators: setting('operators', 'RR_OPERATORS', 'host:port for operators'),
-		platform: setting('platform', 'RR_PLATFORM', 'host:port of the list of workers'),
-		data: setting('data', 'RR_DATA', 'data folder, on an instance with a disk'),
-		operatorTokens: setting('operator-tokens', 'RR_OPERATOR_TOKENS', 'file of name: token lines'),
+		operators: settingFlag('operators', 'RR_OPERATORS', 'host:port for operators'),
+		platform: settingFlag('platform', 'RR_PLATFORM', 'host:port of the list of workers'),
+		data: settingFlag('data', 'RR_DATA', 'data folder, on an instance with a disk'),
+		operatorTokens: settingFlag(
+			'operator-tokens',
+			'RR_OPERATOR_TOKENS',
+			'file of name: token lines'
+		),
 	},
 	handler: (flags) => {
-		const settings = checkControlSettings({ ...flags, peers: peersFrom(flags.peers) })
+		const settings = checkControlSettings({ ...flags, peers: resolvePeers(flags.peers) })
 		return runUntilStopped(settings, (checked) => new ControlProcess(checked))
 	},
 })
--- a/apps/entry/src/main.ts
+++ b/apps/entry/src/main.ts
@@ -1,6 +1,12 @@
 #!/usr/bin/env node
 /** Command line entry point of `rr-entry`. */
-import { peersFrom, PROCESS_FLAGS, runCommand, runUntilStopped, setting } from '@rillrudder/program'
+import {
+	resolvePeers,
+	PROCESS_FLAGS,
+	runCommand,
+	runUntilStopped,
+	settingFlag,
+} from '@rillrudder/program'
 import { command } from 'cmd-ts'
 import { EntryProcess } from './lib/EntryProcess'
 import { checkEntrySettings } from './lib/EntrySettings'
@@ -11,11 +17,11 @@
 	description: 'Callers and endpoints of one instance',
 	args: {
 		...PROCESS_FLAGS,
-		callers: setting('callers', 'RR_CALLERS', 'host:port for callers'),
-		stopDelay: setting('stop-delay', 'RR_STOP_DELAY', 'ms to go on taking requests on a stop'),
+		callers: settingFlag('callers', 'RR_CALLERS', 'host:port for callers'),
+		stopDelay: settingFlag('stop-delay', 'RR_STOP_DELAY', 'ms to go on taking requests on a stop'),
 	},
 	handler: (flags) => {
-		const settings = checkEntrySettings({ ...flags, peers: peersFrom(flags.peers) })
+		const settings = checkEntrySettings({ ...flags, peers: resolvePeers(flags.peers) })
 		return runUntilStopped(settings, (checked) => new EntryProcess(checked))
 	},
 })
--- a/packages/program/src/index.ts
+++ b/packages/program/src/index.ts
@@ -1,5 +1,5 @@
 /** Runs a program: flags and variables, findings, planned stops. */
-export { peersFrom, PROCESS_FLAGS, setting } from './lib/processFlags'
+export { resolvePeers, PROCESS_FLAGS, settingFlag } from './lib/processFlags'
 export {
 	ExitCode,
 	reportFindings,
