--- a/packages/program/src/index.ts
+++ b/packages/program/src/index.ts
@@ -1,4 +1,4 @@
-/** Runs a program: flags and variables, findings, planned stops. */
+/** Runs a program: flags and environment variables, validation findings, graceful shutdown. */
 export { resolvePeers, PROCESS_FLAGS, settingFlag } from './lib/processFlags'
 export {
 	ExitCode,
--- a/packages/program/src/lib/processFlags.ts
+++ b/packages/program/src/lib/processFlags.ts
@@ -1,18 +1,18 @@
-/** The flags that every process of the system takes. */
+/** The flags that every process of the system accepts. */
 import { array, multioption, option, optional, string } from 'cmd-ts'
 
 /**
  * @param long - the flag's name.
- * @param env - the environment variable that stands in for it.
- * @param description - for `--help`.
- * @returns an optional text flag; checks come later, with all findings together.
+ * @param env - the environment variable that is used if the flag is absent.
+ * @param description - the text for `--help`.
+ * @returns an optional text flag; it is validated later, so that all findings are reported together.
  * @public
  */
 export function settingFlag(long: string, env: string, description: string) {
 	return option({ type: optional(string), long, env, description })
 }
 
-/** Who a process is, whom it knows, and how it reports. @public */
+/** Flags for the identity of a process, its peers, metrics, log and TLS files. @public */
 export const PROCESS_FLAGS = {
 	id: settingFlag('id', 'RR_ID', 'name of this instance, one of the peers'),
 	peers: multioption({
@@ -29,7 +29,7 @@
 
 /**
  * @param given - peers from flags.
- * @returns those, or else what the environment variable names.
+ * @returns the peers from flags, or the value of `RR_PEERS` if there are none.
  * @public
  */
 export function resolvePeers(given: readonly string[]): readonly string[] {
--- a/packages/program/src/lib/runProgram.ts
+++ b/packages/program/src/lib/runProgram.ts
@@ -1,40 +1,40 @@
-/** Runs a program: its flags, its findings, its planned stop and its exit codes. */
+/** Runs a program: parses its flags, reports findings, shuts it down and sets the exit code. */
 import { formatFinding, type Finding, type Result } from '@rillrudder/utils'
 import { runSafely } from 'cmd-ts'
 import type { Runner } from 'cmd-ts/dist/cjs/runner'
 
-/** Exit codes that scripts can trust. @public */
+/** Exit codes, which scripts may rely on. @public */
 export const ExitCode = {
 	Done: 0,
-	/** The program failed while it ran, or was refused what it asked for. */
+	/** The program failed while it ran, or its request was rejected. */
 	Failed: 1,
-	/** Flags, variables or documents are not as they should be. */
+	/** Flags, environment variables or documents are invalid. */
 	Usage: 2,
-	/** What it asked could not be reached; it may have been done. */
+	/** The server could not be reached; the request may have been executed. */
 	Unreachable: 3,
 } as const
-/** One of the codes. @public */
+/** One of the exit codes. @public */
 export type ExitCode = (typeof ExitCode)[keyof typeof ExitCode]
 
-/** A program that goes on until it is stopped. @public */
+/** A program that runs until it is stopped. @public */
 export abstract class RunningProgram {
-	/** Starts; resolves once it serves. */
+	/** Starts the program; resolves once it is serving. */
 	abstract start(): Promise<void>
-	/** Stops as planned: resolves once nothing is in flight any more. */
+	/** Shuts down gracefully; resolves once nothing is in flight. */
 	abstract stop(): Promise<void>
 }
 
 /**
- * Reads flags and runs the command that they name.
+ * Parses the arguments and runs the command that they select.
  *
- * @param command - a command of cmd-ts; its handler's result is the exit code, or undefined to go on.
- * @param words - the words after the program's name.
+ * @param command - a cmd-ts command; its handler returns the exit code, or undefined to keep running.
+ * @param args - the command-line arguments after the program's name.
  * @public
  */
 // eslint-disable-next-line @typescript-eslint/no-explicit-any -- as the library declares it
-export async function runCommand(command: Runner<any, any>, words: string[]): Promise<void> {
-	process.stdout.on('error', endQuietlyWhenNobodyReads)
-	const result = await runSafely(command, words)
+export async function runCommand(command: Runner<any, any>, args: string[]): Promise<void> {
+	process.stdout.on('error', exitOnClosedPipe)
+	const result = await runSafely(command, args)
 	if (result._tag === 'ok') {
 		const code = await handlerResult(result.value)
 		if (typeof code === 'number') process.exitCode = code
@@ -45,13 +45,13 @@
 	process.exitCode = exitCode === 0 ? ExitCode.Done : ExitCode.Usage
 }
 
-/** As when the output goes to `head`. */
-function endQuietlyWhenNobodyReads(fault: NodeJS.ErrnoException): void {
+/** Exits without an error when the reader of the output closes the pipe, as `head` does. */
+function exitOnClosedPipe(fault: NodeJS.ErrnoException): void {
 	if (fault.code !== 'EPIPE') throw fault
 	process.exit(ExitCode.Done)
 }
 
-/** A subcommand's result comes wrapped once for each level of commands. */
+/** Unwraps a subcommand's result, which cmd-ts wraps once for each level of commands. */
 async function handlerResult(value: unknown): Promise<unknown> {
 	const settled = await value
 	const wrapped = typeof settled === 'object' && settled !== null && 'value' in settled
@@ -59,10 +59,10 @@
 }
 
 /**
- * Prints all findings, one a line.
+ * Prints all findings to standard error, one per line.
  *
- * @param findings - at least one.
- * @returns the exit code for them.
+ * @param findings - at least one finding.
+ * @returns the exit code for invalid input.
  * @public
  */
 export function reportFindings(findings: readonly Finding[]): ExitCode {
@@ -71,11 +71,11 @@
 }
 
 /**
- * Starts a program and stops it on SIGTERM or SIGINT; a second signal ends it at once.
+ * Starts a program and stops it on SIGTERM or SIGINT; a second signal exits immediately.
  *
- * @param settings - the settings, or what is wrong with them.
- * @param make - makes the program.
- * @returns the exit code when it could not start, or undefined while it runs.
+ * @param settings - the settings, or the findings if they are invalid.
+ * @param make - creates the program.
+ * @returns the exit code if the settings are invalid, or undefined once the program runs.
  * @public
  */
 export async function runUntilStopped<Settings>(
