--- a/packages/telemetry/src/lib/ProcessLog.ts
+++ b/packages/telemetry/src/lib/ProcessLog.ts
@@ -21,7 +21,7 @@
  * @returns the log, and the writer behind it.
  * @public
  */
-export function processLog(
+export function createProcessLog(
 	process: string,
 	clock: Clock,
 	stream: NodeJS.WritableStream,
