--- a/packages/telemetry/src/index.ts
+++ b/packages/telemetry/src/index.ts
@@ -1,4 +1,4 @@
-/** Counters, gauges, timings and structured logs. */
+/** Counters, gauges, histograms, timings and structured logs. */
 export { Level, Log, type LogFields } from './lib/Log'
 export { Metric, Metrics, type MetricsTarget } from './lib/Metrics'
 export { LineWriter, type LineSink } from './lib/LineWriter'
--- a/packages/telemetry/src/lib/LineWriter.test.ts
+++ b/packages/telemetry/src/lib/LineWriter.test.ts
@@ -1,4 +1,4 @@
-/** Log lines stay bounded and never wait. */
+/** Logging is bounded and never blocks. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import { ManualClock } from '@rillrudder/utils'
@@ -18,7 +18,7 @@
 		this.call = call
 	}
 
-	goOn(): void {
+	resume(): void {
 		this.stopped = false
 		const { call } = this
 		this.call = undefined
@@ -33,7 +33,7 @@
 	return { clock, reader, writer }
 }
 
-test('a reader that stops holds nothing up, and what waits for it is bounded', () => {
+test('a stopped reader blocks nothing, and the lines buffered for it are bounded', () => {
 	const { clock, reader, writer } = subject()
 	reader.stopped = true
 	for (let second = 0; second < 200; second++) {
@@ -42,11 +42,11 @@
 	}
 	assert.equal(reader.lines.length, 1)
 	assert.ok(writer.dropped > 7000)
-	reader.goOn()
+	reader.resume()
 	assert.ok(reader.lines.length < 3000)
 })
 
-test('each event has its budget, and what is left out is told in the next second', () => {
+test('each event has a budget, and dropped lines are reported in the next second', () => {
 	const { clock, reader, writer } = subject()
 	for (let line = 0; line < 150; line++) writer.write('many', 'many', false)
 	writer.write('few', 'few', false)
@@ -57,7 +57,7 @@
 	assert.equal(writer.dropped, 50)
 })
 
-test('changes of state go out whatever the budget', () => {
+test('state changes are written regardless of the budget', () => {
 	const { reader, writer } = subject()
 	for (let line = 0; line < 500; line++) writer.write('many', 'many', false)
 	writer.write('many', 'state', true)
--- a/packages/telemetry/src/lib/LineWriter.ts
+++ b/packages/telemetry/src/lib/LineWriter.ts
@@ -1,69 +1,70 @@
 /**
- * Writes log lines without ever waiting: what a slow or stopped reader does not take gathers in a bounded
- * buffer, each event has a budget of lines a second, and what is left out is counted and told.
+ * Writes log lines without blocking. Lines that a slow or stopped reader does not accept are kept in a
+ * bounded buffer, each event has a budget of lines per second, and dropped lines are counted and
+ * reported.
  */
 import type { Clock } from '@rillrudder/utils'
 
-/** Lines that one event may write in a second; a calm instance writes a tenth of it. */
+/** Lines that one event may write per second; an instance in normal operation writes a tenth of it. */
 const EVENT_BUDGET = 100
-/** Lines that all events together may write in a second. */
+/** Lines that all events together may write per second. */
 const TOTAL_BUDGET = 400
-/** Bytes that wait for a slow reader; at 200 bytes a line this is five seconds of the budget. */
-const MOST_WAITING = 512 * 1024
-const SECOND = 1000
+/** Maximum bytes buffered for a slow reader; five seconds of the budget at 200 bytes per line. */
+const MAX_BUFFERED_BYTES = 512 * 1024
+const SECOND_MS = 1000
 
-/** The part of a stream that lines are written to. @public */
+/** The operations of a stream that lines are written to. @public */
 export interface LineSink {
-	/** @returns false when the reader is behind; `drain` is told once it is not. */
+	/** @returns false if the reader is behind; `onceDrained` then reports when it has caught up. */
 	write(text: string): boolean
 	/** Calls back once the reader has caught up. */
 	onceDrained(call: () => void): void
 }
 
 /**
- * A bounded writer of lines.
+ * A non-blocking line writer with a bounded buffer and a rate limit per event.
  *
  * @public
  */
 export class LineWriter {
-	private waiting: string[] = []
-	private waitingBytes = 0
+	private buffered: string[] = []
+	private bufferedBytes = 0
 	private blocked = false
 	private second = 0
 	private total = 0
 	private readonly written = new Map<string, number>()
-	private readonly leftOut = new Map<string, number>()
-	private leftOutCount = 0
+	private readonly droppedByEvent = new Map<string, number>()
+	private droppedCount = 0
 
 	/**
-	 * @param sink - where lines go.
-	 * @param clock - for budgets.
-	 * @param told - makes the line that tells what was left out.
+	 * @param sink - the destination of the lines.
+	 * @param clock - the clock for the budgets.
+	 * @param formatDropped - returns the line that reports the dropped lines, counted by event.
 	 */
 	constructor(
 		private readonly sink: LineSink,
 		private readonly clock: Clock,
-		private readonly told: (counts: { readonly [event: string]: number }) => string
+		private readonly formatDropped: (counts: { readonly [event: string]: number }) => string
 	) {}
 
-	/** Lines that were left out since the start. */
+	/** Number of lines dropped since the start. */
 	get dropped(): number {
-		return this.leftOutCount
+		return this.droppedCount
 	}
 
 	/**
-	 * Writes a line, or counts it as left out.
+	 * Writes a line, or drops and counts it.
 	 *
-	 * @param event - what the budget is counted by.
-	 * @param line - the line, without its end.
-	 * @param keep - whether it goes out whatever the budget; for changes of state, which are few.
+	 * @param event - the event whose budget applies.
+	 * @param line - the line, without a line break.
+	 * @param keep - whether the line is exempt from the budget; for state changes, which are few.
 	 */
 	write(event: string, line: string, keep: boolean): void {
-		this.beginSecond()
+		this.resetBudgets()
 		const count = this.written.get(event) ?? 0
 		const over = !keep && (count >= EVENT_BUDGET || this.total >= TOTAL_BUDGET)
-		if (over || this.waitingBytes + line.length > MOST_WAITING) {
-			this.leaveOut(event)
+		if (over || this.bufferedBytes + line.length > MAX_BUFFERED_BYTES) {
+			this.drop(event)
 			return
 		}
 		this.written.set(event, count + 1)
@@ -71,27 +72,27 @@
 		this.push(line)
 	}
 
-	private beginSecond(): void {
-		const second = Math.floor(this.clock.now() / SECOND)
+	private resetBudgets(): void {
+		const second = Math.floor(this.clock.now() / SECOND_MS)
 		if (second === this.second) return
 		this.second = second
 		this.total = 0
 		this.written.clear()
-		if (this.leftOut.size === 0 || this.waitingBytes > 0) return
-		const counts = Object.fromEntries(this.leftOut)
-		this.leftOut.clear()
-		this.push(this.told(counts))
+		if (this.droppedByEvent.size === 0 || this.bufferedBytes > 0) return
+		const counts = Object.fromEntries(this.droppedByEvent)
+		this.droppedByEvent.clear()
+		this.push(this.formatDropped(counts))
 	}
 
-	private leaveOut(event: string): void {
-		this.leftOutCount += 1
-		this.leftOut.set(event, (this.leftOut.get(event) ?? 0) + 1)
+	private drop(event: string): void {
+		this.droppedCount += 1
+		this.droppedByEvent.set(event, (this.droppedByEvent.get(event) ?? 0) + 1)
 	}
 
 	private push(line: string): void {
 		if (this.blocked) {
-			this.waiting.push(line)
-			this.waitingBytes += line.length
+			this.buffered.push(line)
+			this.bufferedBytes += line.length
 			return
 		}
 		this.send(`${line}\n`)
@@ -100,15 +101,15 @@
 	private send(text: string): void {
 		if (this.sink.write(text)) return
 		this.blocked = true
-		this.sink.onceDrained(() => this.drained())
+		this.sink.onceDrained(() => this.onDrained())
 	}
 
-	private drained(): void {
+	private onDrained(): void {
 		this.blocked = false
-		if (this.waiting.length === 0) return
-		const text = `${this.waiting.join('\n')}\n`
-		this.waiting = []
-		this.waitingBytes = 0
+		if (this.buffered.length === 0) return
+		const text = `${this.buffered.join('\n')}\n`
+		this.buffered = []
+		this.bufferedBytes = 0
 		this.send(text)
 	}
 }
--- a/packages/telemetry/src/lib/Log.ts
+++ b/packages/telemetry/src/lib/Log.ts
@@ -1,19 +1,19 @@
-/** Structured logs: one JSON object a line, and a line only for a change of state. */
+/** Structured logs: one JSON object per line, written only for state changes. */
 import type { Clock } from '@rillrudder/utils'
 import loglevel, { type LogLevelDesc, type Logger } from 'loglevel'
 
-/** Fields of a line besides its time, level, process and event. @public */
+/** Fields of a log line in addition to its time, level, process and event. @public */
 export interface LogFields {
 	readonly [field: string]: string | number | boolean | undefined
 }
 
-/** How severe a line is. @public */
+/** Severity of a log line. @public */
 export const Level = { Debug: 'debug', Info: 'info', Warn: 'warn', Error: 'error' } as const
 /** One of the levels. @public */
 export type Level = (typeof Level)[keyof typeof Level]
 
-/** The library's numbers for the levels. */
-const RANKS: { readonly [level in Level]: number } = {
+/** The numeric levels of loglevel. */
+const NUMERIC_LEVELS: { readonly [level in Level]: number } = {
 	debug: loglevel.levels.DEBUG,
 	info: loglevel.levels.INFO,
 	warn: loglevel.levels.WARN,
@@ -35,8 +35,8 @@
 	/**
 	 * @param process - id of the process, on every line.
 	 * @param clock - gives the time of each line.
-	 * @param level - lines below it are left out.
-	 * @param write - takes each line; standard error by default.
+	 * @param level - lines below this level are not logged.
+	 * @param write - writes a line; to standard error by default.
 	 */
 	constructor(
 		private readonly process: string,
@@ -45,41 +45,41 @@
 		write: (line: string, event: string, level: Level) => void = (line) =>
 			void globalThis.process.stderr.write(line + '\n')
 	) {
-		this.logger = loglevel.getLogger(`${process}-${++Log.made}`)
+		this.logger = loglevel.getLogger(`${process}-${++Log.loggerCount}`)
 		this.logger.methodFactory = () => (line: string, event: string, lineLevel: Level) =>
 			write(line, event, lineLevel)
 		this.logger.setLevel(level, false)
 	}
 
-	private static made = 0
+	private static loggerCount = 0
 
-	/** A change that only helps to find a fault. */
+	/** Logs a detail that is useful only for debugging. */
 	debug(event: string, fields: LogFields = {}): void {
-		this.tell(Level.Debug, event, fields)
+		this.write(Level.Debug, event, fields)
 	}
 
-	/** A change of state that is meant to happen. */
+	/** Logs an expected state change. */
 	info(event: string, fields: LogFields = {}): void {
-		this.tell(Level.Info, event, fields)
+		this.write(Level.Info, event, fields)
 	}
 
-	/** A change of state that somebody should look at. */
+	/** Logs a state change that needs attention. */
 	warn(event: string, fields: LogFields = {}): void {
-		this.tell(Level.Warn, event, fields)
+		this.write(Level.Warn, event, fields)
 	}
 
-	/** A fault after which the process can't go on as it was. */
+	/** Logs a fault after which the process cannot continue normally. */
 	error(event: string, fields: LogFields = {}): void {
-		this.tell(Level.Error, event, fields)
+		this.write(Level.Error, event, fields)
 	}
 
-	/** A line below the level of this log is not even made: that costs more than most decisions that it tells of. */
-	private tell(level: Level, event: string, fields: LogFields): void {
-		if (this.logger.getLevel() > RANKS[level]) return
-		this.logger[level](this.line(level, event, fields), event, level)
+	/** Formats only lines that are logged: formatting costs more than most decisions that are logged. */
+	private write(level: Level, event: string, fields: LogFields): void {
+		if (this.logger.getLevel() > NUMERIC_LEVELS[level]) return
+		this.logger[level](this.format(level, event, fields), event, level)
 	}
 
-	private line(level: Level, event: string, fields: LogFields): string {
+	private format(level: Level, event: string, fields: LogFields): string {
 		const at = this.clock.date().toISOString()
 		return JSON.stringify({ at, level, process: this.process, event, ...fields })
 	}
--- a/packages/telemetry/src/lib/Meter.test.ts
+++ b/packages/telemetry/src/lib/Meter.test.ts
@@ -1,9 +1,9 @@
-/** The text that scrapers read. */
+/** The text format for scrapers. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import { Measure, Meter } from './Meter'
 
-test('counters, gauges and histograms come out as text with their labels', async () => {
+test('counters, gauges and histograms are exported as text with their labels', async () => {
 	const meter = new Meter()
 	meter.count(Measure.RunsEnded, { how: 'done' })
 	meter.count(Measure.RunsEnded, { how: 'done' })
--- a/packages/telemetry/src/lib/Meter.ts
+++ b/packages/telemetry/src/lib/Meter.ts
@@ -1,115 +1,124 @@
-/** Counters, gauges and histograms of one process, served as text that scrapers read. */
+/** Counters, gauges and histograms of one process, exported in the Prometheus text format. */
 import { Counter, Gauge, Histogram, Registry } from 'prom-client'
 
-/** What is measured; labels are few and bounded, so that the text stays short. @public */
+/** All metrics for scrapers. Labels are few and bounded, so that the export stays small. @public */
 export const Measure = {
 	/** Counter by `kind` and `outcome`: calls of clients, workers and operators answered here. */
 	Calls: 'calls_total',
-	/** Histogram by `kind`, milliseconds: from a call's arrival here to its reply. */
+	/** Histogram by `kind`, milliseconds: from the arrival of a call to its reply. */
 	CallTime: 'call_time_ms',
-	/** Counter by `state`: jobs that reached their last state. */
+	/** Counter by `state`: jobs that reached a final state. */
 	JobsEnded: 'jobs_ended_total',
-	/** Histogram by `state`, milliseconds: from a job's acceptance to its last state. */
+	/** Histogram by `state`, milliseconds: from the acceptance of a job to its final state. */
 	JobTime: 'job_time_ms',
-	/** Histogram by `priority`, milliseconds: from when a step could begin to its runs' beginning. */
+	/** Histogram by `priority`, milliseconds: from when a step could start to the start of its runs. */
 	StepWait: 'step_wait_ms',
-	/** Counter by `priority` and `reason`, milliseconds: that steps waited for their runs' beginning. */
+	/** Counter by `priority` and `reason`, milliseconds: time that steps waited for their runs to start. */
 	StepWaits: 'step_waits_ms_total',
-	/** Histogram by `full`, milliseconds: that one pass over the waiting steps took. */
+	/** Histogram by `full`, milliseconds: duration of one pass over the waiting steps. */
 	PassTime: 'pass_time_ms',
-	/** Histogram, milliseconds: from the decision to begin a run to its worker's confirmation. */
+	/** Histogram, milliseconds: from the decision to start a run to the confirmation of its worker. */
 	StartDelay: 'start_delay_ms',
 	/** Counter by `how`: runs that ended. */
 	RunsEnded: 'runs_ended_total',
-	/** Counter by `cause`, processor seconds: reserved for work of runs that was thrown away. */
+	/** Counter by `cause`, processor seconds: reserved for work of runs that was discarded. */
 	WastedWork: 'wasted_processor_seconds_total',
-	/** Counter by `evidence`: workers that crashed under a task, one for each task that ran there. */
+	/** Counter by `evidence`: worker crashes while a task ran, one for each task on the worker. */
 	TaskCrashes: 'task_crashes_total',
-	/** Counter: tasks that were given up since they crash their workers. */
+	/** Counter: tasks that were abandoned because they crash their workers. */
 	TasksGivenUp: 'tasks_given_up_total',
-	/** Counter by `priority`: steps whose queue's policy allowed none of the open workers. */
+	/** Counter by `priority`: steps whose queue policy allowed none of the open workers. */
 	StepsBarred: 'steps_barred_total',
-	/** Counter: steps with tasks to begin that no change had told of, found by looking again. */
+	/** Counter: steps with startable tasks that no change event reported, found by a periodic check. */
 	MissedWork: 'missed_work_total',
-	/** Counter: messages of other instances that could not be read. */
+	/** Counter: messages from other instances that could not be decoded. */
 	MessagesUnreadable: 'messages_unreadable_total',
-	/** Counter by `call`: calls that failed by a fault of this program. */
+	/** Counter by `call`: calls that failed because of an internal error. */
 	CallsFaulty: 'calls_faulty_total',
-	/** Counter: runs stopped to make room for work of the highest priority at a service. */
+	/** Counter: runs preempted to free capacity for work of the highest priority at a service. */
 	Preemptions: 'preemptions_total',
-	/** Counter: runs moved away from a worker on which they stood still. */
+	/** Counter: runs moved away from a worker on which they stalled. */
 	Moves: 'moves_total',
-	/** Counter: times that a worker was found on which runs stand still. */
+	/** Counter: times that a worker with stalled runs was detected. */
 	StalledWorkers: 'stalled_workers_total',
 	/** Counter by `order` and `result`: orders to workers. */
 	Orders: 'orders_total',
 	/** Histogram by `order`, milliseconds: until a worker answered. */
 	OrderTime: 'order_time_ms',
-	/** Counter by `outcome`: answers to questions for advice. */
+	/** Counter by `outcome`: answers to requests for advice. */
 	Advice: 'advice_total',
-	/** Histogram, milliseconds: from a question, waiting included, to its answer. */
+	/** Histogram, milliseconds: from a request for advice, including queueing, to its answer. */
 	AdviceTime: 'advice_time_ms',
-	/** Histogram, milliseconds: between the moment that a gang asked its tickets for and its beginning. */
+	/**
+	 * Histogram, milliseconds: difference between the start for which a gang requested its tickets and
+	 * its actual start.
+	 */
 	GangPlanError: 'gang_plan_error_ms',
-	/** Histogram, milliseconds: from the orders to start a gang's members to when all of them were there. */
+	/** Histogram, milliseconds: from the start orders for a gang's members until all have joined. */
 	GangGathering: 'gang_gathering_ms',
-	/** Counter by `reason`: attempts of gangs that were given up before all members were there. */
+	/** Counter by `reason`: gang attempts that were abandoned before all members had joined. */
 	GangsGivenUp: 'gangs_given_up_total',
-	/** Histogram, milliseconds: from a proposal to its being applied. */
+	/** Histogram, milliseconds: from a proposal to its application. */
 	CommitTime: 'commit_time_ms',
-	/** Counter: times that this instance began to lead. */
+	/** Counter: times that this instance became leader. */
 	Leaderships: 'leaderships_total',
-	/** Gauge: term of the group as known here. */
+	/** Gauge: term of the group as known to this instance. */
 	Term: 'term',
-	/** Gauge: 1 while this instance leads. */
+	/** Gauge: 1 while this instance is leader, otherwise 0. */
 	Leads: 'leads',
 	/** Gauge by `state`: workers open, unreachable, draining. */
 	Workers: 'workers',
-	/** Gauge: workers that are called slow. */
+	/** Gauge: workers classified as slow. */
 	SlowWorkers: 'slow_workers',
-	/** Gauge: speed of the slowest quarter of the workers as a share of the median; 1 while too few are known. */
+	/**
+	 * Gauge: speed of the slowest quarter of the workers as a share of the median; 1 while too few
+	 * speeds are known.
+	 */
 	SlowestShare: 'slowest_workers_share',
-	/** Gauge: runs that have begun and not ended. */
+	/** Gauge: runs that have started and not ended. */
 	Runs: 'runs',
-	/** Gauge by `priority`: steps with tasks that wait to begin. */
+	/** Gauge by `priority`: steps with tasks that wait to start. */
 	StepsWaiting: 'steps_waiting',
-	/** Gauge by `reason`, milliseconds: for how long the step waits that waits longest for it. */
+	/** Gauge by `reason`, milliseconds: the longest current wait of a step for this reason. */
 	OldestWait: 'oldest_wait_ms',
-	/** Gauge: how many starts may be under way at a time while the cell is behind with them; 0 for no bound. */
+	/** Gauge: limit of concurrent starts while the cell is behind with them; 0 for no limit. */
 	StartWindow: 'start_window',
-	/** Gauge by `account` and `service`, for fifty of them at most: the share of the room that it may count on, from 0 to 1. */
+	/**
+	 * Gauge by `account` and `service`, for fifty pairs at most: the guaranteed share of the capacity,
+	 * from 0 to 1.
+	 */
 	AccountShare: 'account_share',
-	/** Gauge by `account` and `service`, for the same ones: the share of the room that it holds. */
+	/** Gauge by `account` and `service`, for the same pairs: the share of the capacity in use. */
 	AccountUse: 'account_use',
-	/** Counter: times that a client account went over its share of a service. */
+	/** Counter: times that a client account exceeded its share of a service. */
 	SharesExceeded: 'shares_exceeded_total',
 	/** Gauge: voters of the group. */
 	Voters: 'voters',
 	/** Gauge: version of the configuration in force. */
 	Configuration: 'configuration_version',
-	/** Gauge, milliseconds: how late the event loop runs. */
+	/** Gauge, milliseconds: delay of the event loop. */
 	LoopDelay: 'loop_delay_ms',
-	/** Gauge: callers' calls under way at an entry instance. */
+	/** Gauge: calls in flight at an entry instance. */
 	CallsUnderWay: 'calls_under_way',
 	/** Gauge by `peer`, at a leader: share of its workers that a carrier keeps while it is late. */
 	CarrierKept: 'carrier_kept',
-	/** Gauge: log lines left out since the start. */
+	/** Gauge: log lines dropped since the start. */
 	LinesLeftOut: 'log_lines_left_out',
 } as const
-/** One of the measures. @public */
+/** Name of a metric, without the common prefix. @public */
 export type Measure = (typeof Measure)[keyof typeof Measure]
 
-/** Labels of one reading. @public */
+/** Label values of one sample. @public */
 export interface Labels {
 	readonly [name: string]: string
 }
 
 const PREFIX = 'rillrudder_'
-/** Bounds of histograms in milliseconds: from a commit to the longest job. */
-const BUCKETS = [1, 3, 10, 30, 100, 300, 1000, 3000, 10_000, 30_000]
+/** Histogram bounds in milliseconds, from the time of a commit to that of the longest job. */
+const BUCKET_BOUNDS_MS = [1, 3, 10, 30, 100, 300, 1000, 3000, 10_000, 30_000]
 
 /**
- * The measures of one process.
+ * The metrics of one process for scrapers.
  *
  * @example
  * ```ts
@@ -124,7 +133,7 @@
 	private readonly gauges = new Map<Measure, Gauge>()
 	private readonly histograms = new Map<Measure, Histogram>()
 
-	/** Adds to a counter, one unless said otherwise. */
+	/** Adds to a counter, 1 by default. */
 	count(measure: Measure, labels: Labels = {}, by = 1): void {
 		this.counter(measure, labels).inc({ ...labels }, by)
 	}
@@ -139,17 +148,17 @@
 		gauge.set({ ...labels }, value)
 	}
 
-	/** Records a span in milliseconds. */
+	/** Records a duration in a histogram. */
 	observe(measure: Measure, milliseconds: number, labels: Labels = {}): void {
 		let histogram = this.histograms.get(measure)
 		if (!histogram) {
-			histogram = new Histogram({ ...this.options(measure, labels), buckets: BUCKETS })
+			histogram = new Histogram({ ...this.options(measure, labels), buckets: BUCKET_BOUNDS_MS })
 			this.histograms.set(measure, histogram)
 		}
 		histogram.observe({ ...labels }, milliseconds)
 	}
 
-	/** @returns all measures as text. */
+	/** @returns all metrics in the Prometheus text format. */
 	text(): Promise<string> {
 		return this.registry.metrics()
 	}
--- a/packages/telemetry/src/lib/Metrics.ts
+++ b/packages/telemetry/src/lib/Metrics.ts
@@ -1,11 +1,11 @@
-/** Counters, gauges and timings, sent by StatsD and kept for the process's own status page. */
+/** Counters, gauges and timings, sent over StatsD and kept for the status page of the process. */
 import { StatsD } from 'hot-shots'
 
-/** Every metric, each with its kind and unit. @public */
+/** All StatsD metrics, each with its type and unit. @public */
 export const Metric = {
-	/** Counter: callers' requests taken in. */
+	/** Counter: requests accepted from callers. */
 	RequestsIn: 'requests.in',
-	/** Counter, tag `outcome`: answers given. */
+	/** Counter, tag `outcome`: answers sent to callers. */
 	RequestsOut: 'requests.out',
 	/** Timing, milliseconds: from the request's last byte to the answer's first. */
 	RequestTime: 'requests.time',
@@ -15,7 +15,7 @@
 	Retries: 'requests.retries',
 	/** Gauge: requests that are not repeatable and have not finished, at a leader. */
 	RequestsOpen: 'requests.open',
-	/** Gauge: slots that an entry instance has been lent. */
+	/** Gauge: slots lent to an entry instance. */
 	SlotsLent: 'slots.lent',
 	/** Gauge: slots of an entry instance in use. */
 	SlotsUsed: 'slots.used',
@@ -25,9 +25,9 @@
 	TasksRunning: 'tasks.running',
 	/** Counter: commands committed and applied. */
 	Commands: 'group.commands',
-	/** Counter, tag `group`: times that leadership was gained. */
+	/** Counter, tag `group`: times that this instance gained leadership. */
 	LeadershipGained: 'group.leadership',
-	/** Gauge: the configuration revision in force here. */
+	/** Gauge: the configuration revision in force at this instance. */
 	ConfigurationRevision: 'configuration.revision',
 	/** Counter: events that could not be sent to a peer and were dropped. */
 	EventsDropped: 'links.dropped',
@@ -35,23 +35,23 @@
 	EventsSent: 'links.sent',
 	/** Counter: exchanges with workers about their tasks. */
 	Exchanges: 'workers.exchanges',
-	/** Gauge: workers closed for failing. */
+	/** Gauge: workers closed because of failures. */
 	WorkersClosed: 'workers.closed',
 } as const
 /** One of the metrics. @public */
 export type Metric = (typeof Metric)[keyof typeof Metric]
 
-/** Where metrics go. @public */
+/** Address of a StatsD server. @public */
 export interface MetricsTarget {
 	readonly host: string
 	readonly port: number
 }
 
 const PREFIX = 'rillrudder.'
-const PACKET_BYTES = 1400
+const MAX_PACKET_BYTES = 1400
 
 /**
- * The metrics of one process.
+ * The StatsD metrics of one process.
  *
  * @public
  */
@@ -62,7 +62,7 @@
 
 	/**
 	 * @param process - id of the process, a tag on every metric.
-	 * @param target - a StatsD server, or undefined to send nothing.
+	 * @param target - the StatsD server, or undefined to send nothing.
 	 */
 	constructor(process: string, target?: MetricsTarget) {
 		if (!target) return
@@ -71,8 +71,8 @@
 			port: target.port,
 			prefix: PREFIX,
 			globalTags: { process },
-			maxBufferSize: PACKET_BYTES,
-			// A metrics server that is away is no reason to fail.
+			maxBufferSize: MAX_PACKET_BYTES,
+			// An unreachable metrics server must not fail the process.
 			errorHandler: () => undefined,
 		})
 	}
@@ -93,7 +93,7 @@
 		this.client?.gauge(metric, value, tag === undefined ? [] : [tag])
 	}
 
-	/** Records a span in milliseconds. */
+	/** Sends a duration. */
 	timing(metric: Metric, milliseconds: number): void {
 		this.client?.timing(metric, milliseconds)
 	}
@@ -103,7 +103,7 @@
 		return Object.fromEntries([...this.counters, ...this.gauges])
 	}
 
-	/** Sends what is buffered and closes the socket. */
+	/** Flushes buffered metrics and closes the socket. */
 	close(): void {
 		this.client?.close(() => undefined)
 	}
--- a/packages/telemetry/src/lib/ProcessLog.ts
+++ b/packages/telemetry/src/lib/ProcessLog.ts
@@ -1,24 +1,26 @@
-/** The log of a process on its standard output, bounded and never waiting. */
+/** The log of a process, bounded and non-blocking. */
 import type { Clock } from '@rillrudder/utils'
 import type { LogLevelDesc } from 'loglevel'
 import { LineWriter, type LineSink } from './LineWriter'
 import { Level, Log } from './Log'
 
-/** Event of the line that tells how many lines of which events were left out. @public */
+/** Event of the line that reports how many lines of which events were dropped. @public */
 export const LINES_LEFT_OUT = 'lines-left-out'
 
-/** A log and what it left out. @public */
+/** A log and its writer, which counts dropped lines. @public */
 export interface ProcessLog {
 	readonly log: Log
 	readonly writer: LineWriter
 }
 
 /**
+ * Creates the log of a process.
+ *
  * @param process - id of the process, on every line.
- * @param clock - time of the lines and of their budgets.
- * @param stream - where lines go.
- * @param level - lines below it are left out.
- * @returns the log, and the writer behind it.
+ * @param clock - the clock for timestamps and budgets.
+ * @param stream - the destination of the lines.
+ * @param level - lines below this level are not logged.
+ * @returns the log and its writer.
  * @public
  */
 export function createProcessLog(
@@ -31,7 +33,7 @@
 		write: (text) => stream.write(text),
 		onceDrained: (call) => void stream.once('drain', call),
 	}
-	// A reader that has gone takes nothing more; the process goes on without its log.
+	// If the reader closes the stream, the process continues without its log.
 	stream.on('error', () => undefined)
 	const writer = new LineWriter(sink, clock, (counts) =>
 		JSON.stringify({
--- a/packages/telemetry/src/lib/vocabulary.test.ts
+++ b/packages/telemetry/src/lib/vocabulary.test.ts
@@ -1,4 +1,4 @@
-/** Every event that a process logs has a line that says what it means, and only known events are logged. */
+/** Every log event is documented with its fields, and only documented events are logged. */
 import assert from 'node:assert/strict'
 import { readdirSync, readFileSync } from 'node:fs'
 import { join } from 'node:path'
@@ -29,7 +29,7 @@
 	const found = new Map<string, Described>()
 	for (const file of VOCABULARIES) {
 		for (const [, comment, name] of readFileSync(join(ROOT, file), 'utf8').matchAll(ENTRY)) {
-			assert.notEqual(comment, '', `${name} of ${file} has no line that says what it means`)
+			assert.notEqual(comment, '', `${name} of ${file} has no doc comment`)
 			const fields = [...comment.matchAll(/`(\w+)`/g)].map((match) => match[1])
 			found.set(name, { name, fields })
 		}
@@ -37,10 +37,10 @@
 	return found
 }
 
-/** Calls of a log with a named event and its fields in the same expression. */
+/** Matches log calls that have a named event and its fields in the same expression. */
 const CALL = /\.(?:debug|info|warn|error)\(\s*(?:Leader|Member)Event\.(\w+),?\s*(\{[^}]*\})?/g
 
-test('every event has a line, and the fields that a call writes stand in it', () => {
+test('every event is documented, including the fields that log calls write', () => {
 	const known = vocabulary()
 	assert.ok(known.size > 20)
 	for (const file of SOURCES.flatMap(filesBelow)) {
