--- a/packages/telemetry/src/lib/Meter.ts
+++ b/packages/telemetry/src/lib/Meter.ts
@@ -13,7 +13,7 @@
 	JobTime: 'job_time_ms',
 	/** Histogram by `priority`, milliseconds: from when a step could start to the start of its runs. */
 	StepWait: 'step_wait_ms',
-	/** Counter by `priority` and `reason`, milliseconds: time that steps waited for their runs to start. */
+	/** Counter by `priority` and `reason`, milliseconds: time that steps waited for a start. */
 	StepWaits: 'step_waits_ms_total',
 	/** Histogram by `full`, milliseconds: duration of one pass over the waiting steps. */
 	PassTime: 'pass_time_ms',
