--- a/packages/program/src/index.ts
+++ b/packages/program/src/index.ts
@@ -1,5 +1,5 @@
-/** Runs a program: flags and variables, findings, planned stops. */
-export { peersFrom, PROCESS_FLAGS, setting } from './lib/processFlags'
+/** Runs a program: flags and environment variables, validation findings, graceful shutdown. */
+export { resolvePeers, PROCESS_FLAGS, settingFlag } from './lib/processFlags'
 export {
 	ExitCode,
 	reportFindings,
--- a/packages/utils/src/index.ts
+++ b/packages/utils/src/index.ts
@@ -1,4 +1,4 @@
-/** Clock, seeded randomness, results, findings and typed goroutines. */
+/** Clocks, seeded random numbers, results, validation findings and mailboxes for goroutines. */
 export { Mailbox } from './lib/csp/Mailbox'
 export { Random } from './lib/random/Random'
 export { textHash } from './lib/random/textHash'
@@ -8,5 +8,5 @@
 export { failure, success, type Failure, type Result, type Success } from './lib/result/Result'
 export { Clock, Timer } from './lib/time/Clock'
 export { ManualClock } from './lib/time/ManualClock'
-export { SkippedTime } from './lib/time/SkippedTime'
+export { ClockSkipDetector } from './lib/time/ClockSkipDetector'
 export { SystemClock } from './lib/time/SystemClock'
--- a/packages/web/src/lib/headers.ts
+++ b/packages/web/src/lib/headers.ts
@@ -1,4 +1,4 @@
-/** Which headers belong to one hop and are never passed on (RFC 9110, section 7.6.1). */
+/** Removes hop-by-hop headers, which are never forwarded (RFC 9110, section 7.6.1). */
 import type { IncomingHttpHeaders } from 'node:http'
 
 const HOP_BY_HOP = new Set([
@@ -13,28 +13,28 @@
 	'upgrade',
 ])
 
-/** A header that is passed on. @public */
-export interface PassedHeader {
+/** A header that is forwarded to the next hop. @public */
+export interface EndToEndHeader {
 	readonly name: string
 	readonly value: string
 }
 
 /**
- * @param headers - headers as they came.
- * @param dropped - further names, in lower case, that are not passed on.
- * @returns the headers for the next hop: without those of this hop and those that `Connection` names.
+ * @param headers - the headers as received.
+ * @param dropped - further header names, in lower case, to remove.
+ * @returns the headers to forward, without hop-by-hop headers and those named in `Connection`.
  * @public
  */
 export function endToEndHeaders(
 	headers: IncomingHttpHeaders,
 	dropped: ReadonlySet<string> = new Set()
-): PassedHeader[] {
+): EndToEndHeader[] {
 	const named = new Set(
 		String(headers.connection ?? '')
 			.split(',')
 			.map((name) => name.trim().toLowerCase())
 	)
-	const passed: PassedHeader[] = []
+	const passed: EndToEndHeader[] = []
 	for (const [name, value] of Object.entries(headers)) {
 		if (value === undefined || HOP_BY_HOP.has(name) || named.has(name) || dropped.has(name))
 			continue
--- a/packages/web/src/lib/readBody.ts
+++ b/packages/web/src/lib/readBody.ts
@@ -1,37 +1,37 @@
-/** Reads a whole body, up to a bound. */
+/** Reads a complete message body, up to a size limit. */
 import type { IncomingMessage } from 'node:http'
 import { failure, success, type Result } from '@rillrudder/utils'
 
-/** Why a body could not be read whole. @public */
-export const BodyFault = {
-	/** It is longer than may be. */
+/** Why a body could not be read completely. @public */
+export const BodyError = {
+	/** The body exceeds the size limit. */
 	TooLong: 'too-long',
-	/** The connection ended before it did. */
+	/** The connection closed before the end of the body. */
 	CutOff: 'cut-off',
 } as const
-/** One of the faults. @public */
-export type BodyFault = (typeof BodyFault)[keyof typeof BodyFault]
+/** One of the reasons. @public */
+export type BodyError = (typeof BodyError)[keyof typeof BodyError]
 
 /**
  * @param message - a request or response.
- * @param most - bytes that it may have.
- * @returns the whole body, or why there is none.
+ * @param maxBytes - the size limit in bytes.
+ * @returns the complete body, or why it could not be read.
  * @public
  */
 export function readBody(
 	message: IncomingMessage,
-	most: number
-): Promise<Result<Buffer, BodyFault>> {
+	maxBytes: number
+): Promise<Result<Buffer, BodyError>> {
 	return new Promise((resolve) => {
 		const pieces: Buffer[] = []
 		let length = 0
 		message.on('data', (piece: Buffer) => {
 			length += piece.length
-			if (length <= most) pieces.push(piece)
-			else resolve(failure(BodyFault.TooLong))
+			if (length <= maxBytes) pieces.push(piece)
+			else resolve(failure(BodyError.TooLong))
 		})
 		message.on('end', () => resolve(success(Buffer.concat(pieces))))
-		message.on('error', () => resolve(failure(BodyFault.CutOff)))
-		message.on('close', () => resolve(failure(BodyFault.CutOff)))
+		message.on('error', () => resolve(failure(BodyError.CutOff)))
+		message.on('close', () => resolve(failure(BodyError.CutOff)))
 	})
 }
